--- a/features/caller_replay.py
+++ b/features/caller_replay.py
@@ -5,8 +5,8 @@
 from dataclasses import dataclass, field
 
 from liftrill.coordination.membership_messages import Member
-from liftrill.gateway.peers.caller_directory import CallerDirectory
 from liftrill.gateway.peers.node_capacity import NodeCapacities, NodeCapacity
+from liftrill.gateway.peers.node_directory import CallerDirectory
 from liftrill.gateway.settings import MachineLimits
 
 STEP_S = 0.05
--- a/features/steps/caller_division_steps.py
+++ b/features/steps/caller_division_steps.py
@@ -9,10 +9,7 @@
 from liftrill.coordination.membership_messages import Condition, Member
 from liftrill.gateway.engines.engine_table import EngineLoad
 from liftrill.gateway.gateway import LEADER_CANDIDATES, LEADER_RANK_KEY
-from liftrill.gateway.peers.able_nodes import ranked
-from liftrill.gateway.peers.busy_node import BusyNode
-from liftrill.gateway.peers.caller_directory import CallerDirectory
-from liftrill.gateway.peers.caller_division import ByWeight, NameAll
+from liftrill.gateway.peers.capable_nodes import ranked
 from liftrill.gateway.peers.load_codec import ReportAssembler, datagrams_from_report
 from liftrill.gateway.peers.load_exchange import (
     DELEGATE_KEY,
@@ -20,7 +17,10 @@
     LoadScope,
     delegates_by_zone,
 )
+from liftrill.gateway.peers.load_shedding import BusyNode
 from liftrill.gateway.peers.node_capacity import NodeCapacities, NodeCapacity, NodeWord
+from liftrill.gateway.peers.node_directory import CallerDirectory
+from liftrill.gateway.peers.node_selection import ByWeight, NameAll
 from liftrill.gateway.reader_plan import READER_KEY, ReaderPlan
 from liftrill.gateway.settings import MachineLimits
 from liftrill.node.membership_codec import member_from_message, member_message
--- a/features/steps/engine_record_steps.py
+++ b/features/steps/engine_record_steps.py
@@ -19,7 +19,7 @@
 from liftrill.gateway.engines.engine_selector import EngineSelector
 from liftrill.gateway.engines.engine_table import EngineLoad, EngineNotice, EngineTable
 from liftrill.gateway.engines.prefix_directory import part_number
-from liftrill.gateway.peers.load_board import LoadBoard
+from liftrill.gateway.peers.load_table import LoadBoard
 from liftrill.gateway.records import WeightTarget
 from liftrill.gateway.route_table import WeightedSplit
 from liftrill.gateway.weight_rollout import AnnounceLoad, WeightRollout
--- a/features/steps/gateway_load_steps.py
+++ b/features/steps/gateway_load_steps.py
@@ -9,9 +9,9 @@
 from liftrill.coordination.quota import QuotaReport
 from liftrill.gateway.engines.engine_table import EngineLoad, EngineTable
 from liftrill.gateway.engines.prefix_directory import PrefixDirectory, part_number
-from liftrill.gateway.peers.load_board import LoadBoard
 from liftrill.gateway.peers.load_codec import ReportAssembler, datagrams_from_report
 from liftrill.gateway.peers.load_exchange import ByZone, LoadReport, LoadScope, topology_for
+from liftrill.gateway.peers.load_table import LoadBoard
 from liftrill.messages import peer_pb2
 
 
--- a/features/steps/holding_steps.py
+++ b/features/steps/holding_steps.py
@@ -23,11 +23,11 @@
 from liftrill.gateway.forwarder import Forwarder, ForwardingPorts
 from liftrill.gateway.gateway_metrics import GatewayMetrics
 from liftrill.gateway.holding.body_reader import BodyReader, BodyTooLargeError, refusal_of_body
-from liftrill.gateway.holding.caller_flow import CallerConnection, CallerFlow, CallerTooSlowError
+from liftrill.gateway.holding.caller_stream import CallerConnection, CallerFlow, CallerTooSlowError
 from liftrill.gateway.holding.memory_budget import MemoryBudget, Purpose
-from liftrill.gateway.peers.load_board import LoadBoard
 from liftrill.gateway.peers.load_codec import datagrams_from_report, report_from_message
 from liftrill.gateway.peers.load_exchange import LoadReport, LoadScope
+from liftrill.gateway.peers.load_table import LoadBoard
 from liftrill.gateway.transport import EngineAttempt
 from liftrill.gateway.weight_targets import WeightTargets
 from liftrill.messages.peer_pb2 import Datagram
--- a/features/steps/peer_silence_steps.py
+++ b/features/steps/peer_silence_steps.py
@@ -6,7 +6,7 @@
 
 from liftrill.coordination.membership_messages import Member
 from liftrill.gateway.peers.load_exchange import topology_for
-from liftrill.gateway.peers.peer_silence import IDLE_REPORT_S, PeerSilence
+from liftrill.gateway.peers.silence_detector import IDLE_REPORT_S, PeerSilence
 
 MINUTE_S = 60.0
 
--- a/features/uneven_engines.py
+++ b/features/uneven_engines.py
@@ -12,8 +12,8 @@
 from liftrill.gateway.engines.engine_table import EngineLoad, EngineTable
 from liftrill.gateway.engines.placement import PlacementPolicy
 from liftrill.gateway.opaque_request import PromptPart, PromptShape
-from liftrill.gateway.peers.load_board import LoadBoard
 from liftrill.gateway.peers.load_exchange import LoadReport, LoadScope, SendLoads
+from liftrill.gateway.peers.load_table import LoadBoard
 from liftrill.gateway.peers.speed_exchange import SpeedExchange
 from liftrill.gateway.records import KeptStoreProfile, ServiceProfile
 from liftrill.gateway.weight_targets import WeightTargets
--- a/liftrill/gateway/gateway.py
+++ b/liftrill/gateway/gateway.py
@@ -43,15 +43,15 @@
 from liftrill.gateway.leadership import Leadership, TermParameters
 from liftrill.gateway.opaque_request import OpaqueRequest
 from liftrill.gateway.order_client import OrderClient
-from liftrill.gateway.peers.able_nodes import ranked
-from liftrill.gateway.peers.busy_node import BusyNode
-from liftrill.gateway.peers.caller_directory import CallerDirectory
+from liftrill.gateway.peers.capable_nodes import ranked
 from liftrill.gateway.peers.engine_gossip import EngineGossip, LimitLink
-from liftrill.gateway.peers.load_board import LoadBoard
 from liftrill.gateway.peers.load_exchange import LoadReport, LoadScope, SendLoads, topology_for
+from liftrill.gateway.peers.load_shedding import BusyNode
+from liftrill.gateway.peers.load_table import LoadBoard
 from liftrill.gateway.peers.node_capacity import NodeCapacities, NodeCapacity
+from liftrill.gateway.peers.node_directory import CallerDirectory
 from liftrill.gateway.peers.peer_link import PeerCallbacks, PeerLink, new_membership
-from liftrill.gateway.peers.peer_silence import IDLE_REPORT_S, PeerSilence
+from liftrill.gateway.peers.silence_detector import IDLE_REPORT_S, PeerSilence
 from liftrill.gateway.peers.speed_exchange import SpeedExchange
 from liftrill.gateway.quarantine import Quarantine
 from liftrill.gateway.quarantine_list import QuarantineEntry
--- a/liftrill/gateway/holding/caller_sink.py
+++ b/liftrill/gateway/holding/caller_sink.py
@@ -10,7 +10,7 @@
 from liftrill.gateway import delivery_events as events
 from liftrill.gateway import http_server as web
 from liftrill.gateway.holding.body_reader import BodyReader
-from liftrill.gateway.holding.caller_flow import CallerConnection, CallerFlow
+from liftrill.gateway.holding.caller_stream import CallerConnection, CallerFlow
 from liftrill.gateway.holding.memory_budget import Purpose
 from liftrill.gateway.holding.node_memory import NodeMemory
 from liftrill.gateway.transport import AnswerSink
--- a/liftrill/gateway/peers/load_exchange.py
+++ b/liftrill/gateway/peers/load_exchange.py
@@ -19,8 +19,8 @@
 from liftrill.coordination.quota import QuotaReport
 from liftrill.gateway.engines.prefix_directory import KeptNews, KeptPart
 from liftrill.gateway.engines.speed_board import SpeedRow
-from liftrill.gateway.peers.able_nodes import able
-from liftrill.gateway.peers.load_board import LoadBoard, LoadByEngine
+from liftrill.gateway.peers.capable_nodes import able
+from liftrill.gateway.peers.load_table import LoadBoard, LoadByEngine
 from liftrill.gateway.peers.node_capacity import NodeWord
 
 DELEGATE_KEY = b"load delegate "
--- a/liftrill/gateway/peers/node_capacity.py
+++ b/liftrill/gateway/peers/node_capacity.py
@@ -10,7 +10,7 @@
 from dataclasses import dataclass, field
 
 from liftrill.gateway.engines.service_model import middle
-from liftrill.gateway.peers.peer_silence import SILENT_AFTER_S
+from liftrill.gateway.peers.silence_detector import SILENT_AFTER_S
 from liftrill.gateway.settings import MachineLimits
 
 # Until a node has served some requests itself, they are taken to be like these: prompts of some
--- a/liftrill/gateway/peers/caller_directory.py
+++ b/liftrill/gateway/peers/node_directory.py
@@ -4,7 +4,13 @@
 from dataclasses import dataclass, field
 
 from liftrill.coordination.membership_messages import Member
-from liftrill.gateway.peers.caller_division import (
+from liftrill.gateway.peers.node_capacity import (
+    LATE_S,
+    NodeCapacities,
+    NodeWord,
+    summed_word,
+)
+from liftrill.gateway.peers.node_selection import (
     Answers,
     ByWeight,
     CallerDivision,
@@ -12,12 +18,6 @@
     are_equal,
     candidates_of,
 )
-from liftrill.gateway.peers.node_capacity import (
-    LATE_S,
-    NodeCapacities,
-    NodeWord,
-    summed_word,
-)
 
 # With fewer nodes than this in the caller's zone, nodes of all zones are named.
 LEAST_NODES_OF_A_ZONE = 2
--- a/liftrill/gateway/peers/peer_link.py
+++ b/liftrill/gateway/peers/peer_link.py
@@ -26,6 +26,7 @@
 from liftrill.gateway.engines.engine_limits import EngineLimit, LimitMessage
 from liftrill.gateway.engines.engine_table import EngineNotice
 from liftrill.gateway.engines.engine_update import EngineUpdate
+from liftrill.gateway.peers.broadcast_batch import TurnWords
 from liftrill.gateway.peers.load_codec import (
     ReportAssembler,
     datagrams_from_report,
@@ -43,7 +44,6 @@
     notice_from_message,
     update_from_message,
 )
-from liftrill.gateway.peers.turn_words import TurnWords
 from liftrill.gateway.quarantine_codec import (
     datagram_from_entry,
     datagrams_from_runs,
--- a/liftrill/gateway/reader_plan.py
+++ b/liftrill/gateway/reader_plan.py
@@ -11,7 +11,7 @@
 
 from liftrill.coordination import rendezvous
 from liftrill.coordination.membership_messages import Condition, Member
-from liftrill.gateway.peers.able_nodes import ranked
+from liftrill.gateway.peers.capable_nodes import ranked
 
 READER_KEY = b"store reader"
 
