--- a/features/caller_replay.py
+++ b/features/caller_replay.py
@@ -6,7 +6,7 @@
 
 from liftrill.coordination.membership_messages import Member
 from liftrill.gateway.peers.node_capacity import NodeCapacities, NodeCapacity
-from liftrill.gateway.peers.node_directory import CallerDirectory
+from liftrill.gateway.peers.node_directory import NodeDirectory
 from liftrill.gateway.settings import MachineLimits
 
 STEP_S = 0.05
@@ -67,9 +67,9 @@
         self.waiting_s = min(self.waiting_s - done, 2 * self.cores)
         if now >= self.next_beat:
             for _ in range(min(15, int(self.requests))):
-                self.capacity.note_request(REQUEST_BYTES - 1_200, self.waiting_bytes / self.link)
+                self.capacity.record_request(REQUEST_BYTES - 1_200, self.waiting_bytes / self.link)
             self.requests = 0.0
-            self.capacity.beat(now, self.cpu_s, 0)
+            self.capacity.update(now, self.cpu_s, 0)
             self.next_beat = now + BEAT_S + self.waiting_s / self.cores
 
 
@@ -102,7 +102,7 @@
                 self.nodes[name] = FakeNode(member, cores, capacity)
         self.directories = {
             f"zone-{zone}": [
-                CallerDirectory(NodeCapacities(), division, lends) for _ in range(DIRECTORIES)
+                NodeDirectory(NodeCapacities(), division, lends) for _ in range(DIRECTORIES)
             ]
             for zone in range(ZONES)
         }
@@ -142,28 +142,28 @@
     def _beat(self):
         for zone, directories in self.directories.items():
             for directory in directories:
-                directory.beat(self._listed(), zone, self.now)
+                directory.update(self._listed(), zone, self.now)
 
     def _report(self):
         for zone, directories in self.directories.items():
             for directory in directories:
                 for node in self.zone_nodes(zone):
                     if node.lives(self.now) and self.random.random() >= self.lost:
-                        directory.capacities.take(
-                            node.member.node_id, node.capacity.word(), self.now
+                        directory.capacities.update(
+                            node.member.node_id, node.capacity.current_load(), self.now
                         )
             names = [n.member.node_id for n in self.zone_nodes(zone) if n.is_listed(self.now)]
             total = directories[0].capacities.total(names, self.now)
             for other, others in self.directories.items():
                 for directory in others if other != zone else ():
-                    directory.capacities.take_zone(zone, total, self.now)
+                    directory.capacities.update_zone(zone, total, self.now)
 
     def _ask(self, caller):
         if self.now < caller.asks_at:
             return
         caller.asks_at = self.now + self.random.uniform(1.0, 5.0)
         directory = self.random.choice(self.directories[caller.zone])
-        answer = directory.named(self._listed(), caller.zone, caller.address, self.now)
+        answer = directory.nodes_for(self._listed(), caller.zone, caller.address, self.now)
         caller.names = [member.node_id for member in answer]
         for place, name in enumerate(caller.kept):
             if name not in caller.names:
--- a/features/steps/caller_division_steps.py
+++ b/features/steps/caller_division_steps.py
@@ -17,10 +17,10 @@
     LoadScope,
     delegates_by_zone,
 )
-from liftrill.gateway.peers.load_shedding import BusyNode
-from liftrill.gateway.peers.node_capacity import NodeCapacities, NodeCapacity, NodeWord
-from liftrill.gateway.peers.node_directory import CallerDirectory
-from liftrill.gateway.peers.node_selection import ByWeight, NameAll
+from liftrill.gateway.peers.load_shedding import LoadShedder
+from liftrill.gateway.peers.node_capacity import NodeCapacities, NodeCapacity, NodeLoad
+from liftrill.gateway.peers.node_directory import NodeDirectory
+from liftrill.gateway.peers.node_selection import SelectAll, WeightedSelection
 from liftrill.gateway.reader_plan import READER_KEY, ReaderPlan
 from liftrill.gateway.settings import MachineLimits
 from liftrill.node.membership_codec import member_from_message, member_message
@@ -34,7 +34,7 @@
 
 def settle(context, **options):
     context.options = options
-    context.replay = Replay(ByWeight(), **options)
+    context.replay = Replay(WeightedSelection(), **options)
     context.replay.run(SETTLING_S)
     context.replay.begin()
 
@@ -119,7 +119,7 @@
     " and all by {usual:g} s"
 )
 def step_late_alike(context, latest, usual):
-    found = compared(context, NameAll(), False).busiest_lag_s()
+    found = compared(context, SelectAll(), False).busiest_lag_s()
     assert found[0] >= latest and found[1] >= usual, found
 
 
@@ -132,7 +132,7 @@
 
 @then("nodes are late by a fifth less in the mean than where zones don't help each other")
 def step_helped(context):
-    alone = compared(context, ByWeight(), False).busiest_lag_s()[1]
+    alone = compared(context, WeightedSelection(), False).busiest_lag_s()[1]
     found = context.replay.busiest_lag_s()[1]
     assert found <= 0.8 * alone, (found, alone)
 
@@ -172,13 +172,13 @@
 
 def tell_all(context, now):
     for member in context.members:
-        context.capacities.take(member.node_id, context.words[member.node_id], now)
+        context.capacities.update(member.node_id, context.words[member.node_id], now)
 
 
 def answers(context, callers=CALLERS, now=None):
     """Return what each caller is named, by the ids of nodes."""
     at = context.now if now is None else now
-    named = [context.directory.named(context.members, "zone-0", c, at) for c in callers]
+    named = [context.directory.nodes_for(context.members, "zone-0", c, at) for c in callers]
     return [[member.node_id for member in answer] for answer in named]
 
 
@@ -190,7 +190,7 @@
     context.members = members(len(words))
     context.words = {m.node_id: word for m, word in zip(context.members, words, strict=True)}
     context.capacities = NodeCapacities()
-    context.directory = CallerDirectory(context.capacities)
+    context.directory = NodeDirectory(context.capacities)
     context.now = 10.0
     for tenths in range(101):
         tell_all(context, tenths / 10)
@@ -198,13 +198,13 @@
 
 @given("{count:d} nodes of one zone that tell the same capacity, and use from 0 to 90 in 100 of it")
 def step_alike(context, count):
-    begin(context, [NodeWord(0.5, 0.45 * n / count, 0.01) for n in range(count)])
+    begin(context, [NodeLoad(0.5, 0.45 * n / count, 0.01) for n in range(count)])
 
 
 @given("{count:d} nodes of one zone and three sizes")
 def step_sizes(context, count):
     assert count == len(SIZES)
-    begin(context, [NodeWord(cores, 0.3 * cores, 0.01) for cores in SIZES])
+    begin(context, [NodeLoad(cores, 0.3 * cores, 0.01) for cores in SIZES])
 
 
 @then("every caller is named the first {count:d} of them in their order")
@@ -215,18 +215,18 @@
 
 @then("so it is where nobody tells anything")
 def step_untold(context):
-    context.directory = CallerDirectory(NodeCapacities())
+    context.directory = NodeDirectory(NodeCapacities())
     step_all_named(context, 64)
 
 
 @when("one of them is late by {late:g} s")
 def step_one_late(context, late):
-    change_one(context, NodeWord(0.5, 0.2, late))
+    change_one(context, NodeLoad(0.5, 0.2, late))
 
 
 @when("one of them has {left:d} MB of memory left")
 def step_one_short(context, left):
-    change_one(context, NodeWord(0.5, 0.2, 0.01, left * 1_048_576))
+    change_one(context, NodeLoad(0.5, 0.2, 0.01, left * 1_048_576))
 
 
 def change_one(context, word):
@@ -245,8 +245,8 @@
     first = answers(context)
     for tenths in range(int(seconds * 10) + 1):
         tell_all(context, context.now + tenths / 10)
-    other = CallerDirectory(context.capacities)
-    later = other.named(context.members, "zone-0", CALLERS[0], context.now + seconds)
+    other = NodeDirectory(context.capacities)
+    later = other.nodes_for(context.members, "zone-0", CALLERS[0], context.now + seconds)
     assert [member.node_id for member in later] == first[0]
     assert answers(context, now=context.now + seconds) == first
 
@@ -262,12 +262,12 @@
     others = [m.node_id for m in context.members if m.node_id != context.lost]
     context.now += seconds
     for node_id in others:
-        context.capacities.take(node_id, context.words[node_id], context.now)
+        context.capacities.update(node_id, context.words[node_id], context.now)
 
 
 @then("it counts as one of {cores:g} cores")
 def step_counts_as(context, cores):
-    words = context.capacities.words([m.node_id for m in context.members], context.now)
+    words = context.capacities.node_loads([m.node_id for m in context.members], context.now)
     assert words[context.lost].capacity_cores == cores, words[context.lost]
 
 
@@ -294,9 +294,9 @@
         for member in context.members:
             if member.node_id != context.back:
                 word = context.words[member.node_id]
-                context.capacities.take(member.node_id, word, context.now + tenths / 10)
+                context.capacities.update(member.node_id, word, context.now + tenths / 10)
     context.now += seconds
-    context.capacities.take(context.back, context.words[context.back], context.now)
+    context.capacities.update(context.back, context.words[context.back], context.now)
 
 
 @then("it is named to fewer than half as many callers as before")
@@ -319,13 +319,13 @@
 def step_machine(context, cores, link):
     context.node = NodeCapacity(MachineLimits(cpu_share=cores, link_bytes_per_s=link), BEAT_S)
     context.at, context.cpu_s = 100.0, 7.0
-    context.node.beat(context.at, context.cpu_s, 0)
+    context.node.update(context.at, context.cpu_s, 0)
 
 
 def beat(context, cores, late_s=0.0):
     context.at += BEAT_S + late_s
     context.cpu_s += cores * (BEAT_S + late_s)
-    context.node.beat(context.at, context.cpu_s, 0)
+    context.node.update(context.at, context.cpu_s, 0)
 
 
 @when(
@@ -335,7 +335,7 @@
 def step_serves(context, rate, size, seconds, cpu_ms):
     for _ in range(int(seconds / BEAT_S)):
         for _ in range(int(rate * BEAT_S)):
-            context.node.note_request(size, 0.001)
+            context.node.record_request(size, 0.001)
         beat(context, rate * cpu_ms / 1000)
 
 
@@ -346,7 +346,7 @@
 
 @then("its own use is all of that")
 def step_all_used(context):
-    assert context.node.word().used_share > 0.99, context.node.word()
+    assert context.node.current_load().used_share > 0.99, context.node.current_load()
 
 
 @when("a beat comes {late:g} s late")
@@ -362,19 +362,19 @@
 
 @then("it tells that it is late by {late:g} s")
 def step_tells_late(context, late):
-    assert abs(context.node.word().late_s - late) < 1e-6, context.node.word()
+    assert abs(context.node.current_load().late_s - late) < 1e-6, context.node.current_load()
 
 
 @then("{seconds:g} s later by less than {late:g} s")
 def step_less_late(context, seconds, late):
     for _ in range(int(seconds / BEAT_S)):
         beat(context, 0.1)
-    assert context.node.word().late_s < late, context.node.word()
+    assert context.node.current_load().late_s < late, context.node.current_load()
 
 
 @then("it tells that it uses all that it has")
 def step_tells_full(context):
-    assert context.node.word().used_share > 0.9, context.node.word()
+    assert context.node.current_load().used_share > 0.9, context.node.current_load()
 
 
 # A busy node
@@ -386,7 +386,7 @@
 )
 def step_busy(context, beats, late, others):
     step_machine(context, 0.4, 0)
-    context.busy = BusyNode()
+    context.busy = LoadShedder()
     context.others_late_s = others
     for _ in range(beats):
         busy_beat(context, late)
@@ -395,7 +395,7 @@
 def busy_beat(context, late_s):
     beat(context, 0.3, late_s)
     node = context.node
-    context.busy.beat(node.lag_s, node.late_beats, context.others_late_s)
+    context.busy.update(node.lag_s, node.late_ticks, context.others_late_s)
 
 
 @when("{seconds:g} s pass in which it is in time")
@@ -406,13 +406,13 @@
 
 @then("it {closes} connections and {refuses} requests")
 def step_sheds(context, closes, refuses):
-    assert context.busy.closes is {"closes": True, "keeps": False}[closes], context.busy
-    assert context.busy.refuses is {"refuses": True, "takes": False}[refuses], context.busy
+    assert context.busy.closes_connections is {"closes": True, "keeps": False}[closes], context.busy
+    assert context.busy.refuses_requests is {"refuses": True, "takes": False}[refuses], context.busy
 
 
 @then("those that it refused come back within {shortest:g} to {longest:g} s")
 def step_come_back(context, shortest, longest):
-    times = [context.busy.come_back_s(draw / 10) for draw in range(11)]
+    times = [context.busy.retry_after_s(draw / 10) for draw in range(11)]
     assert min(times) >= shortest and max(times) <= longest, times
     assert len(set(times)) == len(times), times
 
@@ -499,8 +499,8 @@
 @given("a report on {count:d} engines of a node with {cores:g} cores of which {used:g} are in use")
 def step_report(context, count, cores, used):
     loads = {f"engine-{number:05d}": EngineLoad(1, 2, 3) for number in range(count)}
-    context.word = NodeWord(cores, used, 0.125, 40 * 1_048_576)
-    context.report = LoadReport(LoadScope.NODE, "node-1", "zone-1", loads, node_word=context.word)
+    context.word = NodeLoad(cores, used, 0.125, 40 * 1_048_576)
+    context.report = LoadReport(LoadScope.NODE, "node-1", "zone-1", loads, node_load=context.word)
 
 
 @then("the report that arrives tells the same of the node")
@@ -508,8 +508,8 @@
     assembler = ReportAssembler()
     datagrams = datagrams_from_report(context.report, 1)
     assert len(datagrams) > 1
-    found = [assembler.take(datagram) for datagram in reversed(datagrams)]
-    assert found[-1].node_word == context.word, found[-1]
+    found = [assembler.add(datagram) for datagram in reversed(datagrams)]
+    assert found[-1].node_load == context.word, found[-1]
 
 
 @then("a report of an older version tells nothing of it")
@@ -517,4 +517,4 @@
     for datagram in (datagrams := datagrams_from_report(context.report, 2)):
         datagram.ClearField("node_load")
     assembler = ReportAssembler()
-    assert [assembler.take(datagram) for datagram in datagrams][-1].node_word is None
+    assert [assembler.add(datagram) for datagram in datagrams][-1].node_load is None
--- a/features/steps/engine_record_steps.py
+++ b/features/steps/engine_record_steps.py
@@ -19,7 +19,7 @@
 from liftrill.gateway.engines.engine_selector import EngineSelector
 from liftrill.gateway.engines.engine_table import EngineLoad, EngineNotice, EngineTable
 from liftrill.gateway.engines.prefix_directory import part_number
-from liftrill.gateway.peers.load_table import LoadBoard
+from liftrill.gateway.peers.load_table import LoadTable
 from liftrill.gateway.records import WeightTarget
 from liftrill.gateway.route_table import WeightedSplit
 from liftrill.gateway.weight_rollout import AnnounceLoad, WeightRollout
@@ -71,7 +71,7 @@
         self.engines = EngineTable()
         self.targets = WeightTargets(10.0)
         self.selector = EngineSelector(self.engines, self.targets, "zone-1")
-        self.board = LoadBoard(self.engines)
+        self.board = LoadTable(self.engines)
         self.rollout = WeightRollout(self.targets)
         self.quarantine = new_quarantine(self.engines)
         self.log = RecordedLog()
@@ -132,7 +132,7 @@
     for _ in range(20):
         view.breaker.record_failure(0.0)
     view.own_load.add(EngineLoad(2, 300, 400))
-    node.board.take("peer", {"a": EngineLoad(3, 500, 600, number=view.told_number)}, 0.0)
+    node.board.update("peer", {"a": EngineLoad(3, 500, 600, number=view.told_number)}, 0.0)
     node.selector.parts.directory.record_read(
         part_number("", "part"),
         view.number,
@@ -195,7 +195,7 @@
 def step_late_words(context):
     number = context.former.told_number
     node = context.node
-    node.board.take("peer", {"a": EngineLoad(3, 500, 600, number=number)}, 0.0)
+    node.board.update("peer", {"a": EngineLoad(3, 500, 600, number=number)}, 0.0)
     node.engines.apply_notice(EngineNotice("a", "model", 2, False, 99, number), 0.0)
 
 
--- a/features/steps/gateway_load_steps.py
+++ b/features/steps/gateway_load_steps.py
@@ -10,8 +10,8 @@
 from liftrill.gateway.engines.engine_table import EngineLoad, EngineTable
 from liftrill.gateway.engines.prefix_directory import PrefixDirectory, part_number
 from liftrill.gateway.peers.load_codec import ReportAssembler, datagrams_from_report
-from liftrill.gateway.peers.load_exchange import ByZone, LoadReport, LoadScope, topology_for
-from liftrill.gateway.peers.load_table import LoadBoard
+from liftrill.gateway.peers.load_exchange import LoadReport, LoadScope, ZoneTopology, topology_for
+from liftrill.gateway.peers.load_table import LoadTable
 from liftrill.messages import peer_pb2
 
 
@@ -26,7 +26,7 @@
 @given('an engine table with engine "{name}"')
 def step_table(context, name):
     context.engines = EngineTable()
-    context.board = LoadBoard(context.engines)
+    context.board = LoadTable(context.engines)
     add_engine(context, name)
 
 
@@ -38,17 +38,17 @@
 @when('a peer tells of {first:d} requests on "{one}" and {second:d} on "{other}"')
 @when('the peer tells of {first:d} requests on "{one}" and {second:d} on "{other}"')
 def step_word(context, first, one, second, other):
-    context.board.take("peer", {one: load(first), other: load(second)}, 0.0)
+    context.board.update("peer", {one: load(first), other: load(second)}, 0.0)
 
 
 @when('a peer of zone "{zone}" tells of {count:d} requests on "{name}"')
 def step_zone_word(context, zone, count, name):
-    context.board.take("peer", {name: load(count)}, 0.0, zone)
+    context.board.update("peer", {name: load(count)}, 0.0, zone)
 
 
 @when('zone "{zone}" is told to have {count:d} requests on "{name}"')
 def step_sum(context, zone, count, name):
-    context.board.take_zone(zone, {name: load(count)}, 0.0)
+    context.board.update_zone(zone, {name: load(count)}, 0.0)
 
 
 @when("{seconds:g} s pass without a word")
@@ -69,12 +69,12 @@
 
 @when('a peer tells at {now:g} s that "{name}" is given {tokens:d} tokens to read')
 def step_reading_told(context, now, name, tokens):
-    context.board.hear_reading(context.engines.get(name).number, tokens, now)
+    context.board.add_peer_prefill(context.engines.get(name).number, tokens, now)
 
 
 @when("a peer's word without that reading comes")
 def step_word_without(context):
-    context.board.take("peer", {"e1": EngineLoad(1, 0, 6_100)}, 0.2)
+    context.board.update("peer", {"e1": EngineLoad(1, 0, 6_100)}, 0.2)
 
 
 @then('{tokens:d} tokens of peers wait at "{name}"')
@@ -86,12 +86,12 @@
 def step_own_reading(context, tokens, name, now):
     view = context.engines.get(name)
     view.own_load.add(EngineLoad(1, tokens, tokens + 20))
-    context.board.note_own_reading(view, tokens, now)
+    context.board.add_own_prefill(view, tokens, now)
 
 
 @then("its word at {now:g} s tells of {count:d} request and {tokens:d} waiting tokens there")
 def step_own_word(context, now, count, tokens):
-    context.board.expire_readings(now)
+    context.board.expire_prefills(now)
     told = context.board.own_loads()["e1"]
     assert (told.requests, told.waiting_tokens) == (count, tokens), told
 
@@ -105,16 +105,16 @@
         table = EngineTable()
         for name in engines:
             table.update(engine_record(name)).own_load.add(load(1))
-        self.board = LoadBoard(table)
+        self.board = LoadTable(table)
         self.directory = PrefixDirectory()
 
     def take(self, report, members, now):
         self.directory.hear(report.kept, now, report.zone == self.own.zone)
         if report.scope is LoadScope.NODE:
-            self.board.take(report.node, report.loads, now, report.zone)
+            self.board.update(report.node, report.loads, now, report.zone)
             return []
-        self.board.take_zone(report.zone, report.loads, now)
-        return topology_for(members).relayed(self.own, report, members)
+        self.board.update_zone(report.zone, report.loads, now)
+        return topology_for(members).relayed_reports(self.own, report, members)
 
 
 @given("{count:d} nodes in {zones:d} zones, each with one request on each of {engines:d} engines")
@@ -143,7 +143,7 @@
         context.longest = max(context.longest, len(data))
         context.sent[sender] = context.sent.get(sender, 0) + 1
         context.across += across
-        found = assembler.take(peer_pb2.Datagram.FromString(data))
+        found = assembler.add(peer_pb2.Datagram.FromString(data))
     assert found is not None
     return found
 
@@ -161,7 +161,7 @@
             send(
                 context,
                 name,
-                topology.own_word(node.own, node.board, node.directory.news(now), members),
+                topology.own_reports(node.own, node.board, node.directory.news(now), members),
                 now,
             )
 
@@ -229,7 +229,7 @@
 def step_piece_lost(context):
     datagrams = datagrams_from_report(context.report, 1)
     assert len(datagrams) > 2
-    context.taken = [context.assembler.take(d) for d in datagrams[1:]]
+    context.taken = [context.assembler.add(d) for d in datagrams[1:]]
 
 
 @then("nothing is taken from the others")
@@ -240,7 +240,7 @@
 @then("the whole of the next report is taken, whatever the order of its datagrams")
 def step_next_taken(context):
     datagrams = datagrams_from_report(context.report, 2)
-    taken = [context.assembler.take(d) for d in reversed(datagrams)]
+    taken = [context.assembler.add(d) for d in reversed(datagrams)]
     assert taken[:-1] == [None] * (len(taken) - 1)
     assert taken[-1].loads == context.report.loads
 
@@ -269,8 +269,8 @@
     def members(count):
         return [Member(f"n{i}", f"10.0.{i}.1:1", "region", "zone", 1) for i in range(count)]
 
-    assert ByZone().interval_s(members(few)[0], members(few)) == short
-    assert abs(ByZone().interval_s(members(many)[0], members(many)) - long) < 1e-9
+    assert ZoneTopology().interval_s(members(few)[0], members(few)) == short
+    assert abs(ZoneTopology().interval_s(members(many)[0], members(many)) - long) < 1e-9
 
 
 @given("an engine whose record is missing after an outage of the store")
--- a/features/steps/holding_steps.py
+++ b/features/steps/holding_steps.py
@@ -22,12 +22,20 @@
 from liftrill.gateway.event_stream import StreamEvent
 from liftrill.gateway.forwarder import Forwarder, ForwardingPorts
 from liftrill.gateway.gateway_metrics import GatewayMetrics
-from liftrill.gateway.holding.body_reader import BodyReader, BodyTooLargeError, refusal_of_body
-from liftrill.gateway.holding.caller_stream import CallerConnection, CallerFlow, CallerTooSlowError
+from liftrill.gateway.holding.body_reader import (
+    BodyReader,
+    BodyTooLargeError,
+    refusal_for_body_error,
+)
+from liftrill.gateway.holding.caller_stream import (
+    CallerConnection,
+    CallerStream,
+    CallerTooSlowError,
+)
 from liftrill.gateway.holding.memory_budget import MemoryBudget, Purpose
 from liftrill.gateway.peers.load_codec import datagrams_from_report, report_from_message
 from liftrill.gateway.peers.load_exchange import LoadReport, LoadScope
-from liftrill.gateway.peers.load_table import LoadBoard
+from liftrill.gateway.peers.load_table import LoadTable
 from liftrill.gateway.transport import EngineAttempt
 from liftrill.gateway.weight_targets import WeightTargets
 from liftrill.messages.peer_pb2 import Datagram
@@ -45,14 +53,14 @@
 def new_budget(context, limit, own):
     context.budget = MemoryBudget(limit * MB, own * MB)
     context.told = []
-    context.budget.when_changed = lambda state: context.told.append(state.nearly_spent)
+    context.budget.on_pressure_change = lambda state: context.told.append(state.is_nearly_full)
     context.now = 100.0
     context.holds, context.let_go = [], []
 
 
 def open_hold(context, purpose, caller):
     number = len(context.holds)
-    hold = context.budget.open(
+    hold = context.budget.reserve(
         purpose, caller, context.now, lambda: context.let_go.append((caller, number))
     )
     context.holds.append(hold)
@@ -109,7 +117,7 @@
 
 @then("{size:d} MB may be held, and not {more:d} MB")
 def step_may_hold(context, size, more):
-    assert context.budget.may_hold(size * MB) and not context.budget.may_hold(more * MB)
+    assert context.budget.has_room_for(size * MB) and not context.budget.has_room_for(more * MB)
 
 
 @when('"{caller}" leaves {size:d} MB of an answer unread')
@@ -284,7 +292,7 @@
 
 async def stream(context, connection, count):
     """Pass a stream as an engine sends it; note when the engine was done and how it ended."""
-    flow = CallerFlow(connection, context.budget, "caller", lambda *_: None)
+    flow = CallerStream(connection, context.budget, "caller", lambda *_: None)
     began = time.monotonic()
     error = None
     try:
@@ -567,13 +575,13 @@
 @given("an engine with {kilobytes:d} KB of bodies by a peer's word")
 def step_peer_bodies(context, kilobytes):
     context.forwarder = new_forwarder(context, OneAttempt(TwoEvents(events.StreamCompleted())))
-    board = LoadBoard(context.forwarder._engines)
+    board = LoadTable(context.forwarder._engines)
     told = LoadReport(
         LoadScope.NODE, "peer", "zone-1", {"engine-1": EngineLoad(0, 0, 0, kilobytes)}
     )
     (datagram,) = datagrams_from_report(told, 1)
     parsed = Datagram.FromString(datagram.SerializeToString())
-    board.take("peer", report_from_message(parsed).loads, 0.0)
+    board.update("peer", report_from_message(parsed).loads, 0.0)
 
 
 @when("a request with a body of {size:d} KB is at it")
@@ -695,7 +703,7 @@
     try:
         read(context, lambda: None, seconds)
     except TimeoutError as error:
-        context.refusal = refusal_of_body(error)
+        context.refusal = refusal_for_body_error(error)
     finally:
         context.reader.close()
 
--- a/features/steps/processor_time_steps.py
+++ b/features/steps/processor_time_steps.py
@@ -95,9 +95,11 @@
 def step_tell(context, spendings, readings):
     async def turn():
         for number in range(readings):
-            context.node.link.tell_reading(number, 2_000)
+            context.node.link.broadcast_prefill(number, 2_000)
         for number in range(spendings):
-            context.node.link.tell_spending(SpendingNotice(f"tenant-{number}", 3.0, number + 1))
+            context.node.link.broadcast_spending(
+                SpendingNotice(f"tenant-{number}", 3.0, number + 1)
+            )
         assert not context.node.transport.sent
         await asyncio.sleep(0)
 
--- a/features/uneven_engines.py
+++ b/features/uneven_engines.py
@@ -12,8 +12,8 @@
 from liftrill.gateway.engines.engine_table import EngineLoad, EngineTable
 from liftrill.gateway.engines.placement import PlacementPolicy
 from liftrill.gateway.opaque_request import PromptPart, PromptShape
-from liftrill.gateway.peers.load_exchange import LoadReport, LoadScope, SendLoads
-from liftrill.gateway.peers.load_table import LoadBoard
+from liftrill.gateway.peers.load_exchange import LoadReport, LoadScope, SendReport
+from liftrill.gateway.peers.load_table import LoadTable
 from liftrill.gateway.peers.speed_exchange import SpeedExchange
 from liftrill.gateway.records import KeptStoreProfile, ServiceProfile
 from liftrill.gateway.weight_targets import WeightTargets
@@ -108,7 +108,7 @@
         self.selector.parts.kept_stores = (KeptStoreProfile("10.0.0.9:1", "zone-0"),)
         self.selector.parts.services["service-1"] = ServiceProfile("service-1", 0)
         self.selector.parts.nodes = replay.nodes_count
-        self.loads = LoadBoard(self.table)
+        self.loads = LoadTable(self.table)
         self.speeds = self.selector.speeds
         self.exchange = SpeedExchange(self.speeds, self.zone)
         self.member = Member(self.name, "", "", self.zone, 1)
@@ -202,24 +202,24 @@
 
     def tell_speeds(self, node):
         local = [n.member for n in self.nodes if n.zone == node.zone and n is not node]
-        words = [SendLoads(LoadReport(LoadScope.NODE, node.name, node.zone, {}), tuple(local))]
+        words = [SendReport(LoadReport(LoadScope.NODE, node.name, node.zone, {}), tuple(local))]
         if self.nodes.index(node) < ZONES:
             others = tuple(n.member for n in self.nodes if n.zone != node.zone)
             total = LoadReport(LoadScope.ZONE_SUM, node.name, node.zone, {})
-            words.append(SendLoads(total, others))
+            words.append(SendReport(total, others))
         by_name = {n.name: n for n in self.nodes}
-        for word in node.exchange.words(words, self.now):
+        for word in node.exchange.due_reports(words, self.now):
             for member in word.members:
                 hearer = by_name[member.node_id]
                 self.at(self.now + LATE_S, self.hear_speeds, hearer, word.report)
 
     def hear_speeds(self, node, report):
-        node.exchange.hear(report, self.now)
+        node.exchange.apply_report(report, self.now)
 
     def hear(self, source, loads, kept):
         for node in self.nodes:
             if node is not source:
-                node.loads.take(source.name, loads, self.now)
+                node.loads.update(source.name, loads, self.now)
                 if kept:
                     node.selector.parts.directory.hear(kept, self.now, of_zone=True)
 
--- a/liftrill/gateway/admission/quota_gate.py
+++ b/liftrill/gateway/admission/quota_gate.py
@@ -11,7 +11,7 @@
 from liftrill.gateway.decision_log import DecisionLog
 from liftrill.gateway.gateway_metrics import GatewayMetrics
 from liftrill.gateway.opaque_request import OpaqueRequest
-from liftrill.gateway.peers.load_exchange import LoadReport, LoadScope, SendLoads
+from liftrill.gateway.peers.load_exchange import LoadReport, LoadScope, SendReport
 from liftrill.gateway.records import Quota
 
 # A tenant counts as limited until it was refused nothing for so long: two refusals further
@@ -105,7 +105,7 @@
         node = report.node if report.scope is LoadScope.NODE else ""
         self.buckets.hear(QuotaSource(report.zone, node), report.quota, now)
 
-    def add_to(self, word: SendLoads, now: float) -> SendLoads:
+    def add_to(self, word: SendReport, now: float) -> SendReport:
         """Return a word to other nodes with what was spent by whom it is of."""
         quota = self._report(word.report, now)
         return replace(word, report=replace(word.report, quota=quota))
--- a/liftrill/gateway/gateway.py
+++ b/liftrill/gateway/gateway.py
@@ -44,14 +44,14 @@
 from liftrill.gateway.opaque_request import OpaqueRequest
 from liftrill.gateway.order_client import OrderClient
 from liftrill.gateway.peers.capable_nodes import ranked
-from liftrill.gateway.peers.engine_gossip import EngineGossip, LimitLink
-from liftrill.gateway.peers.load_exchange import LoadReport, LoadScope, SendLoads, topology_for
-from liftrill.gateway.peers.load_shedding import BusyNode
-from liftrill.gateway.peers.load_table import LoadBoard
+from liftrill.gateway.peers.engine_gossip import EngineGossip, LimitMessenger
+from liftrill.gateway.peers.load_exchange import LoadReport, LoadScope, SendReport, topology_for
+from liftrill.gateway.peers.load_shedding import LoadShedder
+from liftrill.gateway.peers.load_table import LoadTable
 from liftrill.gateway.peers.node_capacity import NodeCapacities, NodeCapacity
-from liftrill.gateway.peers.node_directory import CallerDirectory
+from liftrill.gateway.peers.node_directory import NodeDirectory
 from liftrill.gateway.peers.peer_link import PeerCallbacks, PeerLink, new_membership
-from liftrill.gateway.peers.silence_detector import IDLE_REPORT_S, PeerSilence
+from liftrill.gateway.peers.silence_detector import MAX_REPORT_INTERVAL_S, SilenceDetector
 from liftrill.gateway.peers.speed_exchange import SpeedExchange
 from liftrill.gateway.quarantine import Quarantine
 from liftrill.gateway.quarantine_list import QuarantineEntry
@@ -154,12 +154,12 @@
             bounds.news_seconds,
         )
         self._relay = RelayServer(self._follower, self.view, metrics.followers.set)
-        self._silence = PeerSilence()
-        self._loads = LoadBoard(engines)
+        self._silence = SilenceDetector()
+        self._loads = LoadTable(engines)
         self._speeds = SpeedExchange(selector.speeds, settings.zone)
         self._capacities = NodeCapacities()
-        self._busy = BusyNode()
-        self._directory = CallerDirectory(self._capacities)
+        self._busy = LoadShedder()
+        self._directory = NodeDirectory(self._capacities)
         callbacks = PeerCallbacks(
             self._on_member,
             self._currency.hear_version,
@@ -176,7 +176,7 @@
         )
         self._peers = PeerLink(self._membership, callbacks)
         self._limits = selector.limits
-        link = LimitLink(self._membership, self._fleet, self._peers, log, metrics)
+        link = LimitMessenger(self._membership, self._fleet, self._peers, log, metrics)
         self._limits.peers = link
         self._gossip = EngineGossip(
             engines, self._limits, self._membership, self._peers, log, metrics
@@ -212,7 +212,7 @@
     @property
     def sheds_connections(self) -> bool:
         """Return whether callers are to close the connections on which they are answered."""
-        return self.stopping or self._busy.closes
+        return self.stopping or self._busy.closes_connections
 
     async def start(self) -> None:
         """Begin to follow the store and to talk to peers."""
@@ -239,7 +239,7 @@
     def leave(self) -> None:
         """Take no new callers: peers no longer name this node."""
         self.stopping = True
-        self._peers.depart()
+        self._peers.announce_departure()
         self.log.belief("stopping")
 
     async def stop(self) -> None:
@@ -256,8 +256,8 @@
 
     async def admit(self, incoming: IncomingRequest) -> OpaqueRequest | AdmissionRefusal:
         """Return the request to deliver, or why it is refused."""
-        if self._busy.refuses:
-            come_back_s = self._busy.come_back_s(random.random())
+        if self._busy.refuses_requests:
+            come_back_s = self._busy.retry_after_s(random.random())
             why = f"lag_s={self.capacity.lag_s:.2f}"
             return AdmissionRefusal(ResultCode.NODE_BUSY, come_back_s, why)
         found = self.admission.admit(incoming, clock.now_s())
@@ -272,14 +272,14 @@
     def addresses_for(self, zone: str, caller: str = "") -> list[str]:
         """Return the front addresses that a caller of a zone, told by its address, should use."""
         now = clock.now_s()
-        named = self._directory.named(self._usable_members(now), zone, caller, now)
+        named = self._directory.nodes_for(self._usable_members(now), zone, caller, now)
         self.metrics.named_nodes.set(len(named))
         return [self._front_of(member) for member in named]
 
     def _usable_members(self, now: float) -> list[Member]:
         """Return the members that take callers."""
         members = [m for m in self._membership.members() if m.condition is Condition.ALIVE]
-        members = self._silence.speaking(members, now)
+        members = self._silence.reporting_members(members, now)
         if self.stopping:
             members = [m for m in members if m.node_id != self.settings.node]
         return members
@@ -494,7 +494,7 @@
         self._allowance.nodes = max(self._allowance.nodes, alive)
         self._fleet.note(alive, clock.now_s())
         if member.condition is Condition.ALIVE:
-            self._gossip.tell_joiner(member)
+            self._gossip.send_state_to_joiner(member)
         if member.condition >= Condition.DEAD:
             self._silence.forget(member.node_id)
             self._capacities.forget(member.node_id)
@@ -508,7 +508,7 @@
 
     def hear_engine(self, word: EngineWord) -> None:
         """Take in what an engine says of itself in an answer to this node."""
-        self._gossip.hear(word)
+        self._gossip.handle_engine_message(word)
 
     def _on_engine_update(self, update: EngineUpdate) -> None:
         self._gossip.apply_update(update)
@@ -527,23 +527,23 @@
         if report.kept:
             self.forwarder.lines.changed()
         if report.scope is LoadScope.NODE:
-            self._silence.note(report.node, now)
-            self._loads.take(report.node, report.loads, now, report.zone)
-            if report.node_word is not None:
-                self._capacities.take(report.node, report.node_word, now)
+            self._silence.record_report(report.node, now)
+            self._loads.update(report.node, report.loads, now, report.zone)
+            if report.node_load is not None:
+                self._capacities.update(report.node, report.node_load, now)
             return
-        if report.node_word is not None:
-            self._capacities.take_zone(report.zone, report.node_word, now)
-        self._loads.take_zone(report.zone, report.loads, now)
+        if report.node_load is not None:
+            self._capacities.update_zone(report.zone, report.node_load, now)
+        self._loads.update_zone(report.zone, report.loads, now)
         members = self._membership.members()
-        words = topology_for(members).relayed(self._membership.own, report, members)
-        self._peers.send_loads(words)
+        words = topology_for(members).relayed_reports(self._membership.own, report, members)
+        self._peers.send_reports(words)
 
     def _on_speeds(self, report: LoadReport) -> None:
-        self._speeds.hear(report, clock.now_s())
+        self._speeds.apply_report(report, clock.now_s())
         members = self._membership.members()
-        words = topology_for(members).relayed(self._membership.own, report, members)
-        self._peers.send_loads(words)
+        words = topology_for(members).relayed_reports(self._membership.own, report, members)
+        self._peers.send_reports(words)
 
     def _take_quarantine(self, change: MirrorChange) -> None:
         now = clock.now_s()
@@ -576,22 +576,22 @@
         self._quarantine.hear_served(fingerprint, clock.now_s())
 
     def _on_reading(self, engine_number: int, tokens: int) -> None:
-        self._loads.hear_reading(engine_number, tokens, clock.now_s())
+        self._loads.add_peer_prefill(engine_number, tokens, clock.now_s())
 
     def _tell_reading(self, view: EngineView, tokens: int) -> None:
-        self._loads.note_own_reading(view, tokens, clock.now_s())
-        self._peers.tell_reading(view.number, tokens)
+        self._loads.add_own_prefill(view, tokens, clock.now_s())
+        self._peers.broadcast_prefill(view.number, tokens)
 
     def _on_spending(self, sender: str, notice: SpendingNotice) -> None:
         self._quotas.buckets.hear_spending(sender, notice, clock.now_s())
 
     def _tell_spending(self, notice: SpendingNotice) -> None:
-        self._peers.tell_spending(notice)
+        self._peers.broadcast_spending(notice)
 
     async def _send_notices(self, notices: list[EngineNotice]) -> None:
         for notice in notices:
             self._on_notice(notice)
-        await self._peers.broadcast(notices)
+        await self._peers.broadcast_notices(notices)
 
     # Loops
 
@@ -614,38 +614,38 @@
             members = self._membership.members()
             topology = topology_for(members)
             kept = self._beliefs.selector.parts.directory.news(now)
-            words = topology.own_word(own, self._loads, kept, members)
+            words = topology.own_reports(own, self._loads, kept, members)
             has_load = any(word.report.loads or word.report.kept for word in words)
-            is_due = now - reported_at >= IDLE_REPORT_S
+            is_due = now - reported_at >= MAX_REPORT_INTERVAL_S
             if has_load or had_load or is_due:
                 words = [self._quotas.add_to(word, now) for word in words]
-                self._peers.send_loads([self._add_capacity(word, now) for word in words])
+                self._peers.send_reports([self._add_capacity(word, now) for word in words])
                 reported_at = now
-            self._peers.send_loads(self._speeds.words(words, now))
+            self._peers.send_reports(self._speeds.due_reports(words, now))
             had_load = has_load
             self._loads.expire(now)
             await ticks.pause(topology.interval_s(own, members))
 
-    def _add_capacity(self, word: SendLoads, now: float) -> SendLoads:
+    def _add_capacity(self, word: SendReport, now: float) -> SendReport:
         """Return a word of load with what this node, or its zone, can bear and bears."""
         if word.report.scope is LoadScope.NODE:
-            told = self.capacity.word()
+            told = self.capacity.current_load()
         else:
             zone = self.settings.zone
             nodes = [m.node_id for m in self._membership.members() if m.zone == zone]
             told = self._capacities.total(nodes, now)
-        return replace(word, report=replace(word.report, node_word=told))
+        return replace(word, report=replace(word.report, node_load=told))
 
     def _measure_capacity(self, now: float) -> None:
         """Note what this node bears, and log which nodes are named less or in full again."""
         used = resource.getrusage(resource.RUSAGE_SELF)
         free_bytes = self.memory.budget.free_bytes if self.memory is not None else 0
-        self.capacity.beat(now, used.ru_utime + used.ru_stime, free_bytes)
-        word = self.capacity.word()
-        self._capacities.take(self.settings.node, word, now)
+        self.capacity.update(now, used.ru_utime + used.ru_stime, free_bytes)
+        word = self.capacity.current_load()
+        self._capacities.update(self.settings.node, word, now)
         self.metrics.show_capacity(word, self.capacity.lag_s)
         self._shed(now)
-        changes = self._directory.beat(self._usable_members(now), self.settings.zone, now)
+        changes = self._directory.update(self._usable_members(now), self.settings.zone, now)
         for change in changes[:MOST_CHANGES_TOLD]:
             self.log.belief("node_named", of=len(changes), **change.inputs())
 
@@ -659,11 +659,11 @@
         ]
         lag_s = self.capacity.lag_s
         others_late_s = self._capacities.total(others, now).late_s
-        if self._busy.beat(lag_s, self.capacity.late_beats, others_late_s):
+        if self._busy.update(lag_s, self.capacity.late_ticks, others_late_s):
             self.log.belief(
                 "node_busy",
-                closes=self._busy.closes,
-                refuses=self._busy.refuses,
+                closes=self._busy.closes_connections,
+                refuses=self._busy.refuses_requests,
                 lag_s=round(lag_s, 3),
                 others_late_s=round(others_late_s, 3),
             )
@@ -730,5 +730,5 @@
             self._fleet.note(len(self._membership.members()), now)
             self._quotas.expire(now)
             if self.memory is not None:
-                self.memory.watch(now)
+                self.memory.refresh(now)
             await ticks.pause(HOUSEKEEPING_SECONDS)
--- a/liftrill/gateway/gateway_metrics.py
+++ b/liftrill/gateway/gateway_metrics.py
@@ -11,7 +11,7 @@
 from liftrill.gateway.engines.engine_standing import EngineWord
 from liftrill.gateway.engines.service_speeds import SpeedFigures
 from liftrill.gateway.opaque_request import OpaqueRequest
-from liftrill.gateway.peers.node_capacity import NodeWord
+from liftrill.gateway.peers.node_capacity import NodeLoad
 
 LATENCY_BUCKETS_SECONDS = (0.02, 0.05, 0.1, 0.2, 0.4, 0.8, 1.5, 3.0, 6.0, 15.0)
 # Less urgent ones than this are counted together.
@@ -165,7 +165,7 @@
         if word.limit_per_s is not None:
             self.engine_words.labels("limit").inc()
 
-    def show_capacity(self, word: NodeWord, lag_s: float) -> None:
+    def show_capacity(self, word: NodeLoad, lag_s: float) -> None:
         """Show what this node can bear and bears."""
         self.capacity.set(word.capacity_cores)
         self.capacity_used.set(word.used_cores)
--- a/liftrill/gateway/holding/answer_buffer.py
+++ b/liftrill/gateway/holding/answer_buffer.py
@@ -1,6 +1,6 @@
 """The part of an answer that its caller has not taken yet, sans-IO."""
 
-from liftrill.gateway.holding.memory_budget import MemoryBudget, MemoryHold
+from liftrill.gateway.holding.memory_budget import MemoryBudget, MemoryReservation
 
 # An engine cuts an answer that nobody reads for some seconds: a caller that makes the node stop
 # reading for so long loses the rest, before the engine counts it as unread.
@@ -22,7 +22,7 @@
 class AnswerBuffer:
     """Bytes in the order in which they came, with the account of what is held."""
 
-    def __init__(self, budget: MemoryBudget, hold: MemoryHold) -> None:
+    def __init__(self, budget: MemoryBudget, hold: MemoryReservation) -> None:
         self._budget = budget
         self._hold = hold
         self._waiting = bytearray()
--- a/liftrill/gateway/holding/body_reader.py
+++ b/liftrill/gateway/holding/body_reader.py
@@ -12,13 +12,13 @@
 from liftrill.gateway.admission.request_admission import AdmissionRefusal
 from liftrill.gateway.holding.memory_budget import (
     MemoryBudget,
-    MemoryHold,
+    MemoryReservation,
     Purpose,
 )
 
 # What a connection has received is read at once, before it is decided whether its body is taken:
 # this bounds what many callers make a node take in so, and still keeps a usual link busy.
-RECEIVE_BYTES = 65_536
+RECEIVE_BUFFER_BYTES = 65_536
 # For how long a refused caller's body is read and dropped: a connection that is closed with
 # bytes unread is reset, and the reset may overtake the answer.
 DROP_REST_S = 1.0
@@ -36,7 +36,7 @@
     """There is no room for a body, or it came too slowly while there was none for others."""
 
 
-def refusal_of_body(error: Exception) -> AdmissionRefusal:
+def refusal_for_body_error(error: Exception) -> AdmissionRefusal:
     """Return what a caller is told whose body was not read."""
     if isinstance(error, BodyRefusedError):
         wait_s = random.uniform(*RETRY_AFTER_S)
@@ -57,9 +57,9 @@
     def __init__(self, content: StreamReader, budget: MemoryBudget | None, caller: str) -> None:
         self._content = content
         self._budget = budget
-        self.hold: MemoryHold | None = None
+        self.hold: MemoryReservation | None = None
         if budget is not None:
-            self.hold = budget.open(Purpose.BODY_READ, caller, clock.now_s(), self._give_way)
+            self.hold = budget.reserve(Purpose.BODY_READ, caller, clock.now_s(), self._give_way)
 
     async def read(self, declared_bytes: int, limit_bytes: int, within_s: float | None) -> bytes:
         """Return the whole body.
@@ -81,7 +81,7 @@
             self.hold.change_purpose(Purpose.BODY_HELD)
         return body
 
-    async def drop_rest(self) -> None:
+    async def discard_rest(self) -> None:
         """Read what still comes of a refused body, and keep nothing of it."""
         with suppress(TimeoutError, BodyRefusedError):
             async with asyncio.timeout(DROP_REST_S):
--- a/liftrill/gateway/holding/caller_sink.py
+++ b/liftrill/gateway/holding/caller_sink.py
@@ -10,7 +10,7 @@
 from liftrill.gateway import delivery_events as events
 from liftrill.gateway import http_server as web
 from liftrill.gateway.holding.body_reader import BodyReader
-from liftrill.gateway.holding.caller_stream import CallerConnection, CallerFlow
+from liftrill.gateway.holding.caller_stream import CallerConnection, CallerStream
 from liftrill.gateway.holding.memory_budget import Purpose
 from liftrill.gateway.holding.node_memory import NodeMemory
 from liftrill.gateway.transport import AnswerSink
@@ -76,7 +76,7 @@
         self._id_header = id_header
         self._closing = closing
         self._memory = memory
-        self._flow: CallerFlow | None = None
+        self._flow: CallerStream | None = None
         self.response: web.StreamResponse = web.Response(status=500)
         self.caller = request.remote or ""
         self.body: BodyReader | None = None
@@ -98,7 +98,7 @@
             await self._send(response, _without_length(answer.headers))
             return
         budget = self._memory.budget
-        hold = budget.open(Purpose.ANSWER, self.caller, clock.now_s(), self._give_way)
+        hold = budget.reserve(Purpose.ANSWER, self.caller, clock.now_s(), self._give_way)
         try:
             budget.grow_answer(hold, len(answer.body))
             await self._send(response, _without_length(answer.headers))
@@ -114,7 +114,7 @@
         if self._memory is None or transport is None or not isinstance(writer, StreamWriter):
             return
         connection = AiohttpConnection(writer, transport)
-        self._flow = CallerFlow(connection, self._memory.budget, self.caller, self._note_ended)
+        self._flow = CallerStream(connection, self._memory.budget, self.caller, self._note_ended)
 
     async def pass_bytes(self, data: bytes) -> None:
         """Send bytes of a streamed answer."""
@@ -146,13 +146,13 @@
 
     async def refuse(self, refusal: events.RefuseRequest) -> None:
         """Answer that the request was not run."""
-        await self.tell(refusal.code, refusal.retry_after_seconds)
+        await self.send_result(refusal.code, refusal.retry_after_seconds)
 
     async def fail(self, failure: events.FailRequest) -> None:
         """Answer that the outcome is not known."""
-        await self.tell(failure.code, None)
+        await self.send_result(failure.code, None)
 
-    async def tell(self, code: ResultCode, retry_after_seconds: float | None) -> None:
+    async def send_result(self, code: ResultCode, retry_after_seconds: float | None) -> None:
         """Answer with a result code."""
         body = {"Error": code.value.meaning, "Code": code.number}
         response = web.Response(
--- a/liftrill/gateway/holding/caller_stream.py
+++ b/liftrill/gateway/holding/caller_stream.py
@@ -40,7 +40,7 @@
         """End it at once, with what is unsent."""
 
 
-class CallerFlow:
+class CallerStream:
     """The way of one stream to its caller.
 
     A caller that reads in time gets each event as it comes, without a buffer or a task.
@@ -98,7 +98,7 @@
 
     def _begin_buffer(self) -> AnswerBuffer:
         now = clock.now_s()
-        hold = self._budget.open(Purpose.ANSWER, self._caller, now, self._give_way)
+        hold = self._budget.reserve(Purpose.ANSWER, self._caller, now, self._give_way)
         self._writer = asyncio.ensure_future(self._pass_on())
         return AnswerBuffer(self._budget, hold)
 
--- a/liftrill/gateway/holding/memory_budget.py
+++ b/liftrill/gateway/holding/memory_budget.py
@@ -36,7 +36,7 @@
     """Let nothing go."""
 
 
-class MemoryHold:
+class MemoryReservation:
     """The bytes that are held for one request and one purpose.
 
     Attributes:
@@ -62,7 +62,7 @@
         self.caller = caller
         self.since = since
         self.held_bytes = 0
-        self.let_go = let_go
+        self.on_evicted = let_go
 
     def resize(self, held_bytes: int) -> None:
         """Hold so many bytes from now on; what has ended holds none."""
@@ -90,7 +90,7 @@
 
     held_bytes: int
     capacity_bytes: int
-    nearly_spent: bool
+    is_nearly_full: bool
 
 
 class MemoryBudget:
@@ -99,17 +99,17 @@
     Attributes:
         limit_bytes: a process that takes more is killed.
         held_bytes: of all purposes.
-        when_changed: told when the budget is nearly spent, and when it is well again.
+        on_pressure_change: told when the budget is nearly spent, and when it is well again.
     """
 
     def __init__(self, limit_bytes: int, own_bytes: int) -> None:
         self.limit_bytes = limit_bytes
         self.held_bytes = 0
-        self.when_changed: Callable[[BudgetState], None] | None = None
+        self.on_pressure_change: Callable[[BudgetState], None] | None = None
         self._own_bytes = own_bytes
         self._by_purpose = dict.fromkeys(Purpose, 0)
-        self._holds: dict[MemoryHold, None] = {}
-        self._nearly_spent = False
+        self._holds: dict[MemoryReservation, None] = {}
+        self._is_nearly_full = False
 
     @property
     def capacity_bytes(self) -> int:
@@ -123,15 +123,15 @@
         return max(KILOBYTE, self.capacity_bytes - self.held_bytes)
 
     @property
-    def nearly_spent(self) -> bool:
+    def is_nearly_full(self) -> bool:
         """Whether little is left."""
-        return self._nearly_spent
+        return self._is_nearly_full
 
     def held_for(self, purpose: Purpose) -> int:
         """Return the bytes that are held for a purpose."""
         return self._by_purpose[purpose]
 
-    def may_hold(self, more_bytes: int) -> bool:
+    def has_room_for(self, more_bytes: int) -> bool:
         """Return whether so many bytes more may be held."""
         return self.held_bytes + more_bytes <= self.capacity_bytes
 
@@ -139,19 +139,19 @@
         """Take in what the process uses in all, what is held included."""
         self._own_bytes = max(0, resident_bytes - self.held_bytes)
 
-    def open(
+    def reserve(
         self,
         purpose: Purpose,
         caller: str,
         now: float,
         let_go: Callable[[], None] = _nothing,
-    ) -> MemoryHold:
+    ) -> MemoryReservation:
         """Begin to hold bytes, none at first."""
-        hold = MemoryHold(self, purpose, caller, now, let_go)
+        hold = MemoryReservation(self, purpose, caller, now, let_go)
         self._holds[hold] = None
         return hold
 
-    def try_grow_body(self, hold: MemoryHold, size_bytes: int, now: float) -> bool:
+    def try_grow_body(self, hold: MemoryReservation, size_bytes: int, now: float) -> bool:
         """Hold a body of a size, unless it is large and there is no room for it."""
         more_bytes = size_bytes - hold.held_bytes
         if size_bytes >= LARGE_BODY_BYTES and not self._make_room(hold, more_bytes, now):
@@ -159,11 +159,11 @@
         hold.resize(size_bytes)
         return True
 
-    def grow_answer(self, hold: MemoryHold, size_bytes: int) -> None:
+    def grow_answer(self, hold: MemoryReservation, size_bytes: int) -> None:
         """Hold an answer of a size; where that is too much, the most wasteful caller loses one."""
         hold.resize(size_bytes)
         bound = int(self.capacity_bytes * ANSWERS_SHARE)
-        while self._by_purpose[Purpose.ANSWER] > bound or not self.may_hold(0):
+        while self._by_purpose[Purpose.ANSWER] > bound or not self.has_room_for(0):
             oldest = self._oldest_of_most_wasteful()
             if oldest is None:
                 return
@@ -173,32 +173,32 @@
         """Change the sums; called by holds."""
         self._by_purpose[purpose] += more_bytes
         self.held_bytes += more_bytes
-        bound = WELL_SHARE if self._nearly_spent else SPENT_SHARE
-        nearly_spent = self.held_bytes > bound * self.capacity_bytes
-        if nearly_spent is not self._nearly_spent:
-            self._nearly_spent = nearly_spent
-            if self.when_changed is not None:
-                state = BudgetState(self.held_bytes, self.capacity_bytes, nearly_spent)
-                self.when_changed(state)
-
-    def forget(self, hold: MemoryHold) -> None:
+        bound = WELL_SHARE if self._is_nearly_full else SPENT_SHARE
+        is_nearly_full = self.held_bytes > bound * self.capacity_bytes
+        if is_nearly_full is not self._is_nearly_full:
+            self._is_nearly_full = is_nearly_full
+            if self.on_pressure_change is not None:
+                state = BudgetState(self.held_bytes, self.capacity_bytes, is_nearly_full)
+                self.on_pressure_change(state)
+
+    def forget(self, hold: MemoryReservation) -> None:
         """Drop a hold that has ended; called by holds."""
         self._holds.pop(hold, None)
 
-    def _make_room(self, wanted: MemoryHold, more_bytes: int, now: float) -> bool:
+    def _make_room(self, wanted: MemoryReservation, more_bytes: int, now: float) -> bool:
         """Return whether there is room, after ending bodies that come too slowly."""
-        if self.may_hold(more_bytes):
+        if self.has_room_for(more_bytes):
             return True
         for hold in list(self._holds):
             trickles = hold.purpose is Purpose.BODY_READ and now - hold.since > TRICKLE_S
             if trickles and hold is not wanted:
                 self._end(hold)
-                if self.may_hold(more_bytes):
+                if self.has_room_for(more_bytes):
                     return True
         return False
 
-    def _oldest_of_most_wasteful(self) -> MemoryHold | None:
-        by_caller: dict[str, list[MemoryHold]] = {}
+    def _oldest_of_most_wasteful(self) -> MemoryReservation | None:
+        by_caller: dict[str, list[MemoryReservation]] = {}
         for hold in self._holds:
             if hold.purpose is Purpose.ANSWER and hold.held_bytes:
                 by_caller.setdefault(hold.caller, []).append(hold)
@@ -207,10 +207,10 @@
         # Holds are kept in the order in which they were opened.
         return max(by_caller.values(), key=_sum_of)[0]
 
-    def _end(self, hold: MemoryHold) -> None:
+    def _end(self, hold: MemoryReservation) -> None:
         hold.close()
-        hold.let_go()
+        hold.on_evicted()
 
 
-def _sum_of(holds: list[MemoryHold]) -> int:
+def _sum_of(holds: list[MemoryReservation]) -> int:
     return sum(hold.held_bytes for hold in holds)
--- a/liftrill/gateway/holding/node_memory.py
+++ b/liftrill/gateway/holding/node_memory.py
@@ -35,12 +35,12 @@
 
     def __init__(self, limit_bytes: int, log: DecisionLog, metrics: GatewayMetrics) -> None:
         self.budget = MemoryBudget(limit_bytes, resident_bytes())
-        self.budget.when_changed = self._tell_change
+        self.budget.on_pressure_change = self._tell_change
         self._log = log
         self._metrics = metrics
         self._measured_at = 0.0
 
-    def watch(self, now: float) -> None:
+    def refresh(self, now: float) -> None:
         """Measure anew now and then, and show the accounts."""
         budget = self.budget
         if now - self._measured_at > MEASURE_INTERVAL_S and budget.held_bytes < LITTLE_HELD_BYTES:
@@ -58,7 +58,7 @@
         )
 
     def _tell_change(self, state: BudgetState) -> None:
-        kind = "memory_nearly_spent" if state.nearly_spent else "memory_well_again"
+        kind = "memory_nearly_spent" if state.is_nearly_full else "memory_well_again"
         by_purpose = {purpose.value: self.budget.held_for(purpose) for purpose in Purpose}
         self._log.belief(kind, capacity_bytes=state.capacity_bytes, **by_purpose)
 
--- a/liftrill/gateway/peers/broadcast_batch.py
+++ b/liftrill/gateway/peers/broadcast_batch.py
@@ -10,7 +10,7 @@
 READINGS_PER_DATAGRAM = 64
 
 
-class TurnWords:
+class BroadcastBatch:
     """What is to be sent to all peers when this turn is over."""
 
     def __init__(self) -> None:
--- a/liftrill/gateway/peers/capable_nodes.py
+++ b/liftrill/gateway/peers/capable_nodes.py
@@ -15,7 +15,7 @@
 ABLE_SHARE = 0.8
 
 
-def able(members: Iterable[Member]) -> list[Member]:
+def capable_members(members: Iterable[Member]) -> list[Member]:
     """Return the members that can bear work beside requests; one that tells nothing counts."""
     listed = list(members)
     told = [member.capacity_millicores for member in listed if member.capacity_millicores]
@@ -28,6 +28,6 @@
 def ranked(key: bytes, members: Iterable[Member]) -> list[Member]:
     """Return the members in the order in which a work is theirs, those that can bear it first."""
     by_id = {member.node_id: member for member in members}
-    strong = {member.node_id for member in able(by_id.values())}
+    strong = {member.node_id for member in capable_members(by_id.values())}
     names = rendezvous.rank(key, by_id)
     return [by_id[name] for name in sorted(names, key=lambda name: name not in strong)]
--- a/liftrill/gateway/peers/engine_gossip.py
+++ b/liftrill/gateway/peers/engine_gossip.py
@@ -52,7 +52,7 @@
         self._log = log
         self._metrics = metrics
 
-    def hear(self, word: EngineWord) -> None:
+    def handle_engine_message(self, word: EngineWord) -> None:
         """Take in what an engine says of itself in an answer to this node."""
         self._metrics.count_word(word)
         if word.rest_s:
@@ -65,7 +65,7 @@
             self._limits.note_answer(engine, word.limit_per_s, word.permit, now)
         if self._engines.hear(word, now):
             self._note_leaving(word.engine, word.source)
-            self._peers.tell_leaving([word.engine])
+            self._peers.broadcast_leaving([word.engine])
 
     def apply_update(self, update: EngineUpdate) -> None:
         """Take in what a peer tells."""
@@ -78,7 +78,7 @@
         for record in self._engines.learn_unwritten(update, now):
             self._log.belief("engine_withheld", engine=record.engine_id, revision=record.revision)
 
-    def tell_joiner(self, joiner: Member) -> None:
+    def send_state_to_joiner(self, joiner: Member) -> None:
         """Tell a node that joins what it can't read in the store.
 
         It may have started after others were told, and the store may have come back from an older
@@ -116,7 +116,7 @@
         )
 
 
-class LimitLink(LimitPeers):
+class LimitMessenger(LimitPeers):
     """What the limits of a gateway ask of its peers.
 
     Attributes:
--- a/liftrill/gateway/peers/load_codec.py
+++ b/liftrill/gateway/peers/load_codec.py
@@ -15,7 +15,7 @@
 from liftrill.gateway.engines.service_model import Work
 from liftrill.gateway.engines.speed_board import SpeedRow
 from liftrill.gateway.peers.load_exchange import LoadReport, LoadScope
-from liftrill.gateway.peers.node_capacity import NodeWord
+from liftrill.gateway.peers.node_capacity import NodeLoad
 from liftrill.messages import peer_pb2 as messages
 
 SCOPES = {
@@ -56,8 +56,8 @@
         _datagram(report, quota.nodes, some_loads or [], some_kept or [], some_spent or [])
         for some_loads, some_kept, some_spent in rows
     ]
-    if report.node_word is not None:
-        datagrams[0].node_load.CopyFrom(_load_from_word(report.node_word))
+    if report.node_load is not None:
+        datagrams[0].node_load.CopyFrom(_load_from_word(report.node_load))
     if len(datagrams) > 1:
         for piece, datagram in enumerate(datagrams):
             datagram.sequence = sequence
@@ -128,10 +128,10 @@
     kept = tuple(KeptPart(part, engine, _stage(*flags)) for part, engine, *flags in rows)
     quota = _quota(message) if message.spent_by_nodes else None
     word = _word_from_load(message.node_load) if message.HasField("node_load") else None
-    return LoadReport(scope, message.sender, message.zone, loads, kept, quota, node_word=word)
+    return LoadReport(scope, message.sender, message.zone, loads, kept, quota, node_load=word)
 
 
-def _load_from_word(word: NodeWord) -> messages.NodeLoad:
+def _load_from_word(word: NodeLoad) -> messages.NodeLoad:
     return messages.NodeLoad(
         capacity=round(word.capacity_cores * MILLICORES),
         used=round(word.used_cores * MILLICORES),
@@ -140,8 +140,8 @@
     )
 
 
-def _word_from_load(message: messages.NodeLoad) -> NodeWord:
-    return NodeWord(
+def _word_from_load(message: messages.NodeLoad) -> NodeLoad:
+    return NodeLoad(
         message.capacity / MILLICORES,
         message.used / MILLICORES,
         message.lag_milliseconds / MILLISECONDS,
@@ -218,7 +218,7 @@
 
     _open: dict[_Origin, _Pieces] = field(default_factory=dict)
 
-    def take(self, message: messages.Datagram) -> LoadReport | None:
+    def add(self, message: messages.Datagram) -> LoadReport | None:
         """Return the report that a datagram completes, or None."""
         report = report_from_message(message)
         if message.pieces <= 1:
@@ -243,5 +243,5 @@
         spent.update(piece.quota.spent if piece.quota else {})
     kept = tuple(itertools.chain.from_iterable(piece.kept for piece in pieces))
     quota = QuotaReport(first.quota.nodes, spent) if first.quota else None
-    word = next((piece.node_word for piece in pieces if piece.node_word is not None), None)
-    return LoadReport(first.scope, first.node, first.zone, loads, kept, quota, node_word=word)
+    word = next((piece.node_load for piece in pieces if piece.node_load is not None), None)
+    return LoadReport(first.scope, first.node, first.zone, loads, kept, quota, node_load=word)
--- a/liftrill/gateway/peers/load_exchange.py
+++ b/liftrill/gateway/peers/load_exchange.py
@@ -19,9 +19,9 @@
 from liftrill.coordination.quota import QuotaReport
 from liftrill.gateway.engines.prefix_directory import KeptNews, KeptPart
 from liftrill.gateway.engines.speed_board import SpeedRow
-from liftrill.gateway.peers.capable_nodes import able
-from liftrill.gateway.peers.load_table import LoadBoard, LoadByEngine
-from liftrill.gateway.peers.node_capacity import NodeWord
+from liftrill.gateway.peers.capable_nodes import capable_members
+from liftrill.gateway.peers.load_table import LoadByEngine, LoadTable
+from liftrill.gateway.peers.node_capacity import NodeLoad
 
 DELEGATE_KEY = b"load delegate "
 # With more, words from each to each cost more than sums that come later.
@@ -48,7 +48,7 @@
 
     Attributes:
         speeds: how fast engines worked lately; told in reports of their own.
-        node_word: what the node, or the zone in all, can bear and bears.
+        node_load: what the node, or the zone in all, can bear and bears.
     """
 
     scope: LoadScope
@@ -58,11 +58,11 @@
     kept: tuple[KeptPart, ...] = ()
     quota: QuotaReport | None = None
     speeds: tuple[SpeedRow, ...] = ()
-    node_word: NodeWord | None = None
+    node_load: NodeLoad | None = None
 
 
 @dataclass(frozen=True, slots=True)
-class SendLoads:
+class SendReport:
     """Send a report to some members."""
 
     report: LoadReport
@@ -77,36 +77,40 @@
         """Return the time between two words of a node."""
 
     @abstractmethod
-    def own_word(
-        self, own: Member, board: LoadBoard, kept: KeptNews, members: list[Member]
-    ) -> list[SendLoads]:
+    def own_reports(
+        self, own: Member, board: LoadTable, kept: KeptNews, members: list[Member]
+    ) -> list[SendReport]:
         """Return what a node tells of its own accord."""
 
     @abstractmethod
-    def relayed(self, own: Member, report: LoadReport, members: list[Member]) -> list[SendLoads]:
+    def relayed_reports(
+        self, own: Member, report: LoadReport, members: list[Member]
+    ) -> list[SendReport]:
         """Return what a node passes on of a report that it received."""
 
 
-class Direct(LoadTopology):
+class DirectTopology(LoadTopology):
     """Tell every member."""
 
     def interval_s(self, own: Member, members: Iterable[Member]) -> float:
         """Return the shortest interval."""
         return SHORTEST_INTERVAL_S
 
-    def own_word(
-        self, own: Member, board: LoadBoard, kept: KeptNews, members: list[Member]
-    ) -> list[SendLoads]:
+    def own_reports(
+        self, own: Member, board: LoadTable, kept: KeptNews, members: list[Member]
+    ) -> list[SendReport]:
         """Return one report for all others."""
         report = LoadReport(LoadScope.NODE, own.node_id, own.zone, board.own_loads(), kept.own)
-        return [SendLoads(report, others(own, members))]
+        return [SendReport(report, other_members(own, members))]
 
-    def relayed(self, own: Member, report: LoadReport, members: list[Member]) -> list[SendLoads]:
+    def relayed_reports(
+        self, own: Member, report: LoadReport, members: list[Member]
+    ) -> list[SendReport]:
         """Return nothing: everyone was told."""
         return []
 
 
-class ByZone(LoadTopology):
+class ZoneTopology(LoadTopology):
     """Tell the own zone each node's load, and the other zones the sum."""
 
     def interval_s(self, own: Member, members: Iterable[Member]) -> float:
@@ -114,31 +118,33 @@
         local = sum(member.zone == own.zone for member in members)
         return min(LONGEST_INTERVAL_S, max(SHORTEST_INTERVAL_S, local * INTERVAL_PER_NODE_S))
 
-    def own_word(
-        self, own: Member, board: LoadBoard, kept: KeptNews, members: list[Member]
-    ) -> list[SendLoads]:
+    def own_reports(
+        self, own: Member, board: LoadTable, kept: KeptNews, members: list[Member]
+    ) -> list[SendReport]:
         """Return a report for the zone, and the delegate's sum for the other zones."""
         report = LoadReport(LoadScope.NODE, own.node_id, own.zone, board.own_loads(), kept.own)
-        local = tuple(m for m in others(own, members) if m.zone == own.zone)
-        words = [SendLoads(report, local)]
+        local = tuple(m for m in other_members(own, members) if m.zone == own.zone)
+        words = [SendReport(report, local)]
         delegates = delegates_by_zone(members)
         delegate = delegates.get(own.zone)
         if delegate is not None and delegate.node_id == own.node_id:
             remote = tuple(m for zone, m in delegates.items() if zone != own.zone)
             loads = board.zone_sum(own.zone)
             total = LoadReport(LoadScope.ZONE_SUM, own.node_id, own.zone, loads, kept.zone)
-            words.append(SendLoads(total, remote))
+            words.append(SendReport(total, remote))
         return words
 
-    def relayed(self, own: Member, report: LoadReport, members: list[Member]) -> list[SendLoads]:
+    def relayed_reports(
+        self, own: Member, report: LoadReport, members: list[Member]
+    ) -> list[SendReport]:
         """Return the report on another zone's sum for the own zone, or for the own group."""
         if report.zone == own.zone:
             return []
         groups = groups_of_zone(own, members)
         if report.scope is LoadScope.ZONE_SUM:
-            chosen = (random.choice(others(own, g)) for g in groups if own not in g)
+            chosen = (random.choice(other_members(own, g)) for g in groups if own not in g)
             passed = replace(report, scope=LoadScope.GROUP_SUM, node=own.node_id)
-            return [SendLoads(passed, tuple(chosen)), *_to_group(own, report, groups)]
+            return [SendReport(passed, tuple(chosen)), *_to_group(own, report, groups)]
         if report.scope is LoadScope.GROUP_SUM:
             return _to_group(own, report, groups)
         return []
@@ -154,18 +160,18 @@
     return [[local[name] for name in cut] for cut in cuts]
 
 
-def _to_group(own: Member, report: LoadReport, groups: list[list[Member]]) -> list[SendLoads]:
+def _to_group(own: Member, report: LoadReport, groups: list[list[Member]]) -> list[SendReport]:
     group = next(group for group in groups if own in group)
     passed = replace(report, scope=LoadScope.RELAYED_SUM, node=own.node_id)
-    return [SendLoads(passed, others(own, group))]
+    return [SendReport(passed, other_members(own, group))]
 
 
 def topology_for(members: list[Member]) -> LoadTopology:
     """Return the topology that suits a number of members."""
-    return Direct() if len(members) <= DIRECT_NODES else ByZone()
+    return DirectTopology() if len(members) <= DIRECT_NODES else ZoneTopology()
 
 
-def others(own: Member, members: Iterable[Member]) -> tuple[Member, ...]:
+def other_members(own: Member, members: Iterable[Member]) -> tuple[Member, ...]:
     """Return the members that are not this node."""
     return tuple(member for member in members if member.node_id != own.node_id)
 
@@ -177,7 +183,7 @@
         zones.setdefault(member.zone, []).append(member)
     found: dict[str, Member] = {}
     for zone, local in zones.items():
-        by_id = {member.node_id: member for member in able(local)}
+        by_id = {member.node_id: member for member in capable_members(local)}
         first = rendezvous.first(DELEGATE_KEY + zone.encode(), by_id)
         if first is not None:
             found[zone] = by_id[first]
--- a/liftrill/gateway/peers/load_shedding.py
+++ b/liftrill/gateway/peers/load_shedding.py
@@ -21,7 +21,7 @@
 
 
 @dataclass(slots=True)
-class BusyNode:
+class LoadShedder:
     """What this node sheds now.
 
     Attributes:
@@ -29,18 +29,18 @@
         refuses: whether requests that were not sent to an engine yet are refused.
     """
 
-    closes: bool = False
-    refuses: bool = False
+    closes_connections: bool = False
+    refuses_requests: bool = False
 
-    def beat(self, lag_s: float, late_beats: int, others_late_s: float) -> bool:
+    def update(self, lag_s: float, late_ticks: int, others_late_s: float) -> bool:
         """Take in how late the loop is and the others are; return whether anything changed."""
-        before = (self.closes, self.refuses)
-        is_behind = late_beats >= LATE_BEATS and lag_s > BEHIND_FACTOR * others_late_s
-        self.closes = is_behind and lag_s >= CLOSE_LATE_S
-        self.refuses = is_behind and lag_s >= REFUSE_LATE_S
-        return (self.closes, self.refuses) != before
+        before = (self.closes_connections, self.refuses_requests)
+        is_behind = late_ticks >= LATE_BEATS and lag_s > BEHIND_FACTOR * others_late_s
+        self.closes_connections = is_behind and lag_s >= CLOSE_LATE_S
+        self.refuses_requests = is_behind and lag_s >= REFUSE_LATE_S
+        return (self.closes_connections, self.refuses_requests) != before
 
-    def come_back_s(self, draw: float) -> float:
+    def retry_after_s(self, draw: float) -> float:
         """Return when a refused caller is to come back, by a number from 0 to 1."""
         shortest_s, longest_s = COME_BACK_S
         return shortest_s + (longest_s - shortest_s) * draw
--- a/liftrill/gateway/peers/load_table.py
+++ b/liftrill/gateway/peers/load_table.py
@@ -45,7 +45,7 @@
 
 
 @dataclass(slots=True)
-class LoadBoard:
+class LoadTable:
     """The latest word of each source, applied to the engine table.
 
     Attributes:
@@ -60,32 +60,32 @@
     _heard_readings: deque[_Reading] = field(default_factory=deque)
     _own_readings: deque[_Reading] = field(default_factory=deque)
 
-    def take(self, node: str, loads: LoadByEngine, now: float, zone: str = "") -> None:
+    def update(self, node: str, loads: LoadByEngine, now: float, zone: str = "") -> None:
         """Replace what a peer told before, unless its zone's sum has it already."""
         if _Source(zone) in self._reports:
             return
         self._replace(_Source(zone, node), loads, now)
 
-    def take_zone(self, zone: str, loads: LoadByEngine, now: float) -> None:
+    def update_zone(self, zone: str, loads: LoadByEngine, now: float) -> None:
         """Replace what was told of a zone and of its nodes."""
         for source in [s for s in self._reports if s.zone == zone and s.node]:
             self._withdraw(source)
         self._replace(_Source(zone), loads, now)
 
-    def hear_reading(self, engine_number: int, tokens: int, now: float) -> None:
+    def add_peer_prefill(self, engine_number: int, tokens: int, now: float) -> None:
         """Count a long prompt that a peer has just sent to an engine."""
-        self.expire_readings(now)
+        self.expire_prefills(now)
         view = self.engines.by_number(engine_number)
         if view is None:
             return
         view.peer_load.waiting_tokens += tokens
         self._heard_readings.append(_Reading(view, tokens, now + self.reading_s))
 
-    def note_own_reading(self, view: EngineView, tokens: int, now: float) -> None:
+    def add_own_prefill(self, view: EngineView, tokens: int, now: float) -> None:
         """Note that peers were told at once of a long prompt of this node."""
         self._own_readings.append(_Reading(view, tokens, now + self.reading_s))
 
-    def expire_readings(self, now: float) -> None:
+    def expire_prefills(self, now: float) -> None:
         """Drop readings that reports count by now, or that are over."""
         while self._heard_readings and self._heard_readings[0].until <= now:
             reading = self._heard_readings.popleft()
@@ -95,7 +95,7 @@
 
     def expire(self, now: float) -> None:
         """Drop words that are too old."""
-        self.expire_readings(now)
+        self.expire_prefills(now)
         limit = now - self.lifetime_seconds
         for source in [s for s, report in self._reports.items() if report.heard_at < limit]:
             self._withdraw(source)
--- a/liftrill/gateway/peers/node_capacity.py
+++ b/liftrill/gateway/peers/node_capacity.py
@@ -41,7 +41,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class NodeWord:
+class NodeLoad:
     """What one node, or one zone, tells of itself.
 
     Attributes:
@@ -89,14 +89,14 @@
         beat_s: the time between two beats of a loop that is never late.
         lag_s: by how much this node's own loop runs late. What it measures of others meanwhile
             is its own lateness.
-        late_beats: how many beats in a row came late.
+        late_ticks: how many beats in a row came late.
         full_cores: processor time a second at which this process is busy all the time.
     """
 
     machine: MachineLimits
     beat_s: float
     lag_s: float = 0.0
-    late_beats: int = 0
+    late_ticks: int = 0
     full_cores: float = field(init=False)
     _cost: RequestCost = field(default_factory=RequestCost)
     _used_share: float = 0.0
@@ -124,14 +124,14 @@
         arrival_s = middle(self._arrivals_s) if self._arrivals_s else 0.0
         return max(self.lag_s, min(arrival_s, LONGEST_LAG_S))
 
-    def note_request(self, body_bytes: int, arrival_s: float) -> None:
+    def record_request(self, body_bytes: int, arrival_s: float) -> None:
         """Note a request that was read, and how long its body took to arrive after its head."""
         self._requests += 1
         self._bytes += body_bytes + REQUEST_FRAME_BYTES
         if body_bytes:
             self._arrivals_s.append(arrival_s)
 
-    def beat(self, now: float, cpu_s: float, free_bytes: int) -> None:
+    def update(self, now: float, cpu_s: float, free_bytes: int) -> None:
         """Take in what passed since the last beat, with the processor time used until now."""
         if self._beat_at is not None:
             self._measure(now - self._beat_at, cpu_s - self._beat_cpu_s)
@@ -141,18 +141,18 @@
         self._requests = 0
         self._bytes = 0
 
-    def word(self) -> NodeWord:
+    def current_load(self) -> NodeLoad:
         """Return what peers are told."""
         capacity = self.capacity_cores
         used = self._used_share * capacity
-        return NodeWord(capacity, used, self.late_s, self._free_bytes)
+        return NodeLoad(capacity, used, self.late_s, self._free_bytes)
 
     def _measure(self, elapsed_s: float, cpu_s: float) -> None:
         if elapsed_s <= 0.0:
             return
         late_s = min(LONGEST_LAG_S, max(0.0, elapsed_s - self.beat_s))
         self.lag_s = max(late_s, self.lag_s * LAG_FADING)
-        self.late_beats = self.late_beats + 1 if late_s > LATE_S else 0
+        self.late_ticks = self.late_ticks + 1 if late_s > LATE_S else 0
         cores = cpu_s / elapsed_s
         if self._requests:
             self._cost.add(self._requests, self._bytes, cpu_s)
@@ -189,18 +189,18 @@
     This node's own word is taken like the others.
     """
 
-    _nodes: dict[str, tuple[NodeWord, float]] = field(default_factory=dict)
-    _zones: dict[str, tuple[NodeWord, float]] = field(default_factory=dict)
+    _nodes: dict[str, tuple[NodeLoad, float]] = field(default_factory=dict)
+    _zones: dict[str, tuple[NodeLoad, float]] = field(default_factory=dict)
     _began_at: dict[str, float] = field(default_factory=dict)
 
-    def take(self, node: str, word: NodeWord, now: float) -> None:
+    def update(self, node: str, word: NodeLoad, now: float) -> None:
         """Replace what a node told before."""
         last = self._nodes.get(node)
         if last is None or now - last[1] > SILENT_AFTER_S:
             self._began_at[node] = now
         self._nodes[node] = (word, now)
 
-    def take_zone(self, zone: str, word: NodeWord, now: float) -> None:
+    def update_zone(self, zone: str, word: NodeLoad, now: float) -> None:
         """Replace what was told of another zone."""
         self._zones[zone] = (word, now)
 
@@ -209,11 +209,11 @@
         self._nodes.pop(node, None)
         self._began_at.pop(node, None)
 
-    def word_of(self, node: str, now: float) -> NodeWord | None:
+    def load_of(self, node: str, now: float) -> NodeLoad | None:
         """Return what a node told lately, or None where it is not known."""
         return _fresh(self._nodes.get(node), now)
 
-    def of_zone(self, zone: str, now: float) -> NodeWord | None:
+    def zone_load(self, zone: str, now: float) -> NodeLoad | None:
         """Return what was told lately of another zone, or None."""
         return _fresh(self._zones.get(zone), now)
 
@@ -222,13 +222,13 @@
         began_at = self._began_at.get(node)
         return None if began_at is None else now - began_at
 
-    def total(self, nodes: list[str], now: float) -> NodeWord:
+    def total(self, nodes: list[str], now: float) -> NodeLoad:
         """Return the sum over nodes; those that are not known count as the median."""
-        return summed_word(list(self.words(nodes, now).values()))
+        return total_load(list(self.node_loads(nodes, now).values()))
 
-    def words(self, nodes: list[str], now: float) -> dict[str, NodeWord]:
+    def node_loads(self, nodes: list[str], now: float) -> dict[str, NodeLoad]:
         """Return a word for each node, the median of the others' where it is not known."""
-        found = {node: self.word_of(node, now) for node in nodes}
+        found = {node: self.load_of(node, now) for node in nodes}
         known = [word for word in found.values() if word is not None and word.capacity_cores]
         usual = _median_word(known)
         return {
@@ -237,25 +237,25 @@
         }
 
 
-def _fresh(entry: tuple[NodeWord, float] | None, now: float) -> NodeWord | None:
+def _fresh(entry: tuple[NodeLoad, float] | None, now: float) -> NodeLoad | None:
     if entry is None or now - entry[1] > NODE_WORD_LIFETIME_S:
         return None
     return entry[0]
 
 
-def summed_word(words: Sequence[NodeWord]) -> NodeWord:
+def total_load(words: Sequence[NodeLoad]) -> NodeLoad:
     """Return what nodes bear and use in all, and how late the median of them is."""
     if not words:
-        return NodeWord(0.0, 0.0)
+        return NodeLoad(0.0, 0.0)
     capacity = sum(word.capacity_cores for word in words)
     used = sum(word.used_cores for word in words)
-    return NodeWord(capacity, used, middle(word.late_s for word in words))
+    return NodeLoad(capacity, used, middle(word.late_s for word in words))
 
 
-def _median_word(words: list[NodeWord]) -> NodeWord:
+def _median_word(words: list[NodeLoad]) -> NodeLoad:
     if not words:
-        return NodeWord(0.0, 0.0)
-    return NodeWord(
+        return NodeLoad(0.0, 0.0)
+    return NodeLoad(
         middle(word.capacity_cores for word in words),
         middle(word.used_cores for word in words),
         middle(word.late_s for word in words),
--- a/liftrill/gateway/peers/node_directory.py
+++ b/liftrill/gateway/peers/node_directory.py
@@ -7,14 +7,14 @@
 from liftrill.gateway.peers.node_capacity import (
     LATE_S,
     NodeCapacities,
-    NodeWord,
-    summed_word,
+    NodeLoad,
+    total_load,
 )
 from liftrill.gateway.peers.node_selection import (
-    Answers,
-    ByWeight,
-    CallerDivision,
     Candidate,
+    NodeSelection,
+    NodeSelectionPolicy,
+    WeightedSelection,
     are_equal,
     candidates_of,
 )
@@ -40,11 +40,11 @@
 
 
 @dataclass(frozen=True, slots=True)
-class NamingChange:
+class NodePriorityChange:
     """A node is named less than it can bear from now on, or in full again."""
 
     candidate: Candidate
-    word: NodeWord
+    word: NodeLoad
     heard_s: float | None
 
     def inputs(self) -> dict[str, object]:
@@ -67,11 +67,11 @@
 
     made_at: float
     node_ids: list[str]
-    answers: Answers
+    answers: NodeSelection
 
 
 @dataclass(slots=True)
-class CallerDirectory:
+class NodeDirectory:
     """The answers of one node.
 
     Attributes:
@@ -79,15 +79,17 @@
     """
 
     capacities: NodeCapacities
-    division: CallerDivision = field(default_factory=ByWeight)
-    lends: bool = True
+    division: NodeSelectionPolicy = field(default_factory=WeightedSelection)
+    allows_spillover: bool = True
     _plans: dict[str, _Plan] = field(default_factory=dict)
     _lent: dict[str, float] = field(default_factory=dict)
     _least_lent: float = 0.0
     _own_zone: str = ""
     _named_less: set[str] = field(default_factory=set)
 
-    def named(self, members: Sequence[Member], zone: str, caller: str, now: float) -> list[Member]:
+    def nodes_for(
+        self, members: Sequence[Member], zone: str, caller: str, now: float
+    ) -> list[Member]:
         """Return the members that a caller of a zone should use, of those that are alive."""
         node_ids = [member.node_id for member in members]
         plan = self._plans.get(zone)
@@ -97,22 +99,22 @@
         by_id = {member.node_id: member for member in members}
         return [by_id[node_id] for node_id in plan.answers.for_caller(caller)]
 
-    def beat(self, members: Sequence[Member], zone: str, now: float) -> list[NamingChange]:
+    def update(self, members: Sequence[Member], zone: str, now: float) -> list[NodePriorityChange]:
         """Work out anew what this node's zone wants of others, and return who is named anew."""
-        if self.lends:
+        if self.allows_spillover:
             self._lend(members, zone, now)
         return self._changes([m for m in members if m.zone == zone], now)
 
-    def _changes(self, members: Sequence[Member], now: float) -> list[NamingChange]:
+    def _changes(self, members: Sequence[Member], now: float) -> list[NodePriorityChange]:
         """Return which nodes are named less, or in full again, since the last beat."""
         node_ids = [member.node_id for member in members]
-        words = self.capacities.words(node_ids, now)
+        words = self.capacities.node_loads(node_ids, now)
         found = self._weighed(members, now)
         less = {candidate.node_id for candidate in found if candidate.is_named_less}
         changed = less ^ (self._named_less & set(node_ids))
         self._named_less = less
         return [
-            NamingChange(c, words[c.node_id], self.capacities.heard_s(c.node_id, now))
+            NodePriorityChange(c, words[c.node_id], self.capacities.heard_s(c.node_id, now))
             for c in found
             if c.node_id in changed
         ]
@@ -126,7 +128,7 @@
     def _weighed(self, members: Sequence[Member], now: float) -> list[Candidate]:
         node_ids = [member.node_id for member in members]
         heard_s = {node_id: self.capacities.heard_s(node_id, now) for node_id in node_ids}
-        return candidates_of(self.capacities.words(node_ids, now), heard_s)
+        return candidates_of(self.capacities.node_loads(node_ids, now), heard_s)
 
     # Other zones
 
@@ -144,8 +146,8 @@
         nodes: dict[str, list[str]] = {zone: []}
         for member in members:
             nodes.setdefault(member.zone, []).append(member.node_id)
-        words = list(self.capacities.words(nodes.pop(zone), now).values())
-        usual = summed_word(words)
+        words = list(self.capacities.node_loads(nodes.pop(zone), now).values())
+        usual = total_load(words)
         wanted = 0.0
         # Nodes that are alike name each other alone until they are late.
         if not are_equal([word.capacity_cores for word in words]) or usual.late_s > LATE_S:
@@ -160,7 +162,7 @@
         self._own_zone = zone
         self._least_lent = LEAST_LENT * usual.capacity_cores
 
-    def _wanted(self, usual: NodeWord) -> float:
+    def _wanted(self, usual: NodeLoad) -> float:
         """Return the capacity beyond its own with which a zone would be as busy as it may be."""
         served_by = usual.capacity_cores + sum(self._lent.values())
         asked_share = _asked(usual) / max(usual.capacity_cores, LEAST_CORES)
@@ -169,14 +171,14 @@
 
     def _room(self, zone: str, nodes: list[str], now: float) -> float:
         """Return what another zone can spare, with what it is taken to spare already."""
-        word = self.capacities.of_zone(zone, now) or self.capacities.total(nodes, now)
+        word = self.capacities.zone_load(zone, now) or self.capacities.total(nodes, now)
         if not word.capacity_cores:
             return 0.0
         free = FULL_SHARE * word.capacity_cores - _asked(word)
         return max(0.0, free + self._lent.get(zone, 0.0))
 
 
-def _asked(word: NodeWord) -> float:
+def _asked(word: NodeLoad) -> float:
     """Return the use that nodes are asked for; beyond their capacity it shows as lateness."""
     return word.used_cores * (1.0 + word.late_s)
 
--- a/liftrill/gateway/peers/node_selection.py
+++ b/liftrill/gateway/peers/node_selection.py
@@ -17,7 +17,7 @@
 import xxhash
 
 from liftrill import constants
-from liftrill.gateway.peers.node_capacity import LATE_S, NodeWord, summed_word
+from liftrill.gateway.peers.node_capacity import LATE_S, NodeLoad, total_load
 
 # With half of a zone gone at once, one caller in 256 is left without an address until it asks
 # again; with more addresses the largest nodes couldn't be named as often as they can bear.
@@ -68,7 +68,7 @@
         return self.factor < NAMED_LESS_FACTOR
 
 
-class Answers(ABC):
+class NodeSelection(ABC):
     """What callers of one zone are named for as long as nothing changes."""
 
     @abstractmethod
@@ -76,34 +76,34 @@
         """Return the ids of the nodes that a caller, told by its address, is named."""
 
 
-class CallerDivision(ABC):
+class NodeSelectionPolicy(ABC):
     """Decide how callers are divided among nodes."""
 
     @abstractmethod
-    def answers(self, candidates: Sequence[Candidate]) -> Answers:
+    def answers(self, candidates: Sequence[Candidate]) -> NodeSelection:
         """Return what callers are named."""
 
 
-class NameAll(CallerDivision):
+class SelectAll(NodeSelectionPolicy):
     """Name every node to everyone, whatever it can bear."""
 
-    def answers(self, candidates: Sequence[Candidate]) -> Answers:
+    def answers(self, candidates: Sequence[Candidate]) -> NodeSelection:
         """Return the first of the candidates, as many as an answer holds."""
         return _SameForAll([c.node_id for c in candidates[: constants.RESOLVE_ADDRESSES]])
 
 
-class ByWeight(CallerDivision):
+class WeightedSelection(NodeSelectionPolicy):
     """Name each node as often as its weight asks for."""
 
-    def answers(self, candidates: Sequence[Candidate]) -> Answers:
+    def answers(self, candidates: Sequence[Candidate]) -> NodeSelection:
         """Return samples of the nodes, or all of them where they are alike."""
         if are_alike(candidates):
-            return NameAll().answers(candidates)
-        return Samples.of(candidates)
+            return SelectAll().answers(candidates)
+        return SampledSelection.of(candidates)
 
 
 @dataclass(frozen=True, slots=True)
-class _SameForAll(Answers):
+class _SameForAll(NodeSelection):
     """One answer for every caller."""
 
     node_ids: list[str]
@@ -125,7 +125,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Samples(Answers):
+class SampledSelection(NodeSelection):
     """A sample of the nodes for each caller, of the same size for all (Pareto sampling).
 
     Attributes:
@@ -142,7 +142,7 @@
         chances = chances_of([candidate.weight for candidate in candidates])
         names = (candidate.node_id for candidate in candidates)
         odds = tuple(zip(names, map(_odds, chances), strict=True))
-        return Samples(odds, round(sum(chances)))
+        return SampledSelection(odds, round(sum(chances)))
 
     def for_caller(self, caller: str) -> list[str]:
         """Return the nodes with the least numbers for a caller, by their odds."""
@@ -188,10 +188,10 @@
 
 
 def candidates_of(
-    words: Mapping[str, NodeWord], heard_s: Mapping[str, float | None]
+    words: Mapping[str, NodeLoad], heard_s: Mapping[str, float | None]
 ) -> list[Candidate]:
     """Return nodes, in their order, with what they can bear and how much less they're named."""
-    usual = summed_word(list(words.values()))
+    usual = total_load(list(words.values()))
     alike = are_equal([word.capacity_cores for word in words.values()])
     found = []
     for node_id, word in words.items():
@@ -202,18 +202,18 @@
     return found
 
 
-def _spare(word: NodeWord, usual: NodeWord) -> float:
+def _spare(word: NodeLoad, usual: NodeLoad) -> float:
     share = (1.0 - word.used_share + SPARE_MARGIN) / (1.0 - usual.used_share + SPARE_MARGIN)
     return min(MOST_FACTOR, share)
 
 
-def _in_time(word: NodeWord, usual: NodeWord) -> float:
+def _in_time(word: NodeLoad, usual: NodeLoad) -> float:
     # Where all are late alike, there is nowhere better to go.
     in_time_s = usual.late_s + LATE_S
     return 1.0 if word.late_s <= in_time_s else in_time_s / word.late_s
 
 
-def _memory(word: NodeWord) -> float:
+def _memory(word: NodeLoad) -> float:
     if not word.free_bytes:
         return 1.0
     return min(1.0, word.free_bytes / ENOUGH_MEMORY_BYTES)
--- a/liftrill/gateway/peers/peer_link.py
+++ b/liftrill/gateway/peers/peer_link.py
@@ -26,13 +26,13 @@
 from liftrill.gateway.engines.engine_limits import EngineLimit, LimitMessage
 from liftrill.gateway.engines.engine_table import EngineNotice
 from liftrill.gateway.engines.engine_update import EngineUpdate
-from liftrill.gateway.peers.broadcast_batch import TurnWords
+from liftrill.gateway.peers.broadcast_batch import BroadcastBatch
 from liftrill.gateway.peers.load_codec import (
     ReportAssembler,
     datagrams_from_report,
     speeds_from_message,
 )
-from liftrill.gateway.peers.load_exchange import LoadReport, SendLoads, others
+from liftrill.gateway.peers.load_exchange import LoadReport, SendReport, other_members
 from liftrill.gateway.peers.notice_codec import (
     datagram_from_limit_message,
     datagram_from_notices,
@@ -108,7 +108,7 @@
         self._transport: asyncio.DatagramTransport | None = None
         self._assembler = ReportAssembler()
         self._reports_sent = 0
-        self._turn = TurnWords()
+        self._turn = BroadcastBatch()
 
     async def listen(self, address: str) -> None:
         """Open the UDP socket."""
@@ -127,7 +127,7 @@
         self._membership.generation = version
         self._carry_out(self._membership.announce())
 
-    def depart(self) -> None:
+    def announce_departure(self) -> None:
         """Tell all members that this node takes no new callers."""
         self._carry_out(self._membership.depart())
         own = self._membership.own
@@ -135,26 +135,26 @@
         for member in self._membership.members():
             self._send(member.address, datagram_message(farewell))
 
-    async def broadcast(self, notices: list[EngineNotice]) -> None:
+    async def broadcast_notices(self, notices: list[EngineNotice]) -> None:
         """Tell all members of some engines."""
         for _ in range(NOTICE_REPEATS):
             self._send_all(self._others(), datagram_from_notices(notices))
             await asyncio.sleep(NOTICE_SPACING_SECONDS)
 
-    def send_loads(self, words: list[SendLoads]) -> None:
+    def send_reports(self, words: list[SendReport]) -> None:
         """Send reports of load to the members that they are meant for."""
         for word in words:
             self._reports_sent += 1
             for datagram in datagrams_from_report(word.report, self._reports_sent):
                 self._send_all(word.members, datagram)
 
-    def tell_reading(self, engine_number: int, tokens: int) -> None:
+    def broadcast_prefill(self, engine_number: int, tokens: int) -> None:
         """Tell all members at once that an engine was given a long prompt to read."""
         begun = messages.ReadingBegun(engine=engine_number, tokens=tokens)
         self._tell_after_turn()
         self._turn.add_reading(begun)
 
-    def tell_spending(self, notice: SpendingNotice) -> None:
+    def broadcast_spending(self, notice: SpendingNotice) -> None:
         """Tell all members at once what a tenant's request counts under its limit, or no more."""
         message = messages.Datagram(
             sender=self._membership.own.node_id,
@@ -187,7 +187,7 @@
         """Tell one member, or all, of a request that is kept from engines, some times again."""
         self._repeat(datagram_from_entry(entry), node)
 
-    def tell_leaving(self, engines: Sequence[EngineAddress]) -> None:
+    def broadcast_leaving(self, engines: Sequence[EngineAddress]) -> None:
         """Tell all members of engines that leave, some times again."""
         for message in datagrams_from_leaving(engines):
             self._repeat(message)
@@ -282,7 +282,7 @@
         for notice in message.notices:
             self._callbacks.notice(notice_from_message(notice))
         if message.loads:
-            report = self._assembler.take(message)
+            report = self._assembler.add(message)
             if report is not None:
                 self._callbacks.loads(report)
 
@@ -309,7 +309,7 @@
                 self._callbacks.newer_version(instruction.generation)
 
     def _others(self) -> tuple[Member, ...]:
-        return others(self._membership.own, self._membership.members())
+        return other_members(self._membership.own, self._membership.members())
 
     def _send_all(self, members: Iterable[Member], message: messages.Datagram) -> None:
         """Send one message to many members; it is encoded once."""
--- a/liftrill/gateway/peers/silence_detector.py
+++ b/liftrill/gateway/peers/silence_detector.py
@@ -1,6 +1,6 @@
 """Tells which peers have stopped reporting, sooner than membership declares them dead.
 
-Every node reports to its own zone at least every `IDLE_REPORT_S`. A peer that was heard and
+Every node reports to its own zone at least every `MAX_REPORT_INTERVAL_S`. A peer that was heard and
 is silent for several reports takes no callers, whatever the reason: it ended, froze or is
 cut off. Membership takes as long as a probe, a suspicion and the spreading of both.
 """
@@ -11,7 +11,7 @@
 from liftrill.coordination.membership_messages import Member
 
 # A node reports at least this often, with or without load.
-IDLE_REPORT_S = 0.4
+MAX_REPORT_INTERVAL_S = 0.4
 # Five idle reports: a few lost ones silence nobody, and a node that is gone is named by nobody
 # after it.
 SILENT_AFTER_S = 2.0
@@ -20,16 +20,16 @@
 
 
 @dataclass(slots=True)
-class PeerSilence:
+class SilenceDetector:
     """When each peer that reports to this node was last heard."""
 
     _heard_at: dict[str, float] = field(default_factory=dict)
 
-    def note(self, node_id: str, now: float) -> None:
+    def record_report(self, node_id: str, now: float) -> None:
         """Note that a peer reported."""
         self._heard_at[node_id] = now
 
-    def speaking(self, members: Iterable[Member], now: float) -> list[Member]:
+    def reporting_members(self, members: Iterable[Member], now: float) -> list[Member]:
         """Return the members that are not known to be silent."""
         listed = list(members)
         limit = now - SILENT_AFTER_S
--- a/liftrill/gateway/peers/speed_exchange.py
+++ b/liftrill/gateway/peers/speed_exchange.py
@@ -8,7 +8,7 @@
 from dataclasses import dataclass, replace
 
 from liftrill.gateway.engines.speed_board import SpeedBoard
-from liftrill.gateway.peers.load_exchange import LoadReport, LoadScope, SendLoads
+from liftrill.gateway.peers.load_exchange import LoadReport, LoadScope, SendReport
 
 # Often enough that an engine's recovery is known within two seconds.
 TOLD_EACH_S = 1.0
@@ -26,16 +26,16 @@
     zone: str
     _told_at: float = -math.inf
 
-    def words(self, loads: list[SendLoads], now: float) -> list[SendLoads]:
+    def due_reports(self, loads: list[SendReport], now: float) -> list[SendReport]:
         """Return what to tell now, to the members that words of loads go to."""
         if now - self._told_at < TOLD_EACH_S:
             return []
         self._told_at = now
-        words = [SendLoads(self._report(word.report, now), word.members) for word in loads]
+        due_reports = [SendReport(self._report(word.report, now), word.members) for word in loads]
         self.board.told()
         return [word for word in words if word.report.speeds and word.members]
 
-    def hear(self, report: LoadReport, now: float) -> None:
+    def apply_report(self, report: LoadReport, now: float) -> None:
         """Take in what a node, or the nodes of another zone, observed."""
         if report.scope is LoadScope.NODE:
             self.board.hear(report.node, report.zone, report.speeds, now)
