--- a/liftrill/gateway/peers/node_selection.py
+++ b/liftrill/gateway/peers/node_selection.py
@@ -137,7 +137,7 @@
     size: int
 
     @staticmethod
-    def of(candidates: Sequence[Candidate]) -> "Samples":
+    def of(candidates: Sequence[Candidate]) -> "SampledSelection":
         """Return the samples of nodes that are not all alike."""
         chances = chances_of([candidate.weight for candidate in candidates])
         names = (candidate.node_id for candidate in candidates)
--- a/liftrill/gateway/peers/speed_exchange.py
+++ b/liftrill/gateway/peers/speed_exchange.py
@@ -31,7 +31,7 @@
         if now - self._told_at < TOLD_EACH_S:
             return []
         self._told_at = now
-        due_reports = [SendReport(self._report(word.report, now), word.members) for word in loads]
+        words = [SendReport(self._report(word.report, now), word.members) for word in loads]
         self.board.told()
         return [word for word in words if word.report.speeds and word.members]
 
