--- a/liftrill/gateway/gateway.py
+++ b/liftrill/gateway/gateway.py
@@ -647,7 +647,7 @@
         self._shed(now)
         changes = self._directory.update(self._usable_members(now), self.settings.zone, now)
         for change in changes[:MOST_CHANGES_TOLD]:
-            self.log.belief("node_named", of=len(changes), **change.inputs())
+            self.log.belief("node_named", of=len(changes), **change.log_fields())
 
     def _shed(self, now: float) -> None:
         """Decide what this node sheds, and log where that changed."""
--- a/liftrill/gateway/holding/body_reader.py
+++ b/liftrill/gateway/holding/body_reader.py
@@ -21,11 +21,11 @@
 RECEIVE_BUFFER_BYTES = 65_536
 # For how long a refused caller's body is read and dropped: a connection that is closed with
 # bytes unread is reset, and the reset may overtake the answer.
-DROP_REST_S = 1.0
+DISCARD_TIMEOUT_S = 1.0
 # By then some bodies have been sent on; those who are refused together don't return together.
-RETRY_AFTER_S = (0.5, 1.5)
+RETRY_AFTER_RANGE_S = (0.5, 1.5)
 # A caller that says no deadline gets this long to send its body.
-LONGEST_READ_S = 60.0
+DEFAULT_READ_TIMEOUT_S = 60.0
 
 
 class BodyTooLargeError(Exception):
@@ -39,9 +39,11 @@
 def refusal_for_body_error(error: Exception) -> AdmissionRefusal:
     """Return what a caller is told whose body was not read."""
     if isinstance(error, BodyRefusedError):
-        wait_s = random.uniform(*RETRY_AFTER_S)
+        wait_s = random.uniform(*RETRY_AFTER_RANGE_S)
         return AdmissionRefusal(ResultCode.MEMORY_SPENT, wait_s, "body")
-    return AdmissionRefusal(ResultCode.DEADLINE_UNREACHABLE, RETRY_AFTER_S[0], "body not there")
+    return AdmissionRefusal(
+        ResultCode.DEADLINE_UNREACHABLE, RETRY_AFTER_RANGE_S[0], "body not there"
+    )
 
 
 class BodyReader:
@@ -57,11 +59,13 @@
     def __init__(self, content: StreamReader, budget: MemoryBudget | None, caller: str) -> None:
         self._content = content
         self._budget = budget
-        self.hold: MemoryReservation | None = None
+        self.reservation: MemoryReservation | None = None
         if budget is not None:
-            self.hold = budget.reserve(Purpose.BODY_READ, caller, clock.now_s(), self._give_way)
+            self.reservation = budget.reserve(
+                Purpose.BODY_READ, caller, clock.now_s(), self._on_evicted
+            )
 
-    async def read(self, declared_bytes: int, limit_bytes: int, within_s: float | None) -> bytes:
+    async def read(self, declared_bytes: int, limit_bytes: int, timeout_s: float | None) -> bytes:
         """Return the whole body.
 
         Raises:
@@ -71,45 +75,45 @@
         """
         if declared_bytes > limit_bytes:
             raise BodyTooLargeError
-        self._grow(declared_bytes)
+        self._reserve(declared_bytes)
         if self._budget is None or self._content.is_eof():
             body = await self._read_whole(declared_bytes, limit_bytes)
         else:
-            async with asyncio.timeout(LONGEST_READ_S if within_s is None else within_s):
+            async with asyncio.timeout(DEFAULT_READ_TIMEOUT_S if timeout_s is None else timeout_s):
                 body = await self._read_whole(declared_bytes, limit_bytes)
-        if self.hold is not None:
-            self.hold.change_purpose(Purpose.BODY_HELD)
+        if self.reservation is not None:
+            self.reservation.change_purpose(Purpose.BODY_HELD)
         return body
 
     async def discard_rest(self) -> None:
         """Read what still comes of a refused body, and keep nothing of it."""
         with suppress(TimeoutError, BodyRefusedError):
-            async with asyncio.timeout(DROP_REST_S):
+            async with asyncio.timeout(DISCARD_TIMEOUT_S):
                 async for _ in self._content.iter_any():
                     pass
 
     def close(self) -> None:
         """Hold nothing any more."""
-        if self.hold is not None:
-            self.hold.close()
+        if self.reservation is not None:
+            self.reservation.close()
 
     async def _read_whole(self, declared_bytes: int, limit_bytes: int) -> bytes:
-        whole = io.BytesIO()
-        async for part in self._content.iter_any():
-            size = whole.tell() + len(part)
+        buffer = io.BytesIO()
+        async for chunk in self._content.iter_any():
+            size = buffer.tell() + len(chunk)
             if size > limit_bytes:
                 raise BodyTooLargeError
             if size > declared_bytes:
-                self._grow(size)
-            whole.write(part)
+                self._reserve(size)
+            buffer.write(chunk)
         # No copy is made of it, unlike of parts that are joined.
-        return whole.getvalue()
+        return buffer.getvalue()
 
-    def _grow(self, size_bytes: int) -> None:
-        if self._budget is None or self.hold is None:
+    def _reserve(self, size_bytes: int) -> None:
+        if self._budget is None or self.reservation is None:
             return
-        if not self._budget.try_grow_body(self.hold, size_bytes, clock.now_s()):
+        if not self._budget.try_grow_body(self.reservation, size_bytes, clock.now_s()):
             raise BodyRefusedError
 
-    def _give_way(self) -> None:
+    def _on_evicted(self) -> None:
         self._content.set_exception(BodyRefusedError())
--- a/liftrill/gateway/holding/caller_sink.py
+++ b/liftrill/gateway/holding/caller_sink.py
@@ -18,9 +18,9 @@
 JSON = "application/json"
 # Beyond this much unsent a caller counts as slow. Whole answers and single events are shorter,
 # and a thousand connections at this mark fit into the budget's reserve.
-UNSENT_BYTES = 16_384
+HIGH_WATER_BYTES = 16_384
 # For how long a caller may still take what was sent before an answer was broken off.
-LAST_BYTES_S = 0.3
+FLUSH_TIMEOUT_S = 0.3
 
 
 class AiohttpConnection(CallerConnection):
@@ -29,7 +29,7 @@
     def __init__(self, writer: StreamWriter, transport: asyncio.Transport) -> None:
         self._writer = writer
         self._transport = transport
-        transport.set_write_buffer_limits(high=UNSENT_BYTES)
+        transport.set_write_buffer_limits(high=HIGH_WATER_BYTES)
 
     @property
     def is_slow(self) -> bool:
@@ -68,15 +68,15 @@
         request: web.BaseRequest,
         request_id: str,
         id_header: str,
-        closing: bool,
+        closes_connection: bool,
         memory: NodeMemory | None = None,
     ) -> None:
         self._request = request
         self._request_id = request_id
         self._id_header = id_header
-        self._closing = closing
+        self._closes_connection = closes_connection
         self._memory = memory
-        self._flow: CallerStream | None = None
+        self._stream: CallerStream | None = None
         self.response: web.StreamResponse = web.Response(status=500)
         self.caller = request.remote or ""
         self.body: BodyReader | None = None
@@ -84,7 +84,7 @@
     @property
     def caller_wait_s(self) -> float:
         """For how long the run stood still for its caller."""
-        return self._flow.waited_s if self._flow is not None else 0.0
+        return self._stream.waited_s if self._stream is not None else 0.0
 
     def body_released(self) -> None:
         """Note that the body of the caller's request is not held any more."""
@@ -94,16 +94,16 @@
     async def pass_answer(self, answer: events.WholeAnswer) -> None:
         """Send a whole answer."""
         response = web.Response(status=answer.status, body=answer.body)
-        if self._memory is None or len(answer.body) <= UNSENT_BYTES:
+        if self._memory is None or len(answer.body) <= HIGH_WATER_BYTES:
             await self._send(response, _without_length(answer.headers))
             return
         budget = self._memory.budget
-        hold = budget.reserve(Purpose.ANSWER, self.caller, clock.now_s(), self._give_way)
+        reservation = budget.reserve(Purpose.ANSWER, self.caller, clock.now_s(), self._on_evicted)
         try:
-            budget.grow_answer(hold, len(answer.body))
+            budget.grow_answer(reservation, len(answer.body))
             await self._send(response, _without_length(answer.headers))
         finally:
-            hold.close()
+            reservation.close()
 
     async def pass_head(self, head: events.PassHead) -> None:
         """Begin a streamed answer."""
@@ -114,19 +114,21 @@
         if self._memory is None or transport is None or not isinstance(writer, StreamWriter):
             return
         connection = AiohttpConnection(writer, transport)
-        self._flow = CallerStream(connection, self._memory.budget, self.caller, self._note_ended)
+        self._stream = CallerStream(
+            connection, self._memory.budget, self.caller, self._record_abort
+        )
 
     async def pass_bytes(self, data: bytes) -> None:
         """Send bytes of a streamed answer."""
-        if self._flow is not None:
-            await self._flow.pass_bytes(data)
+        if self._stream is not None:
+            await self._stream.pass_bytes(data)
         else:
             await self.response.write(data)
 
     async def finish(self) -> None:
         """End a streamed answer as complete."""
-        if self._flow is not None:
-            await self._flow.finish()
+        if self._stream is not None:
+            await self._stream.finish()
         await self.response.write_eof()
 
     def break_off(self) -> None:
@@ -137,12 +139,12 @@
             return
         transport.close()
         if self._memory is not None and transport.get_write_buffer_size():
-            asyncio.get_running_loop().call_later(LAST_BYTES_S, transport.abort)
+            asyncio.get_running_loop().call_later(FLUSH_TIMEOUT_S, transport.abort)
 
     def close(self) -> None:
         """Let go of what is kept for the caller."""
-        if self._flow is not None:
-            self._flow.close()
+        if self._stream is not None:
+            self._stream.close()
 
     async def refuse(self, refusal: events.RefuseRequest) -> None:
         """Answer that the request was not run."""
@@ -177,17 +179,17 @@
                 response.headers["Content-Type"] = value
             else:
                 response.headers.add(name, value)
-        if self._closing:
+        if self._closes_connection:
             response.force_close()
 
-    def _give_way(self) -> None:
-        self._note_ended("memory", 0)
+    def _on_evicted(self) -> None:
+        self._record_abort("memory", 0)
         if self._request.transport is not None:
             self._request.transport.abort()
 
-    def _note_ended(self, reason: str, held_bytes: int) -> None:
+    def _record_abort(self, reason: str, held_bytes: int) -> None:
         assert self._memory is not None
-        self._memory.note_ended(self._request_id, reason, held_bytes)
+        self._memory.record_abort(self._request_id, reason, held_bytes)
 
 
 def _without_length(headers: events.Headers) -> events.Headers:
--- a/liftrill/gateway/holding/caller_stream.py
+++ b/liftrill/gateway/holding/caller_stream.py
@@ -54,16 +54,16 @@
         connection: CallerConnection,
         budget: MemoryBudget,
         caller: str,
-        when_ended: Callable[[str, int], None],
+        on_aborted: Callable[[str, int], None],
     ) -> None:
         self.waited_s = 0.0
         self._connection = connection
         self._budget = budget
         self._caller = caller
-        self._when_ended = when_ended
+        self._on_aborted = on_aborted
         self._buffer: AnswerBuffer | None = None
         self._writer: asyncio.Task[None] | None = None
-        self._room = asyncio.Event()
+        self._progress = asyncio.Event()
         self._error: ConnectionResetError | None = None
 
     async def pass_bytes(self, data: bytes) -> None:
@@ -74,11 +74,11 @@
             if not self._connection.is_slow:
                 await self._connection.write(data)
                 return
-            self._buffer = self._begin_buffer()
+            self._buffer = self._start_buffering()
         buffer = self._buffer
         buffer.add(data, self._connection.unsent_bytes, clock.now_s())
         if buffer.is_full:
-            await self._wait_for_room(buffer)
+            await self._wait_until_not_full(buffer)
 
     async def finish(self) -> None:
         """Wait until everything was handed to the connection."""
@@ -96,30 +96,30 @@
             self._buffer.close()
             self._buffer = None
 
-    def _begin_buffer(self) -> AnswerBuffer:
+    def _start_buffering(self) -> AnswerBuffer:
         now = clock.now_s()
-        hold = self._budget.reserve(Purpose.ANSWER, self._caller, now, self._give_way)
-        self._writer = asyncio.ensure_future(self._pass_on())
-        return AnswerBuffer(self._budget, hold)
+        reservation = self._budget.reserve(Purpose.ANSWER, self._caller, now, self._on_evicted)
+        self._writer = asyncio.ensure_future(self._write_buffered())
+        return AnswerBuffer(self._budget, reservation)
 
-    async def _wait_for_room(self, buffer: AnswerBuffer) -> None:
-        began = clock.now_s()
+    async def _wait_until_not_full(self, buffer: AnswerBuffer) -> None:
+        started_at = clock.now_s()
         try:
             while buffer.is_full and self._error is None:
-                left_s = buffer.left_s(clock.now_s())
-                if left_s <= 0.0:
-                    self._end("unread")
+                remaining_s = buffer.remaining_s(clock.now_s())
+                if remaining_s <= 0.0:
+                    self._abort("unread")
                     break
-                self._room.clear()
+                self._progress.clear()
                 with suppress(TimeoutError):
-                    async with asyncio.timeout(left_s):
-                        await self._room.wait()
+                    async with asyncio.timeout(remaining_s):
+                        await self._progress.wait()
         finally:
-            self.waited_s += clock.now_s() - began
+            self.waited_s += clock.now_s() - started_at
         if self._error is not None:
             raise self._error
 
-    async def _pass_on(self) -> None:
+    async def _write_buffered(self) -> None:
         try:
             while True:
                 await self._connection.wait_until_writable()
@@ -133,19 +133,19 @@
                     return
                 unsent_bytes = self._connection.unsent_bytes
                 await self._connection.write(buffer.take(unsent_bytes, clock.now_s()))
-                self._room.set()
+                self._progress.set()
         except ConnectionError as error:
             # The run that feeds this flow learns of it at its next event.
             self._error = self._error or ConnectionResetError(str(error))
-            self._room.set()
+            self._progress.set()
 
-    def _give_way(self) -> None:
-        self._end("memory")
+    def _on_evicted(self) -> None:
+        self._abort("memory")
 
-    def _end(self, reason: str) -> None:
+    def _abort(self, reason: str) -> None:
         self._error = CallerTooSlowError(reason)
         if self._buffer is not None:
-            self._when_ended(reason, len(self._buffer))
+            self._on_aborted(reason, len(self._buffer))
             self._buffer.close()
         self._connection.abort()
-        self._room.set()
+        self._progress.set()
--- a/liftrill/gateway/holding/memory_budget.py
+++ b/liftrill/gateway/holding/memory_budget.py
@@ -4,24 +4,24 @@
 from dataclasses import dataclass
 from enum import Enum
 
-KILOBYTE = 1_024
+BYTES_PER_KILOBYTE = 1_024
 # What is kept free of the limit: the library's buffers of a thousand connections, and the copy
 # of one large body that is made as it is sent.
 RESERVE_SHARE = 0.125
 # At least this share of the limit may be held, whatever the process seems to use: memory that
 # was let go of is used again, but still counts as resident.
-LEAST_SHARE = 0.125
+MIN_CAPACITY_SHARE = 0.125
 # Bodies from here on are refused where the budget is spent; below it, refusing a request frees
 # less than a connection costs.
 LARGE_BODY_BYTES = 65_536
 # Answers that wait for their callers take at most this share, so that bodies find room too.
-ANSWERS_SHARE = 0.5
+MAX_ANSWERS_SHARE = 0.5
 # Bodies that have been coming for longer give way where room is needed: they hold it for the
 # sake of one slow caller.
-TRICKLE_S = 2.0
+SLOW_BODY_S = 2.0
 # When the budget counts as nearly spent, and as well again.
-SPENT_SHARE = 0.9
-WELL_SHARE = 0.7
+NEARLY_FULL_SHARE = 0.9
+RECOVERED_SHARE = 0.7
 
 
 class Purpose(Enum):
@@ -32,7 +32,7 @@
     ANSWER = "answer"
 
 
-def _nothing() -> None:
+def _ignore_eviction() -> None:
     """Let nothing go."""
 
 
@@ -53,14 +53,14 @@
         budget: "MemoryBudget",
         purpose: Purpose,
         caller: str,
-        since: float,
+        opened_at: float,
         let_go: Callable[[], None],
     ) -> None:
         self._budget = budget
         self._closed = False
         self.purpose = purpose
         self.caller = caller
-        self.since = since
+        self.opened_at = opened_at
         self.held_bytes = 0
         self.on_evicted = let_go
 
@@ -68,13 +68,13 @@
         """Hold so many bytes from now on; what has ended holds none."""
         if self._closed:
             return
-        self._budget.account(self.purpose, held_bytes - self.held_bytes)
+        self._budget.adjust(self.purpose, held_bytes - self.held_bytes)
         self.held_bytes = held_bytes
 
     def change_purpose(self, purpose: Purpose) -> None:
         """Hold the same bytes for another purpose."""
-        self._budget.account(self.purpose, -self.held_bytes)
-        self._budget.account(purpose, self.held_bytes)
+        self._budget.adjust(self.purpose, -self.held_bytes)
+        self._budget.adjust(purpose, self.held_bytes)
         self.purpose = purpose
 
     def close(self) -> None:
@@ -102,25 +102,25 @@
         on_pressure_change: told when the budget is nearly spent, and when it is well again.
     """
 
-    def __init__(self, limit_bytes: int, own_bytes: int) -> None:
+    def __init__(self, limit_bytes: int, process_bytes: int) -> None:
         self.limit_bytes = limit_bytes
         self.held_bytes = 0
         self.on_pressure_change: Callable[[BudgetState], None] | None = None
-        self._own_bytes = own_bytes
+        self._process_bytes = process_bytes
         self._by_purpose = dict.fromkeys(Purpose, 0)
-        self._holds: dict[MemoryReservation, None] = {}
+        self._reservations: dict[MemoryReservation, None] = {}
         self._is_nearly_full = False
 
     @property
     def capacity_bytes(self) -> int:
         """How many bytes may be held in all."""
-        left = self.limit_bytes * (1.0 - RESERVE_SHARE) - self._own_bytes
-        return int(max(left, self.limit_bytes * LEAST_SHARE))
+        left = self.limit_bytes * (1.0 - RESERVE_SHARE) - self._process_bytes
+        return int(max(left, self.limit_bytes * MIN_CAPACITY_SHARE))
 
     @property
     def free_bytes(self) -> int:
         """How many bytes more may be held, a kilobyte at the least: 0 tells others nothing."""
-        return max(KILOBYTE, self.capacity_bytes - self.held_bytes)
+        return max(BYTES_PER_KILOBYTE, self.capacity_bytes - self.held_bytes)
 
     @property
     def is_nearly_full(self) -> bool:
@@ -137,43 +137,43 @@
 
     def note_resident(self, resident_bytes: int) -> None:
         """Take in what the process uses in all, what is held included."""
-        self._own_bytes = max(0, resident_bytes - self.held_bytes)
+        self._process_bytes = max(0, resident_bytes - self.held_bytes)
 
     def reserve(
         self,
         purpose: Purpose,
         caller: str,
         now: float,
-        let_go: Callable[[], None] = _nothing,
+        let_go: Callable[[], None] = _ignore_eviction,
     ) -> MemoryReservation:
         """Begin to hold bytes, none at first."""
-        hold = MemoryReservation(self, purpose, caller, now, let_go)
-        self._holds[hold] = None
-        return hold
+        reservation = MemoryReservation(self, purpose, caller, now, let_go)
+        self._reservations[reservation] = None
+        return reservation
 
-    def try_grow_body(self, hold: MemoryReservation, size_bytes: int, now: float) -> bool:
+    def try_grow_body(self, reservation: MemoryReservation, size_bytes: int, now: float) -> bool:
         """Hold a body of a size, unless it is large and there is no room for it."""
-        more_bytes = size_bytes - hold.held_bytes
-        if size_bytes >= LARGE_BODY_BYTES and not self._make_room(hold, more_bytes, now):
+        more_bytes = size_bytes - reservation.held_bytes
+        if size_bytes >= LARGE_BODY_BYTES and not self._make_room(reservation, more_bytes, now):
             return False
-        hold.resize(size_bytes)
+        reservation.resize(size_bytes)
         return True
 
-    def grow_answer(self, hold: MemoryReservation, size_bytes: int) -> None:
+    def grow_answer(self, reservation: MemoryReservation, size_bytes: int) -> None:
         """Hold an answer of a size; where that is too much, the most wasteful caller loses one."""
-        hold.resize(size_bytes)
-        bound = int(self.capacity_bytes * ANSWERS_SHARE)
+        reservation.resize(size_bytes)
+        bound = int(self.capacity_bytes * MAX_ANSWERS_SHARE)
         while self._by_purpose[Purpose.ANSWER] > bound or not self.has_room_for(0):
-            oldest = self._oldest_of_most_wasteful()
+            oldest = self._oldest_of_heaviest_caller()
             if oldest is None:
                 return
-            self._end(oldest)
+            self._evict(oldest)
 
-    def account(self, purpose: Purpose, more_bytes: int) -> None:
+    def adjust(self, purpose: Purpose, more_bytes: int) -> None:
         """Change the sums; called by holds."""
         self._by_purpose[purpose] += more_bytes
         self.held_bytes += more_bytes
-        bound = WELL_SHARE if self._is_nearly_full else SPENT_SHARE
+        bound = RECOVERED_SHARE if self._is_nearly_full else NEARLY_FULL_SHARE
         is_nearly_full = self.held_bytes > bound * self.capacity_bytes
         if is_nearly_full is not self._is_nearly_full:
             self._is_nearly_full = is_nearly_full
@@ -181,36 +181,39 @@
                 state = BudgetState(self.held_bytes, self.capacity_bytes, is_nearly_full)
                 self.on_pressure_change(state)
 
-    def forget(self, hold: MemoryReservation) -> None:
+    def forget(self, reservation: MemoryReservation) -> None:
         """Drop a hold that has ended; called by holds."""
-        self._holds.pop(hold, None)
+        self._reservations.pop(reservation, None)
 
     def _make_room(self, wanted: MemoryReservation, more_bytes: int, now: float) -> bool:
         """Return whether there is room, after ending bodies that come too slowly."""
         if self.has_room_for(more_bytes):
             return True
-        for hold in list(self._holds):
-            trickles = hold.purpose is Purpose.BODY_READ and now - hold.since > TRICKLE_S
-            if trickles and hold is not wanted:
-                self._end(hold)
+        for reservation in list(self._reservations):
+            is_slow = (
+                reservation.purpose is Purpose.BODY_READ
+                and now - reservation.opened_at > SLOW_BODY_S
+            )
+            if is_slow and reservation is not wanted:
+                self._evict(reservation)
                 if self.has_room_for(more_bytes):
                     return True
         return False
 
-    def _oldest_of_most_wasteful(self) -> MemoryReservation | None:
+    def _oldest_of_heaviest_caller(self) -> MemoryReservation | None:
         by_caller: dict[str, list[MemoryReservation]] = {}
-        for hold in self._holds:
-            if hold.purpose is Purpose.ANSWER and hold.held_bytes:
-                by_caller.setdefault(hold.caller, []).append(hold)
+        for reservation in self._reservations:
+            if reservation.purpose is Purpose.ANSWER and reservation.held_bytes:
+                by_caller.setdefault(reservation.caller, []).append(reservation)
         if not by_caller:
             return None
         # Holds are kept in the order in which they were opened.
-        return max(by_caller.values(), key=_sum_of)[0]
+        return max(by_caller.values(), key=_total_bytes)[0]
 
-    def _end(self, hold: MemoryReservation) -> None:
-        hold.close()
-        hold.on_evicted()
+    def _evict(self, reservation: MemoryReservation) -> None:
+        reservation.close()
+        reservation.on_evicted()
 
 
-def _sum_of(holds: list[MemoryReservation]) -> int:
-    return sum(hold.held_bytes for hold in holds)
+def _total_bytes(holds: list[MemoryReservation]) -> int:
+    return sum(reservation.held_bytes for reservation in holds)
--- a/liftrill/gateway/holding/node_memory.py
+++ b/liftrill/gateway/holding/node_memory.py
@@ -8,16 +8,16 @@
 from liftrill.gateway.holding.memory_budget import BudgetState, MemoryBudget, Purpose
 from liftrill.gateway.settings import GatewaySettings
 
-STATISTICS = Path("/proc/self/statm")
+STATM_PATH = Path("/proc/self/statm")
 # Tables grow within seconds of the start, and then with the fleet; a reading takes 20 us.
 MEASURE_INTERVAL_S = 5.0
 # What is held is itself resident, so the rest is told apart only while little is held.
-LITTLE_HELD_BYTES = 1_048_576
+MAX_HELD_TO_MEASURE_BYTES = 1_048_576
 
 
 def resident_bytes() -> int:
     """Return how much memory this process uses."""
-    pages = int(STATISTICS.read_text().split()[1])
+    pages = int(STATM_PATH.read_text().split()[1])
     return pages * os.sysconf("SC_PAGE_SIZE")
 
 
@@ -35,7 +35,7 @@
 
     def __init__(self, limit_bytes: int, log: DecisionLog, metrics: GatewayMetrics) -> None:
         self.budget = MemoryBudget(limit_bytes, resident_bytes())
-        self.budget.on_pressure_change = self._tell_change
+        self.budget.on_pressure_change = self._log_pressure_change
         self._log = log
         self._metrics = metrics
         self._measured_at = 0.0
@@ -43,21 +43,24 @@
     def refresh(self, now: float) -> None:
         """Measure anew now and then, and show the accounts."""
         budget = self.budget
-        if now - self._measured_at > MEASURE_INTERVAL_S and budget.held_bytes < LITTLE_HELD_BYTES:
+        if (
+            now - self._measured_at > MEASURE_INTERVAL_S
+            and budget.held_bytes < MAX_HELD_TO_MEASURE_BYTES
+        ):
             self._measured_at = now
             budget.note_resident(resident_bytes())
         for purpose in Purpose:
             self._metrics.held_bytes.labels(purpose.value).set(budget.held_for(purpose))
         self._metrics.holding_capacity.set(budget.capacity_bytes)
 
-    def note_ended(self, request_id: str, reason: str, held_bytes: int) -> None:
+    def record_abort(self, request_id: str, reason: str, held_bytes: int) -> None:
         """Tell that an answer that its caller did not take was let go."""
         self._metrics.slow_callers.labels(reason).inc()
         self._log.request_refused(
             request_id, "LET_GO", why=reason, held_bytes=held_bytes, all=self.budget.held_bytes
         )
 
-    def _tell_change(self, state: BudgetState) -> None:
+    def _log_pressure_change(self, state: BudgetState) -> None:
         kind = "memory_nearly_spent" if state.is_nearly_full else "memory_well_again"
         by_purpose = {purpose.value: self.budget.held_for(purpose) for purpose in Purpose}
         self._log.belief(kind, capacity_bytes=state.capacity_bytes, **by_purpose)
--- a/liftrill/gateway/peers/engine_gossip.py
+++ b/liftrill/gateway/peers/engine_gossip.py
@@ -25,12 +25,12 @@
 
 # When a node that joins is told again of engines to leave alone: once the others have heard of a
 # return of the store that came just then (guess). Datagrams are lost now and then, too.
-JOINER_TOLD_AFTER_S = (0.3, 1.0)
+JOINER_RESEND_DELAYS_S = (0.3, 1.0)
 # How many nodes tell it of all weights: 18 KB each for 300 engines with one model (encoded rows);
 # one may have just started, and datagrams of another be lost (guess).
-JOINER_TELLERS = 3
+JOINER_WEIGHT_SENDERS = 3
 # A node that starts takes itself for the only one until it knows the others.
-ISSUES_AFTER_S = 1.0
+MIN_ISSUER_UPTIME_S = 1.0
 
 
 class EngineGossip:
@@ -64,7 +64,7 @@
         if engine is not None:
             self._limits.note_answer(engine, word.limit_per_s, word.permit, now)
         if self._engines.hear(word, now):
-            self._note_leaving(word.engine, word.source)
+            self._log_leaving(word.engine, word.source)
             self._peers.broadcast_leaving([word.engine])
 
     def apply_update(self, update: EngineUpdate) -> None:
@@ -72,7 +72,7 @@
         now = clock.now_s()
         for engine in update.leaving:
             if self._engines.hear(EngineWord(engine, "peer", leaving=True), now):
-                self._note_leaving(engine, "peer")
+                self._log_leaving(engine, "peer")
         for limit in update.limits:
             self._limits.merge(limit, now)
         for record in self._engines.learn_unwritten(update, now):
@@ -84,27 +84,27 @@
         It may have started after others were told, and the store may have come back from an older
         copy: what that lacks nobody but the other nodes can tell it.
         """
-        self._tell(joiner.node_id, with_all_weights=self._briefs(joiner))
+        self._send_state(joiner.node_id, with_all_weights=self._sends_weights_to(joiner))
         loop = asyncio.get_running_loop()
-        for wait_s in JOINER_TOLD_AFTER_S:
-            loop.call_later(wait_s, self._tell, joiner.node_id)
+        for wait_s in JOINER_RESEND_DELAYS_S:
+            loop.call_later(wait_s, self._send_state, joiner.node_id)
 
-    def _briefs(self, joiner: Member) -> bool:
+    def _sends_weights_to(self, joiner: Member) -> bool:
         """Return whether this node is one of the few that tell a joiner of all weights.
 
         It may read a store's older copy before anybody else does, and asks engines for weights
         that they have no more.
         """
         members = (member.node_id for member in self._membership.members())
-        tellers = [node for node in members if node != joiner.node_id]
-        few = rank(joiner.node_id.encode(), tellers)[:JOINER_TELLERS]
-        return self._membership.own.node_id in few
+        candidates = [node for node in members if node != joiner.node_id]
+        senders = rank(joiner.node_id.encode(), candidates)[:JOINER_WEIGHT_SENDERS]
+        return self._membership.own.node_id in senders
 
-    def _tell(self, node: str, with_all_weights: bool = False) -> None:
+    def _send_state(self, node: str, with_all_weights: bool = False) -> None:
         update = self._engines.unwritten(with_all_weights)
         self._peers.send_update(replace(update, limits=self._limits.in_force()), node)
 
-    def _note_leaving(self, engine: EngineAddress, source: str) -> None:
+    def _log_leaving(self, engine: EngineAddress, source: str) -> None:
         view = self._engines.get(engine.engine_id)
         self._log.belief(
             "engine_leaves",
@@ -139,7 +139,7 @@
         self._metrics = metrics
         self._started_at = clock.now_s()
         self._issuers: dict[EngineAddress, str] = {}
-        self._issuers_among: list[Member] = []
+        self._issuer_members: list[Member] = []
 
     @property
     def own(self) -> str:
@@ -149,8 +149,8 @@
     def issuer(self, engine: EngineAddress) -> str:
         """Return the node that issues permits for an engine: one of those believed alive."""
         members = self._membership.members()
-        if members is not self._issuers_among:
-            self._issuers_among = members
+        if members is not self._issuer_members:
+            self._issuer_members = members
             self._issuers.clear()
         if engine not in self._issuers:
             key = f"{engine.engine_id} {engine.address} {engine.number}".encode()
@@ -163,7 +163,7 @@
 
         Each side of a cut has an issuer of its own: their shares add up to one.
         """
-        if clock.now_s() - self._started_at < ISSUES_AFTER_S:
+        if clock.now_s() - self._started_at < MIN_ISSUER_UPTIME_S:
             return 0.0
         return min(1.0, len(self._membership.members()) / self._fleet.nodes)
 
--- a/liftrill/gateway/peers/load_codec.py
+++ b/liftrill/gateway/peers/load_codec.py
@@ -28,15 +28,15 @@
 # What one datagram may hold of each, so that it stays under 1,200 bytes: a row of load takes
 # 40 bytes with an id of 12 letters, a kept part 18, and a tenant's spending 24 with a name of
 # 15 letters (worked out from the wire format).
-LOADS_PER_PIECE = 14
-KEPT_PER_PIECE = 24
-TENANTS_PER_PIECE = 6
+LOADS_PER_DATAGRAM = 14
+KEPT_PER_DATAGRAM = 24
+TENANTS_PER_DATAGRAM = 6
 # A row of speed takes 30 bytes (worked out from the wire format), and each counts by itself.
-SPEEDS_PER_PIECE = 32
-HUNDREDTHS = 100
-MILLISECONDS = 1_000
-MILLICORES = 1_000
-KILOBYTE = 1_024
+SPEEDS_PER_DATAGRAM = 32
+HUNDREDTHS_PER_ANSWER = 100
+MS_PER_S = 1_000
+MILLICORES_PER_CORE = 1_000
+BYTES_PER_KILOBYTE = 1_024
 
 Row = TypeVar("Row")
 
@@ -45,19 +45,20 @@
     """Return the datagrams that carry a report, each small enough to arrive."""
     if report.speeds:
         return [
-            _speed_datagram(report, rows) for rows in _cut(list(report.speeds), SPEEDS_PER_PIECE)
+            _speed_datagram(report, rows)
+            for rows in _chunks(list(report.speeds), SPEEDS_PER_DATAGRAM)
         ]
     quota = report.quota or QuotaReport(0)
-    loads = _cut(list(report.loads.items()), LOADS_PER_PIECE)
-    kept = _cut(list(report.kept), KEPT_PER_PIECE)
-    spent = _cut(list(quota.spent.items()), TENANTS_PER_PIECE)
+    loads = _chunks(list(report.loads.items()), LOADS_PER_DATAGRAM)
+    kept = _chunks(list(report.kept), KEPT_PER_DATAGRAM)
+    spent = _chunks(list(quota.spent.items()), TENANTS_PER_DATAGRAM)
     rows = list(itertools.zip_longest(loads, kept, spent)) or [(None, None, None)]
     datagrams = [
         _datagram(report, quota.nodes, some_loads or [], some_kept or [], some_spent or [])
         for some_loads, some_kept, some_spent in rows
     ]
     if report.node_load is not None:
-        datagrams[0].node_load.CopyFrom(_load_from_word(report.node_load))
+        datagrams[0].node_load.CopyFrom(_message_from_load(report.node_load))
     if len(datagrams) > 1:
         for piece, datagram in enumerate(datagrams):
             datagram.sequence = sequence
@@ -66,7 +67,7 @@
     return datagrams
 
 
-def _cut(rows: list[Row], size: int) -> Iterator[list[Row]]:
+def _chunks(rows: list[Row], size: int) -> Iterator[list[Row]]:
     return (rows[start : start + size] for start in range(0, len(rows), size))
 
 
@@ -127,25 +128,25 @@
     )
     kept = tuple(KeptPart(part, engine, _stage(*flags)) for part, engine, *flags in rows)
     quota = _quota(message) if message.spent_by_nodes else None
-    word = _word_from_load(message.node_load) if message.HasField("node_load") else None
+    word = _load_from_message(message.node_load) if message.HasField("node_load") else None
     return LoadReport(scope, message.sender, message.zone, loads, kept, quota, node_load=word)
 
 
-def _load_from_word(word: NodeLoad) -> messages.NodeLoad:
+def _message_from_load(word: NodeLoad) -> messages.NodeLoad:
     return messages.NodeLoad(
-        capacity=round(word.capacity_cores * MILLICORES),
-        used=round(word.used_cores * MILLICORES),
-        lag_milliseconds=round(word.late_s * MILLISECONDS),
-        free_kilobytes=word.free_bytes // KILOBYTE,
+        capacity=round(word.capacity_cores * MILLICORES_PER_CORE),
+        used=round(word.used_cores * MILLICORES_PER_CORE),
+        lag_milliseconds=round(word.late_s * MS_PER_S),
+        free_kilobytes=word.free_bytes // BYTES_PER_KILOBYTE,
     )
 
 
-def _word_from_load(message: messages.NodeLoad) -> NodeLoad:
+def _load_from_message(message: messages.NodeLoad) -> NodeLoad:
     return NodeLoad(
-        message.capacity / MILLICORES,
-        message.used / MILLICORES,
-        message.lag_milliseconds / MILLISECONDS,
-        message.free_kilobytes * KILOBYTE,
+        message.capacity / MILLICORES_PER_CORE,
+        message.used / MILLICORES_PER_CORE,
+        message.lag_milliseconds / MS_PER_S,
+        message.free_kilobytes * BYTES_PER_KILOBYTE,
     )
 
 
@@ -162,10 +163,10 @@
     return messages.EngineSpeed(
         engine=row.engine,
         read_tokens=round(row.reading.units),
-        read_milliseconds=round(MILLISECONDS * row.reading.seconds),
+        read_milliseconds=round(MS_PER_S * row.reading.seconds),
         pause_tokens=row.pause_tokens,
-        answers=round(HUNDREDTHS * row.answers.units),
-        answer_milliseconds=round(MILLISECONDS * row.answers.seconds),
+        answers=round(HUNDREDTHS_PER_ANSWER * row.answers.units),
+        answer_milliseconds=round(MS_PER_S * row.answers.seconds),
     )
 
 
@@ -174,8 +175,8 @@
     rows = tuple(
         SpeedRow(
             row.engine,
-            Work(row.read_tokens, row.read_milliseconds / MILLISECONDS),
-            Work(row.answers / HUNDREDTHS, row.answer_milliseconds / MILLISECONDS),
+            Work(row.read_tokens, row.read_milliseconds / MS_PER_S),
+            Work(row.answers / HUNDREDTHS_PER_ANSWER, row.answer_milliseconds / MS_PER_S),
             row.pause_tokens,
         )
         for row in message.speeds
@@ -205,18 +206,18 @@
 
 
 @dataclass(slots=True)
-class _Pieces:
+class _PartialReport:
     """What came so far of one report."""
 
     sequence: int
-    found: dict[int, LoadReport] = field(default_factory=dict)
+    received: dict[int, LoadReport] = field(default_factory=dict)
 
 
 @dataclass(slots=True)
 class ReportAssembler:
     """Puts reports together again; of each origin only the newest is waited for."""
 
-    _open: dict[_Origin, _Pieces] = field(default_factory=dict)
+    _incomplete: dict[_Origin, _PartialReport] = field(default_factory=dict)
 
     def add(self, message: messages.Datagram) -> LoadReport | None:
         """Return the report that a datagram completes, or None."""
@@ -224,17 +225,17 @@
         if message.pieces <= 1:
             return report
         origin = _Origin(message.sender, message.zone, message.load_scope)
-        pieces = self._open.get(origin)
+        pieces = self._incomplete.get(origin)
         if pieces is None or pieces.sequence != message.sequence:
-            pieces = self._open[origin] = _Pieces(message.sequence)
-        pieces.found[message.piece] = report
-        if len(pieces.found) < message.pieces:
+            pieces = self._incomplete[origin] = _PartialReport(message.sequence)
+        pieces.received[message.piece] = report
+        if len(pieces.received) < message.pieces:
             return None
-        del self._open[origin]
-        return _joined(list(pieces.found.values()))
+        del self._incomplete[origin]
+        return _merged(list(pieces.received.values()))
 
 
-def _joined(pieces: list[LoadReport]) -> LoadReport:
+def _merged(pieces: list[LoadReport]) -> LoadReport:
     first = pieces[0]
     loads: dict[str, EngineLoad] = {}
     spent: dict[str, float] = {}
--- a/liftrill/gateway/peers/load_exchange.py
+++ b/liftrill/gateway/peers/load_exchange.py
@@ -25,12 +25,12 @@
 
 DELEGATE_KEY = b"load delegate "
 # With more, words from each to each cost more than sums that come later.
-DIRECT_NODES = 12
+MAX_DIRECT_NODES = 12
 # Between two words of a node: sooner than a prompt is read, and longer in large zones so that
 # each node hears about as many a second.
-SHORTEST_INTERVAL_S = 0.1
+MIN_INTERVAL_S = 0.1
 INTERVAL_PER_NODE_S = 0.01
-LONGEST_INTERVAL_S = 0.4
+MAX_INTERVAL_S = 0.4
 
 
 class LoadScope(Enum):
@@ -94,7 +94,7 @@
 
     def interval_s(self, own: Member, members: Iterable[Member]) -> float:
         """Return the shortest interval."""
-        return SHORTEST_INTERVAL_S
+        return MIN_INTERVAL_S
 
     def own_reports(
         self, own: Member, board: LoadTable, kept: KeptNews, members: list[Member]
@@ -116,7 +116,7 @@
     def interval_s(self, own: Member, members: Iterable[Member]) -> float:
         """Return an interval that keeps the words a node receives in bounds."""
         local = sum(member.zone == own.zone for member in members)
-        return min(LONGEST_INTERVAL_S, max(SHORTEST_INTERVAL_S, local * INTERVAL_PER_NODE_S))
+        return min(MAX_INTERVAL_S, max(MIN_INTERVAL_S, local * INTERVAL_PER_NODE_S))
 
     def own_reports(
         self, own: Member, board: LoadTable, kept: KeptNews, members: list[Member]
@@ -124,15 +124,15 @@
         """Return a report for the zone, and the delegate's sum for the other zones."""
         report = LoadReport(LoadScope.NODE, own.node_id, own.zone, board.own_loads(), kept.own)
         local = tuple(m for m in other_members(own, members) if m.zone == own.zone)
-        words = [SendReport(report, local)]
+        deliveries = [SendReport(report, local)]
         delegates = delegates_by_zone(members)
         delegate = delegates.get(own.zone)
         if delegate is not None and delegate.node_id == own.node_id:
             remote = tuple(m for zone, m in delegates.items() if zone != own.zone)
             loads = board.zone_sum(own.zone)
             total = LoadReport(LoadScope.ZONE_SUM, own.node_id, own.zone, loads, kept.zone)
-            words.append(SendReport(total, remote))
-        return words
+            deliveries.append(SendReport(total, remote))
+        return deliveries
 
     def relayed_reports(
         self, own: Member, report: LoadReport, members: list[Member]
@@ -143,10 +143,10 @@
         groups = groups_of_zone(own, members)
         if report.scope is LoadScope.ZONE_SUM:
             chosen = (random.choice(other_members(own, g)) for g in groups if own not in g)
-            passed = replace(report, scope=LoadScope.GROUP_SUM, node=own.node_id)
-            return [SendReport(passed, tuple(chosen)), *_to_group(own, report, groups)]
+            forwarded = replace(report, scope=LoadScope.GROUP_SUM, node=own.node_id)
+            return [SendReport(forwarded, tuple(chosen)), *_group_report(own, report, groups)]
         if report.scope is LoadScope.GROUP_SUM:
-            return _to_group(own, report, groups)
+            return _group_report(own, report, groups)
         return []
 
 
@@ -156,19 +156,19 @@
     local[own.node_id] = own
     names = sorted(local)
     size = math.isqrt(len(names) - 1) + 1
-    cuts = (names[start : start + size] for start in range(0, len(names), size))
-    return [[local[name] for name in cut] for cut in cuts]
+    slices = (names[start : start + size] for start in range(0, len(names), size))
+    return [[local[name] for name in group] for group in slices]
 
 
-def _to_group(own: Member, report: LoadReport, groups: list[list[Member]]) -> list[SendReport]:
+def _group_report(own: Member, report: LoadReport, groups: list[list[Member]]) -> list[SendReport]:
     group = next(group for group in groups if own in group)
-    passed = replace(report, scope=LoadScope.RELAYED_SUM, node=own.node_id)
-    return [SendReport(passed, other_members(own, group))]
+    forwarded = replace(report, scope=LoadScope.RELAYED_SUM, node=own.node_id)
+    return [SendReport(forwarded, other_members(own, group))]
 
 
 def topology_for(members: list[Member]) -> LoadTopology:
     """Return the topology that suits a number of members."""
-    return DirectTopology() if len(members) <= DIRECT_NODES else ZoneTopology()
+    return DirectTopology() if len(members) <= MAX_DIRECT_NODES else ZoneTopology()
 
 
 def other_members(own: Member, members: Iterable[Member]) -> tuple[Member, ...]:
@@ -181,10 +181,10 @@
     zones: dict[str, list[Member]] = {}
     for member in members:
         zones.setdefault(member.zone, []).append(member)
-    found: dict[str, Member] = {}
+    delegates: dict[str, Member] = {}
     for zone, local in zones.items():
         by_id = {member.node_id: member for member in capable_members(local)}
         first = rendezvous.first(DELEGATE_KEY + zone.encode(), by_id)
         if first is not None:
-            found[zone] = by_id[first]
-    return found
+            delegates[zone] = by_id[first]
+    return delegates
--- a/liftrill/gateway/peers/load_table.py
+++ b/liftrill/gateway/peers/load_table.py
@@ -31,17 +31,17 @@
     """A word, and the engines that it was added to: others may become known later."""
 
     loads: LoadByEngine
-    heard_at: float
+    received_at: float
     counted: tuple[tuple[EngineView, EngineLoad], ...]
 
 
 @dataclass(frozen=True, slots=True)
-class _Reading:
+class _Prefill:
     """A long prompt that an engine was given lately."""
 
     view: EngineView
     tokens: int
-    until: float
+    expires_at: float
 
 
 @dataclass(slots=True)
@@ -50,27 +50,27 @@
 
     Attributes:
         lifetime_seconds: for how long a word counts.
-        reading_s: for how long a reading counts that was told at once.
+        prefill_lifetime_s: for how long a reading counts that was told at once.
     """
 
     engines: EngineTable
     lifetime_seconds: float = 1.0
-    reading_s: float = constants.TOLD_READING_S
+    prefill_lifetime_s: float = constants.TOLD_READING_S
     _reports: dict[_Source, _Report] = field(default_factory=dict)
-    _heard_readings: deque[_Reading] = field(default_factory=deque)
-    _own_readings: deque[_Reading] = field(default_factory=deque)
+    _peer_prefills: deque[_Prefill] = field(default_factory=deque)
+    _own_prefills: deque[_Prefill] = field(default_factory=deque)
 
     def update(self, node: str, loads: LoadByEngine, now: float, zone: str = "") -> None:
         """Replace what a peer told before, unless its zone's sum has it already."""
         if _Source(zone) in self._reports:
             return
-        self._replace(_Source(zone, node), loads, now)
+        self._replace_report(_Source(zone, node), loads, now)
 
     def update_zone(self, zone: str, loads: LoadByEngine, now: float) -> None:
         """Replace what was told of a zone and of its nodes."""
         for source in [s for s in self._reports if s.zone == zone and s.node]:
-            self._withdraw(source)
-        self._replace(_Source(zone), loads, now)
+            self._remove_report(source)
+        self._replace_report(_Source(zone), loads, now)
 
     def add_peer_prefill(self, engine_number: int, tokens: int, now: float) -> None:
         """Count a long prompt that a peer has just sent to an engine."""
@@ -79,44 +79,46 @@
         if view is None:
             return
         view.peer_load.waiting_tokens += tokens
-        self._heard_readings.append(_Reading(view, tokens, now + self.reading_s))
+        self._peer_prefills.append(_Prefill(view, tokens, now + self.prefill_lifetime_s))
 
     def add_own_prefill(self, view: EngineView, tokens: int, now: float) -> None:
         """Note that peers were told at once of a long prompt of this node."""
-        self._own_readings.append(_Reading(view, tokens, now + self.reading_s))
+        self._own_prefills.append(_Prefill(view, tokens, now + self.prefill_lifetime_s))
 
     def expire_prefills(self, now: float) -> None:
         """Drop readings that reports count by now, or that are over."""
-        while self._heard_readings and self._heard_readings[0].until <= now:
-            reading = self._heard_readings.popleft()
-            reading.view.peer_load.waiting_tokens -= reading.tokens
-        while self._own_readings and self._own_readings[0].until <= now:
-            self._own_readings.popleft()
+        while self._peer_prefills and self._peer_prefills[0].expires_at <= now:
+            prefill = self._peer_prefills.popleft()
+            prefill.view.peer_load.waiting_tokens -= prefill.tokens
+        while self._own_prefills and self._own_prefills[0].expires_at <= now:
+            self._own_prefills.popleft()
 
     def expire(self, now: float) -> None:
         """Drop words that are too old."""
         self.expire_prefills(now)
-        limit = now - self.lifetime_seconds
-        for source in [s for s, report in self._reports.items() if report.heard_at < limit]:
-            self._withdraw(source)
+        oldest = now - self.lifetime_seconds
+        for source in [s for s, report in self._reports.items() if report.received_at < oldest]:
+            self._remove_report(source)
 
     def own_loads(self) -> dict[str, EngineLoad]:
         """Return what this node has on engines, less what it told of at once."""
-        told: dict[str, int] = {}
-        for reading in self._own_readings:
-            engine_id = reading.view.engine_id
-            told[engine_id] = told.get(engine_id, 0) + reading.tokens
+        announced: dict[str, int] = {}
+        for prefill in self._own_prefills:
+            engine_id = prefill.view.engine_id
+            announced[engine_id] = announced.get(engine_id, 0) + prefill.tokens
         return {
-            view.engine_id: _told_load(view, told.get(view.engine_id, 0))
+            view.engine_id: _reported_load(view, announced.get(view.engine_id, 0))
             for view in self.engines
             if view.own_load.requests
         }
 
     def zone_sum(self, zone: str) -> dict[str, EngineLoad]:
         """Return what this node and the heard nodes of its zone have on engines."""
-        words = [report.loads for s, report in self._reports.items() if s.zone == zone and s.node]
+        reported_loads = [
+            report.loads for s, report in self._reports.items() if s.zone == zone and s.node
+        ]
         total: dict[str, EngineLoad] = {}
-        for loads in (self.own_loads(), *words):
+        for loads in (self.own_loads(), *reported_loads):
             for engine_id, load in loads.items():
                 known = total.setdefault(engine_id, EngineLoad(number=load.number))
                 # What others still have on a former incarnation ends with it.
@@ -124,8 +126,8 @@
                     known.add(load)
         return total
 
-    def _replace(self, source: _Source, loads: LoadByEngine, now: float) -> None:
-        self._withdraw(source)
+    def _replace_report(self, source: _Source, loads: LoadByEngine, now: float) -> None:
+        self._remove_report(source)
         known = ((self.engines.get(engine_id), load) for engine_id, load in loads.items())
         counted = tuple(
             (view, load)
@@ -136,14 +138,14 @@
             view.peer_load.add(load)
         self._reports[source] = _Report(loads, now, counted)
 
-    def _withdraw(self, source: _Source) -> None:
+    def _remove_report(self, source: _Source) -> None:
         report = self._reports.pop(source, None)
         for view, load in report.counted if report else ():
             view.peer_load.add(load, -1)
 
 
-def _told_load(view: EngineView, told_tokens: int) -> EngineLoad:
+def _reported_load(view: EngineView, announced_tokens: int) -> EngineLoad:
     """Return the own load on an engine, without the tokens that peers were told of at once."""
     load = view.own_load
-    waiting_tokens = max(0, load.waiting_tokens - told_tokens)
+    waiting_tokens = max(0, load.waiting_tokens - announced_tokens)
     return replace(load, waiting_tokens=waiting_tokens, number=view.told_number)
--- a/liftrill/gateway/peers/node_selection.py
+++ b/liftrill/gateway/peers/node_selection.py
@@ -17,31 +17,31 @@
 import xxhash
 
 from liftrill import constants
-from liftrill.gateway.peers.node_capacity import LATE_S, NodeLoad, total_load
+from liftrill.gateway.peers.node_capacity import LATE_THRESHOLD_S, NodeLoad, total_load
 
 # With half of a zone gone at once, one caller in 256 is left without an address until it asks
 # again; with more addresses the largest nodes couldn't be named as often as they can bear.
-LEAST_NAMED = 8
+MIN_SELECTED_NODES = 8
 # Callers are not divided for differences below this: nodes that are alike are all named.
-ALIKE_RATIO = 1.25
+MAX_SIMILAR_RATIO = 1.25
 # What a node that is late, short of memory or just back is named at the least, so that it's
 # found out when it is well again.
-LEAST_FACTOR = 0.1
+MIN_FACTOR = 0.1
 # Added to the spare share of each node: without it a busy fleet would send its callers to
 # whichever node told last that it has a little to spare.
 SPARE_MARGIN = 0.5
 # A node with much to spare gets at most this much more than its capacity asks for.
-MOST_FACTOR = 1.5
+MAX_FACTOR = 1.5
 # Above it a node is named about as often as its capacity asks for.
-NAMED_LESS_FACTOR = 1.0 / 1.5
+DEPRIORITIZED_FACTOR = 1.0 / 1.5
 # Factors are told apart in steps, so that nodes whose words differ by a little agree.
 FACTOR_STEP = 1.15
 # Requests of the largest bodies, and what the process needs beside them.
-ENOUGH_MEMORY_BYTES = 24 * 1_048_576
+SUFFICIENT_MEMORY_BYTES = 24 * 1_048_576
 # A node that comes back is named by degrees over this time, from this factor on: its caches of
 # connections are cold, and callers of the whole zone would come at once.
-RAMP_S = 2.0
-RAMP_FROM = 0.25
+RAMP_UP_S = 2.0
+RAMP_UP_START = 0.25
 
 
 @dataclass(frozen=True, slots=True)
@@ -63,9 +63,9 @@
         return self.capacity_cores * self.factor
 
     @property
-    def is_named_less(self) -> bool:
+    def is_deprioritized(self) -> bool:
         """Return whether it is late, short of memory, busier than others or just back."""
-        return self.factor < NAMED_LESS_FACTOR
+        return self.factor < DEPRIORITIZED_FACTOR
 
 
 class NodeSelection(ABC):
@@ -80,30 +80,30 @@
     """Decide how callers are divided among nodes."""
 
     @abstractmethod
-    def answers(self, candidates: Sequence[Candidate]) -> NodeSelection:
+    def select(self, candidates: Sequence[Candidate]) -> NodeSelection:
         """Return what callers are named."""
 
 
 class SelectAll(NodeSelectionPolicy):
     """Name every node to everyone, whatever it can bear."""
 
-    def answers(self, candidates: Sequence[Candidate]) -> NodeSelection:
+    def select(self, candidates: Sequence[Candidate]) -> NodeSelection:
         """Return the first of the candidates, as many as an answer holds."""
-        return _SameForAll([c.node_id for c in candidates[: constants.RESOLVE_ADDRESSES]])
+        return _FixedSelection([c.node_id for c in candidates[: constants.RESOLVE_ADDRESSES]])
 
 
 class WeightedSelection(NodeSelectionPolicy):
     """Name each node as often as its weight asks for."""
 
-    def answers(self, candidates: Sequence[Candidate]) -> NodeSelection:
+    def select(self, candidates: Sequence[Candidate]) -> NodeSelection:
         """Return samples of the nodes, or all of them where they are alike."""
         if are_alike(candidates):
-            return SelectAll().answers(candidates)
+            return SelectAll().select(candidates)
         return SampledSelection.of(candidates)
 
 
 @dataclass(frozen=True, slots=True)
-class _SameForAll(NodeSelection):
+class _FixedSelection(NodeSelection):
     """One answer for every caller."""
 
     node_ids: list[str]
@@ -116,12 +116,12 @@
 def are_alike(candidates: Sequence[Candidate]) -> bool:
     """Return whether nodes can bear about as much, and none is named less."""
     sizes = [c.capacity_cores for c in candidates]
-    return are_equal(sizes) and not any(c.is_named_less for c in candidates)
+    return have_similar_capacity(sizes) and not any(c.is_deprioritized for c in candidates)
 
 
-def are_equal(capacities: Sequence[float]) -> bool:
+def have_similar_capacity(capacities: Sequence[float]) -> bool:
     """Return whether capacities differ so little that callers are not divided by them."""
-    return not capacities or max(capacities) <= ALIKE_RATIO * min(capacities)
+    return not capacities or max(capacities) <= MAX_SIMILAR_RATIO * min(capacities)
 
 
 @dataclass(frozen=True, slots=True)
@@ -139,92 +139,92 @@
     @staticmethod
     def of(candidates: Sequence[Candidate]) -> "SampledSelection":
         """Return the samples of nodes that are not all alike."""
-        chances = chances_of([candidate.weight for candidate in candidates])
+        probabilities = inclusion_probabilities([candidate.weight for candidate in candidates])
         names = (candidate.node_id for candidate in candidates)
-        odds = tuple(zip(names, map(_odds, chances), strict=True))
-        return SampledSelection(odds, round(sum(chances)))
+        odds = tuple(zip(names, map(_odds, probabilities), strict=True))
+        return SampledSelection(odds, round(sum(probabilities)))
 
     def for_caller(self, caller: str) -> list[str]:
         """Return the nodes with the least numbers for a caller, by their odds."""
         key = caller.encode()
-        ranked = sorted((_odds(_number(key, name)) / odds, name) for name, odds in self.odds)
+        ranked = sorted((_odds(_uniform_hash(key, name)) / odds, name) for name, odds in self.odds)
         return [name for _, name in ranked[: self.size]]
 
 
-def _number(caller: bytes, node_id: str) -> float:
+def _uniform_hash(caller: bytes, node_id: str) -> float:
     """Return the number from 0 to 1 of a caller and a node."""
     return xxhash.xxh3_64_intdigest(caller + node_id.encode()) / 2**64
 
 
-def _odds(chance: float) -> float:
-    return chance / (1.0 - chance) if chance < 1.0 else math.inf
+def _odds(probability: float) -> float:
+    return probability / (1.0 - probability) if probability < 1.0 else math.inf
 
 
-def chances_of(weights: Sequence[float]) -> list[float]:
+def inclusion_probabilities(weights: Sequence[float]) -> list[float]:
     """Return the chance of each node to be in an answer; they add up to a whole number."""
     size = sample_size(weights)
-    chances = [0.0] * len(weights)
-    left = set(range(len(weights)))
-    room = float(size)
-    while left:
-        total = sum(weights[i] for i in left)
+    probabilities = [0.0] * len(weights)
+    remaining = set(range(len(weights)))
+    remaining_size = float(size)
+    while remaining:
+        total = sum(weights[i] for i in remaining)
         # A node that is in every answer can't be named more often.
-        full = {i for i in left if weights[i] * room >= total}
-        if not full:
-            for i in left:
-                chances[i] = weights[i] * room / total
+        certain = {i for i in remaining if weights[i] * remaining_size >= total}
+        if not certain:
+            for i in remaining:
+                probabilities[i] = weights[i] * remaining_size / total
             break
-        for i in full:
-            chances[i] = 1.0
-        left -= full
-        room -= len(full)
-    return chances
+        for i in certain:
+            probabilities[i] = 1.0
+        remaining -= certain
+        remaining_size -= len(certain)
+    return probabilities
 
 
 def sample_size(weights: Sequence[float]) -> int:
     """Return as many addresses as there can be without naming the largest node too seldom."""
-    fair = math.floor(sum(weights) / max(weights) + 1e-9)
-    return min(len(weights), constants.RESOLVE_ADDRESSES, max(LEAST_NAMED, fair))
+    proportional = math.floor(sum(weights) / max(weights) + 1e-9)
+    return min(len(weights), constants.RESOLVE_ADDRESSES, max(MIN_SELECTED_NODES, proportional))
 
 
-def candidates_of(
-    words: Mapping[str, NodeLoad], heard_s: Mapping[str, float | None]
+def weighted_candidates(
+    loads: Mapping[str, NodeLoad], reporting_for_s: Mapping[str, float | None]
 ) -> list[Candidate]:
     """Return nodes, in their order, with what they can bear and how much less they're named."""
-    usual = total_load(list(words.values()))
-    alike = are_equal([word.capacity_cores for word in words.values()])
+    total_of_all = total_load(list(loads.values()))
+    similar = have_similar_capacity([load.capacity_cores for load in loads.values()])
     found = []
-    for node_id, word in words.items():
-        factor = _in_time(word, usual) * _memory(word)
-        if not alike:
-            factor *= _spare(word, usual) * _ramp(heard_s[node_id])
-        found.append(Candidate(node_id, word.capacity_cores, _in_steps(factor)))
+    for node_id, load in loads.items():
+        factor = _lag_factor(load, total_of_all) * _memory_factor(load)
+        if not similar:
+            factor *= _spare_factor(load, total_of_all) * _ramp_up_factor(reporting_for_s[node_id])
+        found.append(Candidate(node_id, load.capacity_cores, _quantized(factor)))
     return found
 
 
-def _spare(word: NodeLoad, usual: NodeLoad) -> float:
-    share = (1.0 - word.used_share + SPARE_MARGIN) / (1.0 - usual.used_share + SPARE_MARGIN)
-    return min(MOST_FACTOR, share)
+def _spare_factor(load: NodeLoad, total_of_all: NodeLoad) -> float:
+    share = (1.0 - load.used_share + SPARE_MARGIN) / (1.0 - total_of_all.used_share + SPARE_MARGIN)
+    return min(MAX_FACTOR, share)
 
 
-def _in_time(word: NodeLoad, usual: NodeLoad) -> float:
+def _lag_factor(load: NodeLoad, total_of_all: NodeLoad) -> float:
     # Where all are late alike, there is nowhere better to go.
-    in_time_s = usual.late_s + LATE_S
-    return 1.0 if word.late_s <= in_time_s else in_time_s / word.late_s
+    tolerated_s = total_of_all.late_s + LATE_THRESHOLD_S
+    return 1.0 if load.late_s <= tolerated_s else tolerated_s / load.late_s
 
 
-def _memory(word: NodeLoad) -> float:
-    if not word.free_bytes:
+def _memory_factor(load: NodeLoad) -> float:
+    if not load.free_bytes:
         return 1.0
-    return min(1.0, word.free_bytes / ENOUGH_MEMORY_BYTES)
+    return min(1.0, load.free_bytes / SUFFICIENT_MEMORY_BYTES)
 
 
-def _ramp(heard_s: float | None) -> float:
-    if heard_s is None or heard_s >= RAMP_S:
+def _ramp_up_factor(reporting_for_s: float | None) -> float:
+    if reporting_for_s is None or reporting_for_s >= RAMP_UP_S:
         return 1.0
-    return RAMP_FROM + (1.0 - RAMP_FROM) * heard_s / RAMP_S
+    return RAMP_UP_START + (1.0 - RAMP_UP_START) * reporting_for_s / RAMP_UP_S
 
 
-def _in_steps(factor: float) -> float:
-    least = max(LEAST_FACTOR, factor)
-    return float(FACTOR_STEP ** round(math.log(least, FACTOR_STEP)))
+def _quantized(factor: float) -> float:
+    bounded = max(MIN_FACTOR, factor)
+    return float(FACTOR_STEP ** round(math.log(bounded, FACTOR_STEP)))
--- a/liftrill/gateway/peers/notice_codec.py
+++ b/liftrill/gateway/peers/notice_codec.py
@@ -57,13 +57,13 @@
 def datagrams_from_leaving(engines: Sequence[EngineAddress]) -> list[messages.Datagram]:
     """Return the datagrams that tell of engines which leave."""
     rows = [_leaving_message(engine) for engine in engines]
-    return [messages.Datagram(leaving=cut) for cut in _cuts(rows)]
+    return [messages.Datagram(leaving=chunk) for chunk in _chunks(rows)]
 
 
 def datagrams_from_limits(limits: Sequence[EngineLimit]) -> list[messages.Datagram]:
     """Return the datagrams that tell of limits which begin or end."""
-    rows = [limit_message(limit) for limit in limits]
-    return [messages.Datagram(limits=cut) for cut in _cuts(rows)]
+    rows = [message_from_limit(limit) for limit in limits]
+    return [messages.Datagram(limits=chunk) for chunk in _chunks(rows)]
 
 
 def datagrams_from_update(update: EngineUpdate) -> list[messages.Datagram]:
@@ -84,8 +84,8 @@
     ]
     return [
         *datagrams_from_leaving(update.leaving),
-        *(messages.Datagram(withheld=cut) for cut in _cuts(withheld)),
-        *(messages.Datagram(seen_weights=cut) for cut in _cuts(weights)),
+        *(messages.Datagram(withheld=chunk) for chunk in _chunks(withheld)),
+        *(messages.Datagram(seen_weights=chunk) for chunk in _chunks(weights)),
         *datagrams_from_limits(update.limits),
     ]
 
@@ -106,8 +106,10 @@
     )
 
 
-def _cuts(rows: list[_Row]) -> list[list[_Row]]:
-    return [rows[at : at + ROWS_PER_DATAGRAM] for at in range(0, len(rows), ROWS_PER_DATAGRAM)]
+def _chunks(rows: list[_Row]) -> list[list[_Row]]:
+    return [
+        rows[start : start + ROWS_PER_DATAGRAM] for start in range(0, len(rows), ROWS_PER_DATAGRAM)
+    ]
 
 
 def _leaving_message(engine: EngineAddress) -> messages.LeavingEngine:
@@ -125,7 +127,7 @@
     ]
 
 
-def limit_message(limit: EngineLimit) -> messages.EngineLimit:
+def message_from_limit(limit: EngineLimit) -> messages.EngineLimit:
     """Return the message of a limit."""
     return messages.EngineLimit(
         engine_id=limit.engine.engine_id,
@@ -160,7 +162,7 @@
     """Return the datagram that carries a request, a response or a receipt."""
     if isinstance(content, PermitRequest):
         request = messages.PermitRequest(
-            limit=limit_message(content.limit),
+            limit=message_from_limit(content.limit),
             number=content.number,
             patience_milliseconds=_milliseconds(content.patience_s),
         )
@@ -168,7 +170,7 @@
     if isinstance(content, PermitResponse):
         decision = content.decision
         response = messages.PermitResponse(
-            limit=limit_message(content.limit),
+            limit=message_from_limit(content.limit),
             number=decision.number,
             granted=decision.granted,
             wait_milliseconds=_milliseconds(decision.wait_s),
@@ -179,12 +181,12 @@
     rate_per_s = content.rate_per_s
     limit = EngineLimit(content.engine, rate_per_s or 0.0, in_force=rate_per_s is not None)
     receipt = messages.PermitReceipt(
-        limit=limit_message(limit), run=content.run, issued_at=content.issued_at
+        limit=message_from_limit(limit), run=content.run, issued_at=content.issued_at
     )
     return messages.Datagram(sender=sender, permit_receipt=receipt)
 
 
-def limit_message_from(message: messages.Datagram) -> LimitMessage:
+def limit_message_from_datagram(message: messages.Datagram) -> LimitMessage:
     """Return the request, the response or the receipt that a datagram carries."""
     if message.HasField("permit_request"):
         request = message.permit_request
--- a/liftrill/gateway/peers/peer_link.py
+++ b/liftrill/gateway/peers/peer_link.py
@@ -40,7 +40,7 @@
     datagrams_from_limits,
     datagrams_from_update,
     has_limit_message,
-    limit_message_from,
+    limit_message_from_datagram,
     notice_from_message,
     update_from_message,
 )
@@ -61,10 +61,10 @@
 )
 
 # A notice is sent this often, since datagrams are lost now and then.
-NOTICE_REPEATS = 2
-NOTICE_SPACING_SECONDS = 0.05
+NOTICE_SENDS = 2
+NOTICE_INTERVAL_SECONDS = 0.05
 # When runs under which engines ended are told: what is lost in a burst of losses comes later.
-CRASH_REPEATS_S = (0.0, 0.05, 0.5)
+RESEND_DELAYS_S = (0.0, 0.05, 0.5)
 PROBE_TIMEOUT_SECONDS = 0.3
 SUSPICION_SECONDS = 1.5
 DEAD_RETENTION_SECONDS = 600.0
@@ -108,7 +108,7 @@
         self._transport: asyncio.DatagramTransport | None = None
         self._assembler = ReportAssembler()
         self._reports_sent = 0
-        self._turn = BroadcastBatch()
+        self._batch = BroadcastBatch()
 
     async def listen(self, address: str) -> None:
         """Open the UDP socket."""
@@ -119,40 +119,40 @@
     async def run(self) -> None:
         """Let time pass for the membership for as long as the node runs."""
         while True:
-            self._carry_out(self._membership.handle(Ticked(), clock.now_s()))
+            self._execute(self._membership.handle(Ticked(), clock.now_s()))
             await ticks.pause(constants.PEER_TICK_SECONDS)
 
     def announce_version(self, version: int) -> None:
         """Tell a few members of the configuration version in force here."""
         self._membership.generation = version
-        self._carry_out(self._membership.announce())
+        self._execute(self._membership.announce())
 
     def announce_departure(self) -> None:
         """Tell all members that this node takes no new callers."""
-        self._carry_out(self._membership.depart())
+        self._execute(self._membership.depart())
         own = self._membership.own
-        farewell = Datagram(own.node_id, 0, Ping(), (own,), self._membership.generation)
+        departure = Datagram(own.node_id, 0, Ping(), (own,), self._membership.generation)
         for member in self._membership.members():
-            self._send(member.address, datagram_message(farewell))
+            self._send(member.address, datagram_message(departure))
 
     async def broadcast_notices(self, notices: list[EngineNotice]) -> None:
         """Tell all members of some engines."""
-        for _ in range(NOTICE_REPEATS):
+        for _ in range(NOTICE_SENDS):
             self._send_all(self._others(), datagram_from_notices(notices))
-            await asyncio.sleep(NOTICE_SPACING_SECONDS)
+            await asyncio.sleep(NOTICE_INTERVAL_SECONDS)
 
-    def send_reports(self, words: list[SendReport]) -> None:
+    def send_reports(self, deliveries: list[SendReport]) -> None:
         """Send reports of load to the members that they are meant for."""
-        for word in words:
+        for delivery in deliveries:
             self._reports_sent += 1
-            for datagram in datagrams_from_report(word.report, self._reports_sent):
-                self._send_all(word.members, datagram)
+            for datagram in datagrams_from_report(delivery.report, self._reports_sent):
+                self._send_all(delivery.members, datagram)
 
     def broadcast_prefill(self, engine_number: int, tokens: int) -> None:
         """Tell all members at once that an engine was given a long prompt to read."""
-        begun = messages.ReadingBegun(engine=engine_number, tokens=tokens)
-        self._tell_after_turn()
-        self._turn.add_reading(begun)
+        prefill = messages.ReadingBegun(engine=engine_number, tokens=tokens)
+        self._schedule_batch()
+        self._batch.add_prefill(prefill)
 
     def broadcast_spending(self, notice: SpendingNotice) -> None:
         """Tell all members at once what a tenant's request counts under its limit, or no more."""
@@ -161,41 +161,41 @@
             sequence=notice.number,
             spends=messages.TenantSpending(tenant=notice.tenant, amount=notice.amount),
         )
-        self._tell_after_turn()
-        self._turn.add_spending(message)
+        self._schedule_batch()
+        self._batch.add_spending(message)
 
-    def _tell_after_turn(self) -> None:
+    def _schedule_batch(self) -> None:
         """Send the words of this turn of the event loop when it is over.
 
         Called before a word is added: the first one of a turn arranges the sending.
         """
-        if not self._turn:
-            asyncio.get_running_loop().call_soon(self._tell_turn)
+        if not self._batch:
+            asyncio.get_running_loop().call_soon(self._send_batch)
 
-    def _tell_turn(self) -> None:
+    def _send_batch(self) -> None:
         members = self._others()
-        for datagram in self._turn.take():
+        for datagram in self._batch.take():
             self._send_all(members, datagram)
 
     def tell_lost(self, runs: list[LostRun]) -> None:
         """Tell all members of runs under which engines ended, and some times again."""
         loop = asyncio.get_running_loop()
-        for wait_s in CRASH_REPEATS_S:
-            loop.call_later(wait_s, self._send_lost, runs)
+        for wait_s in RESEND_DELAYS_S:
+            loop.call_later(wait_s, self._send_lost_runs, runs)
 
     def tell_quarantined(self, entry: QuarantineEntry, node: str = "") -> None:
         """Tell one member, or all, of a request that is kept from engines, some times again."""
-        self._repeat(datagram_from_entry(entry), node)
+        self._send_repeatedly(datagram_from_entry(entry), node)
 
     def broadcast_leaving(self, engines: Sequence[EngineAddress]) -> None:
         """Tell all members of engines that leave, some times again."""
         for message in datagrams_from_leaving(engines):
-            self._repeat(message)
+            self._send_repeatedly(message)
 
     def broadcast_limit(self, limit: EngineLimit) -> None:
         """Tell all members of a limit that begins or ends, some times again."""
         for message in datagrams_from_limits([limit]):
-            self._repeat(message)
+            self._send_repeatedly(message)
 
     def send_limit_message(self, node: str, content: LimitMessage) -> None:
         """Send one member what its permits, or those that it issues, need; once."""
@@ -209,24 +209,24 @@
         for message in datagrams_from_update(update):
             self._send_to(message, node)
 
-    def _repeat(self, message: messages.Datagram, node: str = "") -> None:
+    def _send_repeatedly(self, message: messages.Datagram, node: str = "") -> None:
         """Send a message to one member, or all, now and some times again."""
         loop = asyncio.get_running_loop()
-        for wait_s in CRASH_REPEATS_S:
+        for wait_s in RESEND_DELAYS_S:
             loop.call_later(wait_s, self._send_to, message, node)
 
     def _send_to(self, message: messages.Datagram, node: str) -> None:
         members = [member for member in self._others() if node in ("", member.node_id)]
         self._send_all(members, message)
 
-    def _send_lost(self, runs: list[LostRun]) -> None:
+    def _send_lost_runs(self, runs: list[LostRun]) -> None:
         own = self._membership.own.node_id
         for message in datagrams_from_runs(own, runs, clock.now_s()):
             self._send_all(self._others(), message)
 
     def tell_served(self, fingerprint: bytes) -> None:
         """Tell all members that a suspected request was served, and some times again."""
-        self._repeat(messages.Datagram(served=[fingerprint]))
+        self._send_repeatedly(messages.Datagram(served=[fingerprint]))
 
     def close(self) -> None:
         """Close the UDP socket."""
@@ -241,44 +241,44 @@
         """Take in a datagram (asyncio callback)."""
         try:
             message = parse_message(data)
-            if self._take_notice(message):
+            if self._dispatch(message):
                 return
             event = DatagramReceived(f"{addr[0]}:{addr[1]}", datagram_from_message(message))
         except GossipDecodeError:
             return
-        self._carry_out(self._membership.handle(event, clock.now_s()))
+        self._execute(self._membership.handle(event, clock.now_s()))
 
-    def _take_notice(self, message: messages.Datagram) -> bool:
+    def _dispatch(self, message: messages.Datagram) -> bool:
         """Take in what a peer tells, and return whether it is anything besides membership."""
         if message.HasField("spends"):
             spends = message.spends
             notice = SpendingNotice(spends.tenant, spends.amount, message.sequence)
             self._callbacks.spending(message.sender, notice)
-            self._take_readings(message)
+            self._dispatch_prefills(message)
         elif message.HasField("reading_begun"):
-            self._take_readings(message)
+            self._dispatch_prefills(message)
         elif message.lost_runs or message.served or message.HasField("quarantined"):
-            self._take_crash_news(message)
+            self._dispatch_crash_messages(message)
         elif message.speeds:
             self._callbacks.speeds(speeds_from_message(message))
         elif has_limit_message(message):
-            self._callbacks.limit_message(message.sender, limit_message_from(message))
+            self._callbacks.limit_message(message.sender, limit_message_from_datagram(message))
         elif message.leaving or message.withheld or message.seen_weights or message.limits:
             self._callbacks.engine_update(update_from_message(message))
         elif message.notices or message.loads:
-            self._take_word(message)
+            self._dispatch_reports(message)
         else:
             return False
         return True
 
-    def _take_readings(self, message: messages.Datagram) -> None:
+    def _dispatch_prefills(self, message: messages.Datagram) -> None:
         if message.HasField("reading_begun"):
             first = message.reading_begun
             self._callbacks.reading_begun(first.engine, first.tokens)
-        for begun in message.readings:
-            self._callbacks.reading_begun(begun.engine, begun.tokens)
+        for prefill in message.readings:
+            self._callbacks.reading_begun(prefill.engine, prefill.tokens)
 
-    def _take_word(self, message: messages.Datagram) -> None:
+    def _dispatch_reports(self, message: messages.Datagram) -> None:
         for notice in message.notices:
             self._callbacks.notice(notice_from_message(notice))
         if message.loads:
@@ -286,7 +286,7 @@
             if report is not None:
                 self._callbacks.loads(report)
 
-    def _take_crash_news(self, message: messages.Datagram) -> None:
+    def _dispatch_crash_messages(self, message: messages.Datagram) -> None:
         runs = runs_from_message(message, clock.now_s())
         if runs:
             self._callbacks.lost_runs(message.sender, runs)
@@ -299,7 +299,7 @@
     def error_received(self, exc: Exception) -> None:
         """Ignore what the network says of a lost datagram: probes notice it."""
 
-    def _carry_out(self, instructions: list[MembershipInstruction]) -> None:
+    def _execute(self, instructions: list[MembershipInstruction]) -> None:
         for instruction in instructions:
             if isinstance(instruction, SendDatagram):
                 self._send(instruction.address, datagram_message(instruction.datagram))
--- a/liftrill/gateway/peers/silence_detector.py
+++ b/liftrill/gateway/peers/silence_detector.py
@@ -14,30 +14,30 @@
 MAX_REPORT_INTERVAL_S = 0.4
 # Five idle reports: a few lost ones silence nobody, and a node that is gone is named by nobody
 # after it.
-SILENT_AFTER_S = 2.0
+SILENCE_TIMEOUT_S = 2.0
 # With more of the peers silent it is this node that hears nobody.
-MOST_SILENT_SHARE = 0.5
+MAX_SILENT_SHARE = 0.5
 
 
 @dataclass(slots=True)
 class SilenceDetector:
     """When each peer that reports to this node was last heard."""
 
-    _heard_at: dict[str, float] = field(default_factory=dict)
+    _last_report_at: dict[str, float] = field(default_factory=dict)
 
     def record_report(self, node_id: str, now: float) -> None:
         """Note that a peer reported."""
-        self._heard_at[node_id] = now
+        self._last_report_at[node_id] = now
 
     def reporting_members(self, members: Iterable[Member], now: float) -> list[Member]:
         """Return the members that are not known to be silent."""
         listed = list(members)
-        limit = now - SILENT_AFTER_S
-        silent = {m.node_id for m in listed if self._heard_at.get(m.node_id, now) < limit}
-        if len(silent) > MOST_SILENT_SHARE * len(listed):
+        oldest = now - SILENCE_TIMEOUT_S
+        silent = {m.node_id for m in listed if self._last_report_at.get(m.node_id, now) < oldest}
+        if len(silent) > MAX_SILENT_SHARE * len(listed):
             return listed
         return [member for member in listed if member.node_id not in silent]
 
     def forget(self, node_id: str) -> None:
         """Forget a peer that is dead or has departed: it may come back under its name."""
-        self._heard_at.pop(node_id, None)
+        self._last_report_at.pop(node_id, None)
--- a/liftrill/gateway/peers/speed_exchange.py
+++ b/liftrill/gateway/peers/speed_exchange.py
@@ -11,7 +11,7 @@
 from liftrill.gateway.peers.load_exchange import LoadReport, LoadScope, SendReport
 
 # Often enough that an engine's recovery is known within two seconds.
-TOLD_EACH_S = 1.0
+REPORT_INTERVAL_S = 1.0
 
 
 @dataclass(slots=True)
@@ -24,16 +24,18 @@
 
     board: SpeedBoard
     zone: str
-    _told_at: float = -math.inf
+    _reported_at: float = -math.inf
 
     def due_reports(self, loads: list[SendReport], now: float) -> list[SendReport]:
         """Return what to tell now, to the members that words of loads go to."""
-        if now - self._told_at < TOLD_EACH_S:
+        if now - self._reported_at < REPORT_INTERVAL_S:
             return []
-        self._told_at = now
-        words = [SendReport(self._report(word.report, now), word.members) for word in loads]
+        self._reported_at = now
+        deliveries = [
+            SendReport(self._report(delivery.report, now), delivery.members) for delivery in loads
+        ]
         self.board.told()
-        return [word for word in words if word.report.speeds and word.members]
+        return [delivery for delivery in deliveries if delivery.report.speeds and delivery.members]
 
     def apply_report(self, report: LoadReport, now: float) -> None:
         """Take in what a node, or the nodes of another zone, observed."""
