--- a/liftrill/gateway/holding/memory_budget.py
+++ b/liftrill/gateway/holding/memory_budget.py
@@ -46,7 +46,7 @@
         let_go: ends what is held, where the budget asks for it.
     """
 
-    __slots__ = ("_budget", "_closed", "caller", "held_bytes", "on_evicted", "purpose", "since")
+    __slots__ = ("_budget", "_closed", "caller", "held_bytes", "on_evicted", "opened_at", "purpose")
 
     def __init__(
         self,
--- a/liftrill/gateway/peers/node_directory.py
+++ b/liftrill/gateway/peers/node_directory.py
@@ -94,7 +94,7 @@
         node_ids = [member.node_id for member in members]
         plan = self._plans.get(zone)
         if plan is None or plan.node_ids != node_ids or now - plan.made_at >= PLAN_LIFETIME_S:
-            plan = _Plan(now, node_ids, self.policy.answers(self._candidates(members, zone, now)))
+            plan = _Plan(now, node_ids, self.policy.select(self._candidates(members, zone, now)))
             self._plans[zone] = plan
         by_id = {member.node_id: member for member in members}
         return [by_id[node_id] for node_id in plan.answers.for_caller(caller)]
