--- a/liftrill/gateway/peers/__init__.py
+++ b/liftrill/gateway/peers/__init__.py
@@ -1,1 +1,1 @@
-"""What nodes tell each other."""
+"""Exchange of state between nodes: load, capacity, engine notices and membership."""
--- a/liftrill/gateway/peers/capable_nodes.py
+++ b/liftrill/gateway/peers/capable_nodes.py
@@ -1,8 +1,8 @@
-"""Which nodes do the work that isn't requests, chosen alike by all, sans-IO.
+"""Selects the nodes that do work other than serving requests, sans-IO.
 
-What a machine can bear stands in its record of membership and doesn't change while its process
-lives. So nodes that know the same members choose the same ones, and where they don't yet, they
-differ as they do about a member that one of them has not heard of.
+A node's capacity is part of its membership record and does not change while its process runs, so
+nodes with the same view of the membership select the same nodes. Views that have not converged yet
+may give different selections, as for any member that is unknown to one of the nodes.
 """
 
 from collections.abc import Iterable
@@ -10,13 +10,13 @@
 from liftrill.coordination import rendezvous
 from liftrill.coordination.membership_messages import Member
 
-# A node does such work if it has this share of the mean at least. Where machines are alike, up to
-# a difference of a fifth, all of them do.
+# Minimum capacity of a capable node, as a share of the mean capacity. Machines that differ by less
+# than a fifth are all capable.
 MIN_CAPACITY_SHARE = 0.8
 
 
 def capable_members(members: Iterable[Member]) -> list[Member]:
-    """Return the members that can bear work beside requests; one that tells nothing counts."""
+    """Return the members with capacity for background work; unknown capacity is sufficient."""
     listed = list(members)
     known_capacities = [
         member.capacity_millicores for member in listed if member.capacity_millicores
@@ -30,7 +30,7 @@
 
 
 def ranked(key: bytes, members: Iterable[Member]) -> list[Member]:
-    """Return the members in the order in which a work is theirs, those that can bear it first."""
+    """Return the members in rendezvous order of a key, capable members first."""
     by_id = {member.node_id: member for member in members}
     capable_ids = {member.node_id for member in capable_members(by_id.values())}
     ranked_ids = rendezvous.rank(key, by_id)
--- a/liftrill/gateway/peers/engine_gossip.py
+++ b/liftrill/gateway/peers/engine_gossip.py
@@ -1,4 +1,4 @@
-"""What nodes tell each other of engines besides the records in the store."""
+"""Exchange of engine state between nodes that the records in the store do not hold."""
 
 import asyncio
 from collections.abc import Callable
@@ -23,18 +23,19 @@
 from liftrill.gateway.gateway_metrics import GatewayMetrics
 from liftrill.gateway.peers.peer_link import PeerLink
 
-# When a node that joins is told again of engines to leave alone: once the others have heard of a
-# return of the store that came just then (guess). Datagrams are lost now and then, too.
+# Delays after which the state is sent to a joining node again: by then the other nodes know of a
+# store that came back just before the join. Also makes up for lost datagrams.
 JOINER_RESEND_DELAYS_S = (0.3, 1.0)
-# How many nodes tell it of all weights: 18 KB each for 300 engines with one model (encoded rows);
-# one may have just started, and datagrams of another be lost (guess).
+# Number of nodes that send all weights to a joining node: one of them may have just started, and
+# datagrams of another may be lost. Each sends 18 KB for 300 engines with one model.
 JOINER_WEIGHT_SENDERS = 3
-# A node that starts takes itself for the only one until it knows the others.
+# A node issues no permits before this time, since it counts itself as the only node until it knows
+# the others.
 MIN_ISSUER_UPTIME_S = 1.0
 
 
 class EngineGossip:
-    """Takes in what engines say to this node, and what peers say of them; tells peers."""
+    """Applies engine state from answers and from peers, and forwards it to peers."""
 
     def __init__(
         self,
@@ -53,7 +54,7 @@
         self._metrics = metrics
 
     def handle_engine_message(self, word: EngineWord) -> None:
-        """Take in what an engine says of itself in an answer to this node."""
+        """Apply what an engine reports of itself in an answer, and broadcast that it leaves."""
         self._metrics.count_word(word)
         if word.rest_s:
             self._log.engine_rests(word)
@@ -68,7 +69,7 @@
             self._peers.broadcast_leaving([word.engine])
 
     def apply_update(self, update: EngineUpdate) -> None:
-        """Take in what a peer tells."""
+        """Apply an update from a peer."""
         now = clock.now_s()
         for engine in update.leaving:
             if self._engines.hear(EngineWord(engine, "peer", leaving=True), now):
@@ -79,10 +80,10 @@
             self._log.belief("engine_withheld", engine=record.engine_id, revision=record.revision)
 
     def send_state_to_joiner(self, joiner: Member) -> None:
-        """Tell a node that joins what it can't read in the store.
+        """Send a joining node the state that it can't read in the store.
 
-        It may have started after others were told, and the store may have come back from an older
-        copy: what that lacks nobody but the other nodes can tell it.
+        It may have started after that state was broadcast, and the store may have been restored
+        from an older copy: what the copy lacks is known to the other nodes only.
         """
         self._send_state(joiner.node_id, with_all_weights=self._sends_weights_to(joiner))
         loop = asyncio.get_running_loop()
@@ -90,10 +91,10 @@
             loop.call_later(wait_s, self._send_state, joiner.node_id)
 
     def _sends_weights_to(self, joiner: Member) -> bool:
-        """Return whether this node is one of the few that tell a joiner of all weights.
+        """Return whether this node is one of the few that send all weights to a joining node.
 
-        It may read a store's older copy before anybody else does, and asks engines for weights
-        that they have no more.
+        The joining node may be the first to read an older copy of the store, and would then ask
+        engines for weights that they no longer have.
         """
         members = (member.node_id for member in self._membership.members())
         candidates = [node for node in members if node != joiner.node_id]
@@ -117,10 +118,10 @@
 
 
 class LimitMessenger(LimitPeers):
-    """What the limits of a gateway ask of its peers.
+    """Sends limits and permits to peers, and logs and counts their changes.
 
     Attributes:
-        wake_waiting: lets requests that wait for engines look again.
+        wake_waiting: makes requests that wait for engines check for one again.
     """
 
     def __init__(
@@ -147,7 +148,7 @@
         return self._membership.own.node_id
 
     def issuer(self, engine: EngineAddress) -> str:
-        """Return the node that issues permits for an engine: one of those believed alive."""
+        """Return the node that issues permits for an engine, one of the live members."""
         members = self._membership.members()
         if members is not self._issuer_members:
             self._issuer_members = members
@@ -161,7 +162,7 @@
     def issuing_share(self) -> float:
         """Return the share of a limit that this node may issue.
 
-        Each side of a cut has an issuer of its own: their shares add up to one.
+        In a network partition each side has an issuer of its own, and their shares add up to one.
         """
         if clock.now_s() - self._started_at < MIN_ISSUER_UPTIME_S:
             return 0.0
@@ -172,7 +173,7 @@
         self._peers.send_limit_message(node, message)
 
     def broadcast(self, limit: EngineLimit) -> None:
-        """Tell all nodes of a limit that begins or ends."""
+        """Broadcast a limit that begins or ends."""
         self._peers.broadcast_limit(limit)
 
     def limit_changed(self, limit: EngineLimit, source: str) -> None:
@@ -189,19 +190,19 @@
         )
 
     def permit_granted(self) -> None:
-        """Count a permit."""
+        """Count a granted permit."""
         self._metrics.permits.labels("granted").inc()
 
     def permit_refused(self, engine: EngineAddress, user: str, issuer: str, wait_s: float) -> None:
-        """Log and count that a request got no permit."""
+        """Log and count a refused permit."""
         self._metrics.permits.labels("refused").inc()
         self._log.permit_refused(user, engine, issuer, wait_s)
 
     def permit_unanswered(self, engine: EngineAddress, issuer: str) -> None:
-        """Log and count that an issuer did not answer in time."""
+        """Log and count a permit request that its issuer did not answer in time."""
         self._metrics.permits.labels("none").inc()
         self._log.permit_unanswered(engine, issuer)
 
     def permits_changed(self) -> None:
-        """Let requests that wait for engines look again."""
+        """Make requests that wait for engines check for one again."""
         self.wake_waiting()
--- a/liftrill/gateway/peers/node_directory.py
+++ b/liftrill/gateway/peers/node_directory.py
@@ -1,4 +1,4 @@
-"""Answers callers who ask which nodes to use, from what nodes tell of themselves, sans-IO."""
+"""Tells callers which nodes to use, by the load that nodes report, sans-IO."""
 
 from collections.abc import Sequence
 from dataclasses import dataclass, field
@@ -19,36 +19,36 @@
     weighted_candidates,
 )
 
-# With fewer nodes than this in the caller's zone, nodes of all zones are named.
+# With fewer nodes than this in the caller's zone, nodes of all zones are returned.
 MIN_ZONE_NODES = 2
-# Words come a few times a second; weights are worked out as often, not for each question.
+# Nodes report their load a few times a second, so a selection is reused for as long.
 PLAN_LIFETIME_S = 0.25
-# A zone that would use more of its capacity names nodes of other zones too, as many as bring it
-# down to this, and as those can bear below it: bytes between zones cost, and are spent where
-# requests would wait without.
+# A zone above this utilization also sends callers to other zones: as many as bring it down to this
+# value, and no more than the other zones can serve below it. Traffic between zones has a cost, so
+# it is used only where requests would otherwise wait.
 TARGET_UTILIZATION = 0.9
-# Share of the way to what is wanted of other zones that is gone with each beat: callers come
-# seconds after they are named, so a zone that gave too many away would get them all back.
+# Share of the difference to the wanted spillover that is applied with each update. Callers move
+# seconds after they get a new answer, so larger steps would overshoot and send them back again.
 SPILLOVER_SMOOTHING = 0.2
-# More than this share of a zone's own capacity is not wanted of others: the callers that it
-# would bring there are still here when it is found out that they were too many.
+# Maximum spillover as a share of the zone's own capacity: the effect of a larger one would only be
+# seen after too many callers had been sent away.
 MAX_SPILLOVER_SHARE = 0.25
-# A zone that tells of no capacity wants nothing.
+# Lower bound of the divisor, for a zone that reports no capacity: such a zone wants no spillover.
 MIN_CAPACITY_CORES = 0.001
-# Less than this share of a zone's callers is not sent away for.
+# Spillover below this share of the zone's own capacity is ignored.
 MIN_SPILLOVER_SHARE = 0.02
 
 
 @dataclass(frozen=True, slots=True)
 class NodePriorityChange:
-    """A node is named less than it can bear from now on, or in full again."""
+    """A node was deprioritized, or is selected by its full capacity again."""
 
     candidate: Candidate
     load: NodeLoad
     reporting_for_s: float | None
 
     def log_fields(self) -> dict[str, object]:
-        """Return what a line of the log tells."""
+        """Return the fields of the log line."""
         return {
             "peer": self.candidate.node_id,
             "in_full": not self.candidate.is_deprioritized,
@@ -63,7 +63,7 @@
 
 @dataclass(slots=True)
 class _Plan:
-    """What callers of a zone are named for a while."""
+    """The cached selection for the callers of one zone."""
 
     made_at: float
     node_ids: list[str]
@@ -72,10 +72,11 @@
 
 @dataclass(slots=True)
 class NodeDirectory:
-    """The answers of one node.
+    """Answers callers of one node that ask which nodes to use.
 
     Attributes:
-        lends: whether callers of a zone that is full are sent to other zones.
+        allows_spillover: whether callers of a zone at its target utilization are sent to other
+            zones.
     """
 
     capacities: NodeCapacities
@@ -90,7 +91,7 @@
     def nodes_for(
         self, members: Sequence[Member], zone: str, caller: str, now: float
     ) -> list[Member]:
-        """Return the members that a caller of a zone should use, of those that are alive."""
+        """Return those of the given live members that a caller of a zone should use."""
         node_ids = [member.node_id for member in members]
         plan = self._plans.get(zone)
         if plan is None or plan.node_ids != node_ids or now - plan.made_at >= PLAN_LIFETIME_S:
@@ -100,13 +101,13 @@
         return [by_id[node_id] for node_id in plan.answers.for_caller(caller)]
 
     def update(self, members: Sequence[Member], zone: str, now: float) -> list[NodePriorityChange]:
-        """Work out anew what this node's zone wants of others, and return who is named anew."""
+        """Update the spillover of this node's zone, and return the changed priorities of its nodes."""
         if self.allows_spillover:
             self._update_spillover(members, zone, now)
         return self._changes([m for m in members if m.zone == zone], now)
 
     def _changes(self, members: Sequence[Member], now: float) -> list[NodePriorityChange]:
-        """Return which nodes are named less, or in full again, since the last beat."""
+        """Return the nodes that were deprioritized or restored since the last update."""
         node_ids = [member.node_id for member in members]
         loads = self.capacities.node_loads(node_ids, now)
         found = self._weighted_candidates(members, now)
@@ -135,7 +136,7 @@
     # Other zones
 
     def _spillover_candidates(self, members: Sequence[Member], zone: str) -> list[Candidate]:
-        """Return nodes of other zones, with what they spare for this node's zone."""
+        """Return nodes of other zones, with the capacity that they spare for this node's zone."""
         found: list[Candidate] = []
         for other, cores in self._spillover_cores.items():
             nodes = [m.node_id for m in members if m.zone == other]
@@ -144,14 +145,14 @@
         return found
 
     def _update_spillover(self, members: Sequence[Member], zone: str, now: float) -> None:
-        """Come closer to what the own zone wants of the others and these can spare."""
+        """Move the spillover to each zone towards what is wanted and what that zone can spare."""
         nodes: dict[str, list[str]] = {zone: []}
         for member in members:
             nodes.setdefault(member.zone, []).append(member.node_id)
         loads = list(self.capacities.node_loads(nodes.pop(zone), now).values())
         zone_total = total_load(loads)
         wanted = 0.0
-        # Nodes that are alike name each other alone until they are late.
+        # A zone of nodes with similar capacity has no spillover until its nodes are late.
         if (
             not have_similar_capacity([load.capacity_cores for load in loads])
             or zone_total.late_s > LATE_THRESHOLD_S
@@ -168,7 +169,7 @@
         self._min_spillover_cores = MIN_SPILLOVER_SHARE * zone_total.capacity_cores
 
     def _wanted_spillover(self, zone_total: NodeLoad) -> float:
-        """Return the capacity beyond its own with which a zone would be as busy as it may be."""
+        """Return the additional capacity that brings a zone down to its target utilization."""
         serving_cores = zone_total.capacity_cores + sum(self._spillover_cores.values())
         demand_share = _demand_cores(zone_total) / max(
             zone_total.capacity_cores, MIN_CAPACITY_CORES
@@ -177,7 +178,7 @@
         return min(MAX_SPILLOVER_SHARE * zone_total.capacity_cores, max(0.0, wanted))
 
     def _spare_cores(self, zone: str, nodes: list[str], now: float) -> float:
-        """Return what another zone can spare, with what it is taken to spare already."""
+        """Return the capacity that another zone can spare, its current spillover included."""
         load = self.capacities.zone_load(zone, now) or self.capacities.total(nodes, now)
         if not load.capacity_cores:
             return 0.0
@@ -186,10 +187,10 @@
 
 
 def _demand_cores(load: NodeLoad) -> float:
-    """Return the use that nodes are asked for; beyond their capacity it shows as lateness."""
+    """Return the demand on nodes; demand beyond their capacity shows as lateness."""
     return load.used_cores * (1.0 + load.late_s)
 
 
 def _equal_shares(node_ids: list[str], cores: float) -> list[Candidate]:
-    """Return nodes that share alike in what their zone lends: each alone isn't known here."""
+    """Return nodes with equal shares of their zone's spillover: single loads are unknown."""
     return [Candidate(node_id, cores / len(node_ids)) for node_id in node_ids]
