--- a/liftrill/gateway/peers/load_codec.py
+++ b/liftrill/gateway/peers/load_codec.py
@@ -1,7 +1,7 @@
-"""Turns reports of load into datagrams and back.
+"""Encodes load reports into datagrams and decodes them.
 
-A report of a large zone does not fit one datagram, and what is larger than a packet of the
-network is lost. So it is cut into pieces, and counts once all of them came.
+A report of a large zone does not fit one datagram, and datagrams larger than a network packet are
+lost. So such a report is split into pieces, and is applied once all pieces have arrived.
 """
 
 import itertools
@@ -25,13 +25,13 @@
     LoadScope.GROUP_SUM: messages.GROUP_SUM,
 }
 SCOPES_BY_NUMBER = {number: scope for scope, number in SCOPES.items()}
-# What one datagram may hold of each, so that it stays under 1,200 bytes: a row of load takes
-# 40 bytes with an id of 12 letters, a kept part 18, and a tenant's spending 24 with a name of
-# 15 letters (worked out from the wire format).
+# Maximum rows of each kind in one datagram, which then stays under 1,200 bytes: encoded, a load row
+# takes 40 bytes with an id of 12 letters, a kept part 18, and a tenant's spending 24 with a name of
+# 15 letters.
 LOADS_PER_DATAGRAM = 14
 KEPT_PER_DATAGRAM = 24
 TENANTS_PER_DATAGRAM = 6
-# A row of speed takes 30 bytes (worked out from the wire format), and each counts by itself.
+# A speed row takes 30 bytes encoded. Each row is applied by itself, without waiting for the others.
 SPEEDS_PER_DATAGRAM = 32
 HUNDREDTHS_PER_ANSWER = 100
 MS_PER_S = 1_000
@@ -42,7 +42,7 @@
 
 
 def datagrams_from_report(report: LoadReport, sequence: int) -> list[messages.Datagram]:
-    """Return the datagrams that carry a report, each small enough to arrive."""
+    """Return the datagrams that carry a report, each smaller than a network packet."""
     if report.speeds:
         return [
             _speed_datagram(report, rows)
@@ -89,7 +89,7 @@
         )
         for engine_id, load in loads
     ]
-    # Without a row it would not be known for a report: a node without load says so too.
+    # Receivers recognize a report by its load rows, so a report without load has one empty row.
     return messages.Datagram(
         sender=report.node,
         zone=report.zone,
@@ -105,7 +105,7 @@
 
 
 def report_from_message(message: messages.Datagram) -> LoadReport:
-    """Return the report, or the piece of one, that a datagram carries."""
+    """Return the report, or the piece of a report, that a datagram carries."""
     loads = {
         row.engine_id: EngineLoad(
             row.requests,
@@ -118,7 +118,7 @@
         if row.engine_id
     }
     scope = SCOPES_BY_NUMBER.get(message.load_scope, LoadScope.NODE)
-    # A node of an older version tells the parts alone.
+    # A node of an older version sends kept_parts without the lists that go with it.
     rows = itertools.zip_longest(
         message.kept_parts,
         message.kept_by,
@@ -128,16 +128,16 @@
     )
     kept = tuple(KeptPart(part, engine, _stage(*flags)) for part, engine, *flags in rows)
     quota = _quota(message) if message.spent_by_nodes else None
-    word = _load_from_message(message.node_load) if message.HasField("node_load") else None
-    return LoadReport(scope, message.sender, message.zone, loads, kept, quota, node_load=word)
+    node_load = _load_from_message(message.node_load) if message.HasField("node_load") else None
+    return LoadReport(scope, message.sender, message.zone, loads, kept, quota, node_load=node_load)
 
 
-def _message_from_load(word: NodeLoad) -> messages.NodeLoad:
+def _message_from_load(load: NodeLoad) -> messages.NodeLoad:
     return messages.NodeLoad(
-        capacity=round(word.capacity_cores * MILLICORES_PER_CORE),
-        used=round(word.used_cores * MILLICORES_PER_CORE),
-        lag_milliseconds=round(word.late_s * MS_PER_S),
-        free_kilobytes=word.free_bytes // BYTES_PER_KILOBYTE,
+        capacity=round(load.capacity_cores * MILLICORES_PER_CORE),
+        used=round(load.used_cores * MILLICORES_PER_CORE),
+        lag_milliseconds=round(load.late_s * MS_PER_S),
+        free_kilobytes=load.free_bytes // BYTES_PER_KILOBYTE,
     )
 
 
@@ -171,7 +171,7 @@
 
 
 def speeds_from_message(message: messages.Datagram) -> LoadReport:
-    """Return what a datagram tells of engines' speed."""
+    """Return the report of engine speeds that a datagram carries."""
     rows = tuple(
         SpeedRow(
             row.engine,
@@ -198,7 +198,7 @@
 
 @dataclass(frozen=True, slots=True)
 class _Origin:
-    """Of whom a report is, and who sent it."""
+    """The sender of a report, with the zone and the scope that it covers."""
 
     sender: str
     zone: str
@@ -207,7 +207,7 @@
 
 @dataclass(slots=True)
 class _PartialReport:
-    """What came so far of one report."""
+    """The pieces of one report that have arrived so far."""
 
     sequence: int
     received: dict[int, LoadReport] = field(default_factory=dict)
@@ -215,12 +215,12 @@
 
 @dataclass(slots=True)
 class ReportAssembler:
-    """Puts reports together again; of each origin only the newest is waited for."""
+    """Reassembles reports from pieces; keeps only the newest incomplete report of each origin."""
 
     _incomplete: dict[_Origin, _PartialReport] = field(default_factory=dict)
 
     def add(self, message: messages.Datagram) -> LoadReport | None:
-        """Return the report that a datagram completes, or None."""
+        """Add a datagram, and return the report that it completes, or None."""
         report = report_from_message(message)
         if message.pieces <= 1:
             return report
@@ -244,5 +244,5 @@
         spent.update(piece.quota.spent if piece.quota else {})
     kept = tuple(itertools.chain.from_iterable(piece.kept for piece in pieces))
     quota = QuotaReport(first.quota.nodes, spent) if first.quota else None
-    word = next((piece.node_load for piece in pieces if piece.node_load is not None), None)
-    return LoadReport(first.scope, first.node, first.zone, loads, kept, quota, node_load=word)
+    node_load = next((piece.node_load for piece in pieces if piece.node_load is not None), None)
+    return LoadReport(first.scope, first.node, first.zone, loads, kept, quota, node_load=node_load)
--- a/liftrill/gateway/peers/load_exchange.py
+++ b/liftrill/gateway/peers/load_exchange.py
@@ -1,10 +1,10 @@
-"""Who tells whom of loads on engines, sans-IO.
+"""Decides which nodes send load reports to which, sans-IO.
 
-Few nodes tell each other directly. Among many, a node tells its own zone; the zone's
-delegate tells the sum to the delegates of the other zones, which pass it on at home: to one
-node of each group, which passes it on to its group. A report then crosses between zones once
-for each pair of zones, not of nodes, and no link has to carry it to a whole zone: 30 reports
-of 2 KB take a link of 5 Mbit/s a tenth of a second, and most of them are lost in its queue.
+In a small fleet all nodes report to each other. In a large one a node reports to its own zone. The
+zone's delegate sends the sum to the delegates of the other zones. These relay it within their
+zones: to one node of each group, which relays it to its group. So a report crosses between zones
+once for each pair of zones, not of nodes, and no node sends it to a whole zone: 30 reports of 2 KB
+occupy a link of 5 Mbit/s for a tenth of a second, and most of them are lost in its queue.
 """
 
 import math
@@ -24,17 +24,17 @@
 from liftrill.gateway.peers.node_capacity import NodeLoad
 
 DELEGATE_KEY = b"load delegate "
-# With more, words from each to each cost more than sums that come later.
+# With more nodes, all-to-all reports cost more than the later arrival of zone sums.
 MAX_DIRECT_NODES = 12
-# Between two words of a node: sooner than a prompt is read, and longer in large zones so that
-# each node hears about as many a second.
+# Interval between the reports of a node: shorter than the prefill of a prompt, and longer in large
+# zones, so that each node receives about the same number of reports a second.
 MIN_INTERVAL_S = 0.1
 INTERVAL_PER_NODE_S = 0.01
 MAX_INTERVAL_S = 0.4
 
 
 class LoadScope(Enum):
-    """Whose work a report counts."""
+    """The nodes whose load a report covers, and how it was relayed."""
 
     NODE = auto()
     ZONE_SUM = auto()
@@ -44,11 +44,12 @@
 
 @dataclass(frozen=True, slots=True)
 class LoadReport:
-    """Work on engines, as one node or one zone has it, and what they sent to kept stores.
+    """The load of one node or one zone on engines, and what goes with it.
 
     Attributes:
-        speeds: how fast engines worked lately; told in reports of their own.
-        node_load: what the node, or the zone in all, can bear and bears.
+        kept: shared prompt parts that engines read, hold or have saved.
+        speeds: recent speeds of engines; sent in separate reports.
+        node_load: capacity and utilization of the node, or of the whole zone.
     """
 
     scope: LoadScope
@@ -63,73 +64,73 @@
 
 @dataclass(frozen=True, slots=True)
 class SendReport:
-    """Send a report to some members."""
+    """An instruction to send a report to some members."""
 
     report: LoadReport
     members: tuple[Member, ...]
 
 
 class LoadTopology(ABC):
-    """Decide which members a node's word goes to."""
+    """Decides which members a node's reports go to."""
 
     @abstractmethod
     def interval_s(self, own: Member, members: Iterable[Member]) -> float:
-        """Return the time between two words of a node."""
+        """Return the time between two reports of a node."""
 
     @abstractmethod
     def own_reports(
-        self, own: Member, board: LoadTable, kept: KeptNews, members: list[Member]
+        self, own: Member, table: LoadTable, kept: KeptNews, members: list[Member]
     ) -> list[SendReport]:
-        """Return what a node tells of its own accord."""
+        """Return the reports of a node on its own load, and on its zone's if it is the delegate."""
 
     @abstractmethod
     def relayed_reports(
         self, own: Member, report: LoadReport, members: list[Member]
     ) -> list[SendReport]:
-        """Return what a node passes on of a report that it received."""
+        """Return the reports with which a node relays a received one."""
 
 
 class DirectTopology(LoadTopology):
-    """Tell every member."""
+    """Every node reports to every other member."""
 
     def interval_s(self, own: Member, members: Iterable[Member]) -> float:
-        """Return the shortest interval."""
+        """Return the minimum interval."""
         return MIN_INTERVAL_S
 
     def own_reports(
-        self, own: Member, board: LoadTable, kept: KeptNews, members: list[Member]
+        self, own: Member, table: LoadTable, kept: KeptNews, members: list[Member]
     ) -> list[SendReport]:
-        """Return one report for all others."""
-        report = LoadReport(LoadScope.NODE, own.node_id, own.zone, board.own_loads(), kept.own)
+        """Return one report for all other members."""
+        report = LoadReport(LoadScope.NODE, own.node_id, own.zone, table.own_loads(), kept.own)
         return [SendReport(report, other_members(own, members))]
 
     def relayed_reports(
         self, own: Member, report: LoadReport, members: list[Member]
     ) -> list[SendReport]:
-        """Return nothing: everyone was told."""
+        """Return nothing: the sender reported to every member."""
         return []
 
 
 class ZoneTopology(LoadTopology):
-    """Tell the own zone each node's load, and the other zones the sum."""
+    """Nodes report to their own zone, and its delegate reports the sum to the other zones."""
 
     def interval_s(self, own: Member, members: Iterable[Member]) -> float:
-        """Return an interval that keeps the words a node receives in bounds."""
+        """Return an interval that bounds the rate of reports a node receives."""
         local = sum(member.zone == own.zone for member in members)
         return min(MAX_INTERVAL_S, max(MIN_INTERVAL_S, local * INTERVAL_PER_NODE_S))
 
     def own_reports(
-        self, own: Member, board: LoadTable, kept: KeptNews, members: list[Member]
+        self, own: Member, table: LoadTable, kept: KeptNews, members: list[Member]
     ) -> list[SendReport]:
-        """Return a report for the zone, and the delegate's sum for the other zones."""
-        report = LoadReport(LoadScope.NODE, own.node_id, own.zone, board.own_loads(), kept.own)
+        """Return a report for the own zone, and the delegate's sum for the other zones."""
+        report = LoadReport(LoadScope.NODE, own.node_id, own.zone, table.own_loads(), kept.own)
         local = tuple(m for m in other_members(own, members) if m.zone == own.zone)
         deliveries = [SendReport(report, local)]
         delegates = delegates_by_zone(members)
         delegate = delegates.get(own.zone)
         if delegate is not None and delegate.node_id == own.node_id:
             remote = tuple(m for zone, m in delegates.items() if zone != own.zone)
-            loads = board.zone_sum(own.zone)
+            loads = table.zone_sum(own.zone)
             total = LoadReport(LoadScope.ZONE_SUM, own.node_id, own.zone, loads, kept.zone)
             deliveries.append(SendReport(total, remote))
         return deliveries
@@ -137,7 +138,7 @@
     def relayed_reports(
         self, own: Member, report: LoadReport, members: list[Member]
     ) -> list[SendReport]:
-        """Return the report on another zone's sum for the own zone, or for the own group."""
+        """Return the sum of another zone, to be relayed to the own zone or the own group."""
         if report.zone == own.zone:
             return []
         groups = groups_of_zone(own, members)
@@ -151,7 +152,7 @@
 
 
 def groups_of_zone(own: Member, members: Iterable[Member]) -> list[list[Member]]:
-    """Return the members of the own zone in groups, as many as each has members."""
+    """Return the members of the own zone in about as many groups as each group has members."""
     local = {member.node_id: member for member in members if member.zone == own.zone}
     local[own.node_id] = own
     names = sorted(local)
@@ -167,17 +168,17 @@
 
 
 def topology_for(members: list[Member]) -> LoadTopology:
-    """Return the topology that suits a number of members."""
+    """Return the topology for the number of members."""
     return DirectTopology() if len(members) <= MAX_DIRECT_NODES else ZoneTopology()
 
 
 def other_members(own: Member, members: Iterable[Member]) -> tuple[Member, ...]:
-    """Return the members that are not this node."""
+    """Return the members other than this node."""
     return tuple(member for member in members if member.node_id != own.node_id)
 
 
 def delegates_by_zone(members: Iterable[Member]) -> dict[str, Member]:
-    """Return the member of each zone that speaks for it."""
+    """Return the delegate of each zone, which reports for the zone."""
     zones: dict[str, list[Member]] = {}
     for member in members:
         zones.setdefault(member.zone, []).append(member)
--- a/liftrill/gateway/peers/load_table.py
+++ b/liftrill/gateway/peers/load_table.py
@@ -1,11 +1,11 @@
-"""Adds up what nodes tell each other of their load on engines.
+"""Sums the load on engines that nodes report to each other.
 
-Each node sees only its own requests. A word counts until the next one from the same
-source, or until it is too old: a peer that died or was cut off has no load that lasts.
-The sum of a zone takes the place of the words of that zone's nodes.
+Each node sees only its own requests. A report counts until the next one from the same source, or
+until it expires, so the load of a peer that died or was cut off does not remain. The sum of a zone
+replaces the reports of that zone's nodes.
 
-A report may be older than the reading of a prompt takes. So the beginning of a long reading
-is told at once, and counts for a while on its own; reports leave it out for as long.
+A report may be older than the prefill of a prompt takes. So the start of a long prefill is
+broadcast at once and counts on its own for a while; reports leave it out for the same time.
 """
 
 from collections import deque
@@ -20,7 +20,7 @@
 
 @dataclass(frozen=True, slots=True)
 class _Source:
-    """A node, or a whole zone where the node is empty."""
+    """The source of a report: a node, or a whole zone if the node is empty."""
 
     zone: str
     node: str = ""
@@ -28,7 +28,7 @@
 
 @dataclass(frozen=True, slots=True)
 class _Report:
-    """A word, and the engines that it was added to: others may become known later."""
+    """A report, with the engines to which it was added; others may become known later."""
 
     loads: LoadByEngine
     received_at: float
@@ -37,7 +37,7 @@
 
 @dataclass(frozen=True, slots=True)
 class _Prefill:
-    """A long prompt that an engine was given lately."""
+    """The prefill of a long prompt that was recently sent to an engine."""
 
     view: EngineView
     tokens: int
@@ -46,11 +46,11 @@
 
 @dataclass(slots=True)
 class LoadTable:
-    """The latest word of each source, applied to the engine table.
+    """The latest report of each source, added to the peer load in the engine table.
 
     Attributes:
-        lifetime_seconds: for how long a word counts.
-        prefill_lifetime_s: for how long a reading counts that was told at once.
+        lifetime_seconds: for how long a report counts.
+        prefill_lifetime_s: for how long a broadcast prefill counts.
     """
 
     engines: EngineTable
@@ -61,13 +61,13 @@
     _own_prefills: deque[_Prefill] = field(default_factory=deque)
 
     def update(self, node: str, loads: LoadByEngine, now: float, zone: str = "") -> None:
-        """Replace what a peer told before, unless its zone's sum has it already."""
+        """Replace the report of a peer, unless its zone's sum includes it already."""
         if _Source(zone) in self._reports:
             return
         self._replace_report(_Source(zone, node), loads, now)
 
     def update_zone(self, zone: str, loads: LoadByEngine, now: float) -> None:
-        """Replace what was told of a zone and of its nodes."""
+        """Replace the reports of a zone and of its nodes by the sum of the zone."""
         for source in [s for s in self._reports if s.zone == zone and s.node]:
             self._remove_report(source)
         self._replace_report(_Source(zone), loads, now)
@@ -82,11 +82,11 @@
         self._peer_prefills.append(_Prefill(view, tokens, now + self.prefill_lifetime_s))
 
     def add_own_prefill(self, view: EngineView, tokens: int, now: float) -> None:
-        """Note that peers were told at once of a long prompt of this node."""
+        """Record a long prompt of this node whose prefill was broadcast to peers."""
         self._own_prefills.append(_Prefill(view, tokens, now + self.prefill_lifetime_s))
 
     def expire_prefills(self, now: float) -> None:
-        """Drop readings that reports count by now, or that are over."""
+        """Drop expired prefills: reports include them by now, or they have ended."""
         while self._peer_prefills and self._peer_prefills[0].expires_at <= now:
             prefill = self._peer_prefills.popleft()
             prefill.view.peer_load.waiting_tokens -= prefill.tokens
@@ -94,14 +94,14 @@
             self._own_prefills.popleft()
 
     def expire(self, now: float) -> None:
-        """Drop words that are too old."""
+        """Drop expired reports and prefills."""
         self.expire_prefills(now)
         oldest = now - self.lifetime_seconds
         for source in [s for s, report in self._reports.items() if report.received_at < oldest]:
             self._remove_report(source)
 
     def own_loads(self) -> dict[str, EngineLoad]:
-        """Return what this node has on engines, less what it told of at once."""
+        """Return this node's load on engines, without the prefills that it broadcast."""
         announced: dict[str, int] = {}
         for prefill in self._own_prefills:
             engine_id = prefill.view.engine_id
@@ -113,7 +113,7 @@
         }
 
     def zone_sum(self, zone: str) -> dict[str, EngineLoad]:
-        """Return what this node and the heard nodes of its zone have on engines."""
+        """Return the load on engines of this node and of its zone's nodes with a current report."""
         reported_loads = [
             report.loads for s, report in self._reports.items() if s.zone == zone and s.node
         ]
@@ -121,7 +121,7 @@
         for loads in (self.own_loads(), *reported_loads):
             for engine_id, load in loads.items():
                 known = total.setdefault(engine_id, EngineLoad(number=load.number))
-                # What others still have on a former incarnation ends with it.
+                # Load on a former incarnation of the engine ended with that incarnation.
                 if known.number == load.number:
                     known.add(load)
         return total
@@ -145,7 +145,7 @@
 
 
 def _reported_load(view: EngineView, announced_tokens: int) -> EngineLoad:
-    """Return the own load on an engine, without the tokens that peers were told of at once."""
+    """Return the own load on an engine, without the tokens of broadcast prefills."""
     load = view.own_load
     waiting_tokens = max(0, load.waiting_tokens - announced_tokens)
     return replace(load, waiting_tokens=waiting_tokens, number=view.told_number)
--- a/liftrill/gateway/peers/node_directory.py
+++ b/liftrill/gateway/peers/node_directory.py
@@ -101,7 +101,7 @@
         return [by_id[node_id] for node_id in plan.answers.for_caller(caller)]
 
     def update(self, members: Sequence[Member], zone: str, now: float) -> list[NodePriorityChange]:
-        """Update the spillover of this node's zone, and return the changed priorities of its nodes."""
+        """Update the spillover of this node's zone, and return changed priorities of its nodes."""
         if self.allows_spillover:
             self._update_spillover(members, zone, now)
         return self._changes([m for m in members if m.zone == zone], now)
--- a/liftrill/gateway/peers/notice_codec.py
+++ b/liftrill/gateway/peers/notice_codec.py
@@ -1,4 +1,4 @@
-"""Turns what nodes tell each other of engines into datagrams and back."""
+"""Encodes the engine messages between nodes into datagrams and decodes them."""
 
 import math
 from collections.abc import Sequence
@@ -18,7 +18,7 @@
 from liftrill.messages import peer_pb2 as messages
 from liftrill.node.membership_codec import GossipDecodeError
 
-# An engine takes some 60 bytes (worked out from the wire format): a datagram stays under 1,200.
+# A row takes some 60 bytes encoded, so that a datagram stays under 1,200 bytes.
 ROWS_PER_DATAGRAM = 16
 MS_PER_S = 1000.0
 
@@ -26,7 +26,7 @@
 
 
 def datagram_from_notices(notices: list[EngineNotice]) -> messages.Datagram:
-    """Return the datagram that carries some notices."""
+    """Return the datagram that carries notices."""
     return messages.Datagram(
         notices=[
             messages.EngineNotice(
@@ -43,7 +43,7 @@
 
 
 def notice_from_message(message: messages.EngineNotice) -> EngineNotice:
-    """Return the notice that a message carries."""
+    """Return the notice in a message."""
     return EngineNotice(
         message.engine_id,
         message.model,
@@ -55,19 +55,19 @@
 
 
 def datagrams_from_leaving(engines: Sequence[EngineAddress]) -> list[messages.Datagram]:
-    """Return the datagrams that tell of engines which leave."""
+    """Return the datagrams that report leaving engines."""
     rows = [_leaving_message(engine) for engine in engines]
     return [messages.Datagram(leaving=chunk) for chunk in _chunks(rows)]
 
 
 def datagrams_from_limits(limits: Sequence[EngineLimit]) -> list[messages.Datagram]:
-    """Return the datagrams that tell of limits which begin or end."""
+    """Return the datagrams that report limits which begin or end."""
     rows = [message_from_limit(limit) for limit in limits]
     return [messages.Datagram(limits=chunk) for chunk in _chunks(rows)]
 
 
 def datagrams_from_update(update: EngineUpdate) -> list[messages.Datagram]:
-    """Return the datagrams that tell a node that joins of engines."""
+    """Return the datagrams that carry the update for a joining node."""
     withheld = [
         messages.WithheldRecord(engine_id=record.engine_id, revision=record.revision)
         for record in update.withheld
@@ -91,7 +91,7 @@
 
 
 def update_from_message(message: messages.Datagram) -> EngineUpdate:
-    """Return what a datagram tells of engines; those that leave and have no number are left out."""
+    """Return the update in a datagram, without leaving engines that have no number."""
     return EngineUpdate(
         tuple(leaving_from_message(message)),
         tuple(WithheldRecord(row.engine_id, row.revision) for row in message.withheld),
@@ -119,7 +119,7 @@
 
 
 def leaving_from_message(message: messages.Datagram) -> list[EngineAddress]:
-    """Return the engines that leave, as a datagram tells; those without a number are left out."""
+    """Return the leaving engines in a datagram, without those that have no number."""
     return [
         EngineAddress(row.engine_id, row.address, row.engine)
         for row in message.leaving
@@ -128,7 +128,7 @@
 
 
 def message_from_limit(limit: EngineLimit) -> messages.EngineLimit:
-    """Return the message of a limit."""
+    """Return the message that carries a limit."""
     return messages.EngineLimit(
         engine_id=limit.engine.engine_id,
         address=limit.engine.address,
@@ -143,23 +143,23 @@
     """Return the limit in a message.
 
     Raises:
-        GossipDecodeError: its rate is no number of requests.
+        GossipDecodeError: its rate is negative or not finite.
     """
     if not 0.0 <= message.rate_per_second < math.inf:
-        raise GossipDecodeError("a limit without a rate")
+        raise GossipDecodeError(f"invalid rate in a limit: {message.rate_per_second} requests/s")
     engine = EngineAddress(message.engine_id, message.address, message.engine)
     return EngineLimit(engine, message.rate_per_second, message.serial, not message.ended)
 
 
 def has_limit_message(message: messages.Datagram) -> bool:
-    """Return whether a datagram asks for a permit, answers or tells what came of one."""
+    """Return whether a datagram carries a permit request, a permit response or a receipt."""
     return any(
         message.HasField(field) for field in ("permit_request", "permit_response", "permit_receipt")
     )
 
 
 def datagram_from_limit_message(sender: str, content: LimitMessage) -> messages.Datagram:
-    """Return the datagram that carries a request, a response or a receipt."""
+    """Return the datagram that carries a permit request, a permit response or a receipt."""
     if isinstance(content, PermitRequest):
         request = messages.PermitRequest(
             limit=message_from_limit(content.limit),
@@ -187,7 +187,7 @@
 
 
 def limit_message_from_datagram(message: messages.Datagram) -> LimitMessage:
-    """Return the request, the response or the receipt that a datagram carries."""
+    """Return the permit request, the permit response or the receipt in a datagram."""
     if message.HasField("permit_request"):
         request = message.permit_request
         return PermitRequest(
--- a/liftrill/gateway/peers/peer_link.py
+++ b/liftrill/gateway/peers/peer_link.py
@@ -1,4 +1,4 @@
-"""Gossip between gateways over UDP: who is alive, the newest configuration, engine notices."""
+"""Messages between gateways over UDP: membership, configuration version, load and engine state."""
 
 import asyncio
 import random
@@ -60,10 +60,10 @@
     parse_message,
 )
 
-# A notice is sent this often, since datagrams are lost now and then.
+# Number of times that a notice is sent, since datagrams may be lost.
 NOTICE_SENDS = 2
 NOTICE_INTERVAL_SECONDS = 0.05
-# When runs under which engines ended are told: what is lost in a burst of losses comes later.
+# Delays of the repeated sends of a message: the last one arrives even after a burst of losses.
 RESEND_DELAYS_S = (0.0, 0.05, 0.5)
 PROBE_TIMEOUT_SECONDS = 0.3
 SUSPICION_SECONDS = 1.5
@@ -72,7 +72,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PeerCallbacks:
-    """Whom to tell of what peers say."""
+    """Handlers of the messages from peers."""
 
     member_changed: Callable[[Member], None]
     newer_version: Callable[[int], None]
@@ -89,7 +89,7 @@
 
 
 def new_membership(own: Member, seeds: list[str]) -> Membership:
-    """Return the membership of a node that starts now."""
+    """Return the membership of a starting node."""
     parameters = MembershipParameters(
         probe_interval=constants.GOSSIP_INTERVAL_SECONDS,
         probe_timeout=PROBE_TIMEOUT_SECONDS,
@@ -117,18 +117,18 @@
         await loop.create_datagram_endpoint(lambda: self, local_addr=(host, int(port)))
 
     async def run(self) -> None:
-        """Let time pass for the membership for as long as the node runs."""
+        """Pass ticks to the membership for as long as the node runs."""
         while True:
             self._execute(self._membership.handle(Ticked(), clock.now_s()))
             await ticks.pause(constants.PEER_TICK_SECONDS)
 
     def announce_version(self, version: int) -> None:
-        """Tell a few members of the configuration version in force here."""
+        """Announce the configuration version in force on this node to a few members."""
         self._membership.generation = version
         self._execute(self._membership.announce())
 
     def announce_departure(self) -> None:
-        """Tell all members that this node takes no new callers."""
+        """Announce to all members that this node takes no new callers."""
         self._execute(self._membership.depart())
         own = self._membership.own
         departure = Datagram(own.node_id, 0, Ping(), (own,), self._membership.generation)
@@ -136,26 +136,26 @@
             self._send(member.address, datagram_message(departure))
 
     async def broadcast_notices(self, notices: list[EngineNotice]) -> None:
-        """Tell all members of some engines."""
+        """Broadcast engine notices."""
         for _ in range(NOTICE_SENDS):
             self._send_all(self._others(), datagram_from_notices(notices))
             await asyncio.sleep(NOTICE_INTERVAL_SECONDS)
 
     def send_reports(self, deliveries: list[SendReport]) -> None:
-        """Send reports of load to the members that they are meant for."""
+        """Send reports to their members."""
         for delivery in deliveries:
             self._reports_sent += 1
             for datagram in datagrams_from_report(delivery.report, self._reports_sent):
                 self._send_all(delivery.members, datagram)
 
     def broadcast_prefill(self, engine_number: int, tokens: int) -> None:
-        """Tell all members at once that an engine was given a long prompt to read."""
+        """Broadcast at once the start of a long prefill on an engine."""
         prefill = messages.ReadingBegun(engine=engine_number, tokens=tokens)
         self._schedule_batch()
         self._batch.add_prefill(prefill)
 
     def broadcast_spending(self, notice: SpendingNotice) -> None:
-        """Tell all members at once what a tenant's request counts under its limit, or no more."""
+        """Broadcast at once what a request spends of its tenant's limit, or takes back."""
         message = messages.Datagram(
             sender=self._membership.own.node_id,
             sequence=notice.number,
@@ -165,52 +165,52 @@
         self._batch.add_spending(message)
 
     def _schedule_batch(self) -> None:
-        """Send the words of this turn of the event loop when it is over.
+        """Schedule the batch to be sent after this event loop iteration, if it is still empty.
 
-        Called before a word is added: the first one of a turn arranges the sending.
+        Called before a message is added, so that the first one of an iteration schedules the send.
         """
         if not self._batch:
             asyncio.get_running_loop().call_soon(self._send_batch)
 
     def _send_batch(self) -> None:
         members = self._others()
-        for datagram in self._batch.take():
+        for datagram in self._batch.drain():
             self._send_all(members, datagram)
 
     def tell_lost(self, runs: list[LostRun]) -> None:
-        """Tell all members of runs under which engines ended, and some times again."""
+        """Broadcast runs during which engines ended, with repeats."""
         loop = asyncio.get_running_loop()
         for wait_s in RESEND_DELAYS_S:
             loop.call_later(wait_s, self._send_lost_runs, runs)
 
     def tell_quarantined(self, entry: QuarantineEntry, node: str = "") -> None:
-        """Tell one member, or all, of a request that is kept from engines, some times again."""
+        """Send a quarantined request to one member, or to all, with repeats."""
         self._send_repeatedly(datagram_from_entry(entry), node)
 
     def broadcast_leaving(self, engines: Sequence[EngineAddress]) -> None:
-        """Tell all members of engines that leave, some times again."""
+        """Broadcast leaving engines, with repeats."""
         for message in datagrams_from_leaving(engines):
             self._send_repeatedly(message)
 
     def broadcast_limit(self, limit: EngineLimit) -> None:
-        """Tell all members of a limit that begins or ends, some times again."""
+        """Broadcast a limit that begins or ends, with repeats."""
         for message in datagrams_from_limits([limit]):
             self._send_repeatedly(message)
 
     def send_limit_message(self, node: str, content: LimitMessage) -> None:
-        """Send one member what its permits, or those that it issues, need; once."""
+        """Send one member a permit request, a permit response or a receipt, once."""
         message = datagram_from_limit_message(self._membership.own.node_id, content)
         member = self._membership.member(node)
         if member is not None:
             self._send(member.address, message)
 
     def send_update(self, update: EngineUpdate, node: str) -> None:
-        """Tell one member, once, what records of engines do not say."""
+        """Send one member, once, the engine state that the records do not hold."""
         for message in datagrams_from_update(update):
             self._send_to(message, node)
 
     def _send_repeatedly(self, message: messages.Datagram, node: str = "") -> None:
-        """Send a message to one member, or all, now and some times again."""
+        """Send a message to one member, or to all, now and again after some delays."""
         loop = asyncio.get_running_loop()
         for wait_s in RESEND_DELAYS_S:
             loop.call_later(wait_s, self._send_to, message, node)
@@ -225,7 +225,7 @@
             self._send_all(self._others(), message)
 
     def tell_served(self, fingerprint: bytes) -> None:
-        """Tell all members that a suspected request was served, and some times again."""
+        """Broadcast that a suspected request was served, with repeats."""
         self._send_repeatedly(messages.Datagram(served=[fingerprint]))
 
     def close(self) -> None:
@@ -238,7 +238,7 @@
         self._transport = cast(asyncio.DatagramTransport, transport)
 
     def datagram_received(self, data: bytes, addr: tuple[str, int]) -> None:
-        """Take in a datagram (asyncio callback)."""
+        """Handle a received datagram (asyncio callback)."""
         try:
             message = parse_message(data)
             if self._dispatch(message):
@@ -249,7 +249,7 @@
         self._execute(self._membership.handle(event, clock.now_s()))
 
     def _dispatch(self, message: messages.Datagram) -> bool:
-        """Take in what a peer tells, and return whether it is anything besides membership."""
+        """Handle a message, and return False if it is one of the membership protocol."""
         if message.HasField("spends"):
             spends = message.spends
             notice = SpendingNotice(spends.tenant, spends.amount, message.sequence)
@@ -297,7 +297,7 @@
             self._callbacks.served(fingerprint)
 
     def error_received(self, exc: Exception) -> None:
-        """Ignore what the network says of a lost datagram: probes notice it."""
+        """Ignore network errors (asyncio callback): probes detect unreachable members."""
 
     def _execute(self, instructions: list[MembershipInstruction]) -> None:
         for instruction in instructions:
@@ -312,7 +312,7 @@
         return other_members(self._membership.own, self._membership.members())
 
     def _send_all(self, members: Iterable[Member], message: messages.Datagram) -> None:
-        """Send one message to many members; it is encoded once."""
+        """Send one message to many members, encoding it once."""
         data = message.SerializeToString()
         for member in members:
             self._send_bytes(member.address, data)
--- a/liftrill/gateway/peers/speed_exchange.py
+++ b/liftrill/gateway/peers/speed_exchange.py
@@ -1,7 +1,7 @@
-"""Tells peers how fast engines were found to be, and takes in what they tell, sans-IO.
+"""Exchanges the measured speeds of engines with peers, sans-IO.
 
-Words go the way of loads: few nodes tell each other directly; among many a node tells its zone,
-and the zone's delegate tells the other zones what its nodes observed together.
+Speed reports go to the same members as load reports: in a small fleet to all nodes; in a large one
+to the own zone, whose delegate reports the combined measurements of its nodes to the other zones.
 """
 
 import math
@@ -10,16 +10,16 @@
 from liftrill.gateway.engines.speed_board import SpeedBoard
 from liftrill.gateway.peers.load_exchange import LoadReport, LoadScope, SendReport
 
-# Often enough that an engine's recovery is known within two seconds.
+# Short enough that the recovery of an engine is known within two seconds.
 REPORT_INTERVAL_S = 1.0
 
 
 @dataclass(slots=True)
 class SpeedExchange:
-    """What one node tells of engines' speed, and hears of it.
+    """Sends the speed measurements of one node, and applies those of its peers.
 
     Attributes:
-        zone: of this node.
+        zone: the zone of this node.
     """
 
     board: SpeedBoard
@@ -27,7 +27,7 @@
     _reported_at: float = -math.inf
 
     def due_reports(self, loads: list[SendReport], now: float) -> list[SendReport]:
-        """Return what to tell now, to the members that words of loads go to."""
+        """Return the speed reports that are due, for the members that load reports go to."""
         if now - self._reported_at < REPORT_INTERVAL_S:
             return []
         self._reported_at = now
@@ -38,7 +38,7 @@
         return [delivery for delivery in deliveries if delivery.report.speeds and delivery.members]
 
     def apply_report(self, report: LoadReport, now: float) -> None:
-        """Take in what a node, or the nodes of another zone, observed."""
+        """Apply the measurements of a node, or of the nodes of another zone."""
         if report.scope is LoadScope.NODE:
             self.board.hear(report.node, report.zone, report.speeds, now)
         elif report.zone != self.zone:
