--- a/liftrill/gateway/holding/__init__.py
+++ b/liftrill/gateway/holding/__init__.py
@@ -1,1 +1,1 @@
-"""What a node holds for callers and engines that read slowly, and its bounds."""
+"""Buffering of bodies and answers for slow callers and engines, within a memory budget."""
--- a/liftrill/gateway/holding/answer_buffer.py
+++ b/liftrill/gateway/holding/answer_buffer.py
@@ -1,26 +1,25 @@
-"""The part of an answer that its caller has not taken yet, sans-IO."""
+"""Buffers the part of an answer that its caller has not read yet, sans-IO."""
 
 from liftrill.gateway.holding.memory_budget import MemoryBudget, MemoryReservation
 
-# An engine cuts an answer that nobody reads for some seconds: a caller that makes the node stop
-# reading for so long loses the rest, before the engine counts it as unread.
+# For how long a full buffer may keep the node from reading its engine. Engines break off answers
+# that are not read for some seconds, so the node ends the caller's connection before that.
 MAX_FULL_S = 1.5
-# An answer may take this share of the budget, so that 32 callers at a standstill fill half of it.
+# Share of the budget that one answer may use, so that 32 stalled callers fill half of it.
 MAX_ANSWER_SHARE = 1 / 64
-# Streams of text are mostly shorter than this: an engine is done with them whatever their
-# callers read.
+# Most text streams are shorter than this, so their engines finish regardless of their callers.
 MIN_LIMIT_BYTES = 65_536
-# Longer pieces would only lie in the connection's own buffer.
+# Larger chunks would only wait in the connection's own buffer.
 WRITE_CHUNK_BYTES = 16_384
 
 
 def answer_limit_bytes(budget: MemoryBudget) -> int:
-    """Return how much of one answer is taken from its engine before its caller takes it."""
+    """Return how many bytes of one answer are read from its engine ahead of its caller."""
     return max(MIN_LIMIT_BYTES, int(budget.capacity_bytes * MAX_ANSWER_SHARE))
 
 
 class AnswerBuffer:
-    """Bytes in the order in which they came, with the account of what is held."""
+    """A byte queue between an engine and a caller, accounted to the memory budget."""
 
     def __init__(self, budget: MemoryBudget, reservation: MemoryReservation) -> None:
         self._budget = budget
@@ -34,29 +33,29 @@
 
     @property
     def is_full(self) -> bool:
-        """Whether the engine is not to be read until the caller takes some."""
+        """Whether reading from the engine is paused until the caller reads."""
         return self._full_since is not None
 
     def add(self, data: bytes, unsent_bytes: int, now: float) -> None:
-        """Take in what an engine sent, beside what the connection holds unsent."""
+        """Add bytes from the engine; the connection's unsent bytes count towards the limit."""
         self._pending += data
         self._update_size(unsent_bytes, now)
 
     def take(self, unsent_bytes: int, now: float) -> bytes:
-        """Return the next bytes to pass on; the connection holds them from then on."""
+        """Remove and return the next chunk, which the connection holds as unsent from then on."""
         chunk = bytes(self._pending[:WRITE_CHUNK_BYTES])
         del self._pending[:WRITE_CHUNK_BYTES]
         self._update_size(unsent_bytes + len(chunk), now)
         return chunk
 
     def remaining_s(self, now: float) -> float:
-        """Return for how long the caller may still keep the node from reading its engine."""
+        """Return for how long reading from the engine may still be paused."""
         if self._full_since is None:
             return MAX_FULL_S
         return max(0.0, self._full_since + MAX_FULL_S - now)
 
     def close(self) -> None:
-        """Let go of what is left."""
+        """Drop the buffered bytes and release their memory."""
         self._pending.clear()
         self._reservation.close()
 
--- a/liftrill/gateway/holding/body_reader.py
+++ b/liftrill/gateway/holding/body_reader.py
@@ -1,4 +1,4 @@
-"""Reads the body of one request into the node's memory budget."""
+"""Reads the body of a request within the node's memory budget."""
 
 import asyncio
 import io
@@ -16,15 +16,16 @@
     Purpose,
 )
 
-# What a connection has received is read at once, before it is decided whether its body is taken:
-# this bounds what many callers make a node take in so, and still keeps a usual link busy.
+# Receive buffer of a caller's connection. Received bytes are read before the body is admitted, so
+# this bounds the memory that many callers use in this way; it still fills a usual link.
 RECEIVE_BUFFER_BYTES = 65_536
-# For how long a refused caller's body is read and dropped: a connection that is closed with
-# bytes unread is reset, and the reset may overtake the answer.
+# For how long the rest of a refused body is read and discarded: a connection that is closed with
+# unread bytes is reset, and the reset may reach the caller before the answer.
 DISCARD_TIMEOUT_S = 1.0
-# By then some bodies have been sent on; those who are refused together don't return together.
+# By then some bodies have been forwarded and released. The range spreads the retries of callers
+# that are refused together.
 RETRY_AFTER_RANGE_S = (0.5, 1.5)
-# A caller that says no deadline gets this long to send its body.
+# Time to send the body for a caller without a deadline.
 DEFAULT_READ_TIMEOUT_S = 60.0
 
 
@@ -33,27 +34,27 @@
 
 
 class BodyRefusedError(Exception):
-    """There is no room for a body, or it came too slowly while there was none for others."""
+    """There is no memory for a body, or it arrived too slowly and was evicted for others."""
 
 
 def refusal_for_body_error(error: Exception) -> AdmissionRefusal:
-    """Return what a caller is told whose body was not read."""
+    """Return the refusal for a body that was refused or did not arrive in time."""
     if isinstance(error, BodyRefusedError):
         wait_s = random.uniform(*RETRY_AFTER_RANGE_S)
-        return AdmissionRefusal(ResultCode.MEMORY_SPENT, wait_s, "body")
+        return AdmissionRefusal(ResultCode.MEMORY_SPENT, wait_s, "no memory for the body")
     return AdmissionRefusal(
-        ResultCode.DEADLINE_UNREACHABLE, RETRY_AFTER_RANGE_S[0], "body not there"
+        ResultCode.DEADLINE_UNREACHABLE, RETRY_AFTER_RANGE_S[0], "body not received in time"
     )
 
 
 class BodyReader:
-    """One request's body; what it takes is held until it is closed.
+    """Reads one request's body, and holds its memory until closed.
 
-    The limit is that of the moment in which the body began: a lower one that comes meanwhile
-    does not end what was allowed.
+    The size limit in force at the start applies to the whole body, even if a lower one is
+    configured meanwhile.
 
     Attributes:
-        hold: the account of the body, or None where there is no budget.
+        reservation: the memory of the body, or None without a budget.
     """
 
     def __init__(self, content: StreamReader, budget: MemoryBudget | None, caller: str) -> None:
@@ -69,9 +70,9 @@
         """Return the whole body.
 
         Raises:
-            BodyTooLargeError: it is larger than the limit.
-            BodyRefusedError: there is no room for it.
-            TimeoutError: it was not there in time.
+            BodyTooLargeError: the body is larger than the limit.
+            BodyRefusedError: there is no memory for the body.
+            TimeoutError: the body did not arrive in time.
         """
         if declared_bytes > limit_bytes:
             raise BodyTooLargeError
@@ -86,14 +87,14 @@
         return body
 
     async def discard_rest(self) -> None:
-        """Read what still comes of a refused body, and keep nothing of it."""
+        """Read and discard the rest of a refused body."""
         with suppress(TimeoutError, BodyRefusedError):
             async with asyncio.timeout(DISCARD_TIMEOUT_S):
                 async for _ in self._content.iter_any():
                     pass
 
     def close(self) -> None:
-        """Hold nothing any more."""
+        """Release the memory of the body."""
         if self.reservation is not None:
             self.reservation.close()
 
@@ -106,7 +107,7 @@
             if size > declared_bytes:
                 self._reserve(size)
             buffer.write(chunk)
-        # No copy is made of it, unlike of parts that are joined.
+        # Unlike joined chunks, the value of a BytesIO is returned without a copy.
         return buffer.getvalue()
 
     def _reserve(self, size_bytes: int) -> None:
--- a/liftrill/gateway/holding/caller_sink.py
+++ b/liftrill/gateway/holding/caller_sink.py
@@ -1,4 +1,4 @@
-"""Writes the answer to one caller over aiohttp."""
+"""Writes answers to callers over aiohttp."""
 
 import asyncio
 import json
@@ -16,15 +16,15 @@
 from liftrill.gateway.transport import AnswerSink
 
 JSON = "application/json"
-# Beyond this much unsent a caller counts as slow. Whole answers and single events are shorter,
-# and a thousand connections at this mark fit into the budget's reserve.
+# A caller with more unsent bytes counts as slow. Whole answers and single events are usually
+# shorter, and a thousand connections at this mark fit into the reserve of the memory budget.
 HIGH_WATER_BYTES = 16_384
-# For how long a caller may still take what was sent before an answer was broken off.
+# For how long a caller may still read the bytes that were sent before an answer was broken off.
 FLUSH_TIMEOUT_S = 0.3
 
 
 class AiohttpConnection(CallerConnection):
-    """The connection of one streamed answer."""
+    """The aiohttp connection of one streamed answer."""
 
     def __init__(self, writer: StreamWriter, transport: asyncio.Transport) -> None:
         self._writer = writer
@@ -33,24 +33,24 @@
 
     @property
     def is_slow(self) -> bool:
-        """Whether it holds more unsent bytes than it should."""
+        """Whether the unsent bytes are above the high-water mark."""
         return self._writer.protocol.writing_paused
 
     @property
     def unsent_bytes(self) -> int:
-        """What it has taken over and not sent."""
+        """The bytes that were written and not sent yet."""
         return self._transport.get_write_buffer_size()
 
     async def write(self, data: bytes) -> None:
-        """Take bytes over, without waiting for the caller."""
+        """Write bytes, without waiting for the caller."""
         await self._writer.write(data, drain=False)
 
     async def wait_until_writable(self) -> None:
-        """Wait until the caller has taken most of what is unsent."""
+        """Wait until most of the unsent bytes are sent."""
         await self._writer.drain()
 
     def abort(self) -> None:
-        """End it at once, with what is unsent."""
+        """Close the connection at once, and drop its unsent bytes."""
         self._transport.abort()
 
 
@@ -58,9 +58,9 @@
     """Writes the answer to one caller.
 
     Attributes:
-        response: what was sent, for aiohttp to finish with.
-        caller: whom bytes are accounted to.
-        body: the account of the request's body, or None.
+        response: the response that was sent, which the aiohttp handler returns.
+        caller: the address to which held bytes are accounted.
+        body: the reader that holds the request's body, or None.
     """
 
     def __init__(
@@ -83,11 +83,11 @@
 
     @property
     def caller_wait_s(self) -> float:
-        """For how long the run stood still for its caller."""
+        """For how long reading from the engine was paused for the caller."""
         return self._stream.waited_s if self._stream is not None else 0.0
 
     def body_released(self) -> None:
-        """Note that the body of the caller's request is not held any more."""
+        """Release the memory of the request's body."""
         if self.body is not None:
             self.body.close()
 
@@ -142,7 +142,7 @@
             asyncio.get_running_loop().call_later(FLUSH_TIMEOUT_S, transport.abort)
 
     def close(self) -> None:
-        """Let go of what is kept for the caller."""
+        """Drop the bytes that are buffered for the caller."""
         if self._stream is not None:
             self._stream.close()
 
@@ -151,7 +151,7 @@
         await self.send_result(refusal.code, refusal.retry_after_seconds)
 
     async def fail(self, failure: events.FailRequest) -> None:
-        """Answer that the outcome is not known."""
+        """Answer that the outcome of the request is unknown."""
         await self.send_result(failure.code, None)
 
     async def send_result(self, code: ResultCode, retry_after_seconds: float | None) -> None:
--- a/liftrill/gateway/holding/caller_stream.py
+++ b/liftrill/gateway/holding/caller_stream.py
@@ -1,4 +1,4 @@
-"""Passes a stream on at its caller's speed, while its engine is read at the engine's own."""
+"""Passes a streamed answer on at its caller's speed, while it is read at its engine's speed."""
 
 import asyncio
 from abc import ABC, abstractmethod
@@ -11,42 +11,42 @@
 
 
 class CallerTooSlowError(ConnectionResetError):
-    """A caller left its answer unread for so long that the connection was ended."""
+    """The caller's connection was aborted because the caller read its answer too slowly."""
 
 
 class CallerConnection(ABC):
-    """One caller's connection."""
+    """The connection of one caller."""
 
     @property
     @abstractmethod
     def is_slow(self) -> bool:
-        """Whether it holds more unsent bytes than it should."""
+        """Whether the unsent bytes are above the high-water mark."""
 
     @property
     @abstractmethod
     def unsent_bytes(self) -> int:
-        """What it has taken over and not sent."""
+        """The bytes that were written and not sent yet."""
 
     @abstractmethod
     async def write(self, data: bytes) -> None:
-        """Take bytes over, without waiting for the caller."""
+        """Write bytes, without waiting for the caller."""
 
     @abstractmethod
     async def wait_until_writable(self) -> None:
-        """Wait until the caller has taken most of what is unsent."""
+        """Wait until most of the unsent bytes are sent."""
 
     @abstractmethod
     def abort(self) -> None:
-        """End it at once, with what is unsent."""
+        """Close the connection at once, and drop its unsent bytes."""
 
 
 class CallerStream:
-    """The way of one stream to its caller.
+    """Passes one streamed answer to its caller, buffering it while the caller is slow.
 
-    A caller that reads in time gets each event as it comes, without a buffer or a task.
+    A caller that reads in time gets each event as it arrives, without a buffer or a task.
 
     Attributes:
-        waited_s: for how long the run stood still for its caller.
+        waited_s: for how long reading from the engine was paused for the caller.
     """
 
     def __init__(
@@ -67,7 +67,7 @@
         self._error: ConnectionResetError | None = None
 
     async def pass_bytes(self, data: bytes) -> None:
-        """Pass bytes on, or keep them for later; waits only where too much is kept."""
+        """Write or buffer bytes; wait only while the buffer is full."""
         if self._error is not None:
             raise self._error
         if self._buffer is None:
@@ -81,14 +81,14 @@
             await self._wait_until_not_full(buffer)
 
     async def finish(self) -> None:
-        """Wait until everything was handed to the connection."""
+        """Wait until all bytes were written to the connection."""
         if self._writer is not None:
             await self._writer
         if self._error is not None:
             raise self._error
 
     def close(self) -> None:
-        """Let go of what is kept."""
+        """Drop the buffered bytes."""
         if self._writer is not None:
             self._writer.cancel()
             self._writer = None
@@ -135,7 +135,7 @@
                 await self._connection.write(buffer.take(unsent_bytes, clock.now_s()))
                 self._progress.set()
         except ConnectionError as error:
-            # The run that feeds this flow learns of it at its next event.
+            # Raised to the sender with its next event.
             self._error = self._error or ConnectionResetError(str(error))
             self._progress.set()
 
--- a/liftrill/gateway/holding/node_memory.py
+++ b/liftrill/gateway/holding/node_memory.py
@@ -1,4 +1,4 @@
-"""The memory budget of this process: where its figures come from, and who is told of it."""
+"""The memory budget of this process, with its measurement, log and metrics."""
 
 import os
 from pathlib import Path
@@ -9,28 +9,28 @@
 from liftrill.gateway.settings import GatewaySettings
 
 STATM_PATH = Path("/proc/self/statm")
-# Tables grow within seconds of the start, and then with the fleet; a reading takes 20 us.
+# The process grows within seconds of its start, then with the fleet; a measurement takes 20 us.
 MEASURE_INTERVAL_S = 5.0
-# What is held is itself resident, so the rest is told apart only while little is held.
+# Held bytes are part of the resident memory, so the rest is measured only while few bytes are held.
 MAX_HELD_TO_MEASURE_BYTES = 1_048_576
 
 
 def resident_bytes() -> int:
-    """Return how much memory this process uses."""
+    """Return the resident memory of this process."""
     pages = int(STATM_PATH.read_text().split()[1])
     return pages * os.sysconf("SC_PAGE_SIZE")
 
 
 def machine_bytes() -> int:
-    """Return how much memory this machine has."""
+    """Return the physical memory of this machine."""
     return os.sysconf("SC_PHYS_PAGES") * os.sysconf("SC_PAGE_SIZE")
 
 
 class NodeMemory:
-    """What one process holds for its callers, with log and metrics.
+    """The memory that this process holds for its callers.
 
     Attributes:
-        budget: the accounts.
+        budget: accounts for the held bytes.
     """
 
     def __init__(self, limit_bytes: int, log: DecisionLog, metrics: GatewayMetrics) -> None:
@@ -41,20 +41,20 @@
         self._measured_at = 0.0
 
     def refresh(self, now: float) -> None:
-        """Measure anew now and then, and show the accounts."""
+        """Update the metrics, and measure the resident memory if it is due."""
         budget = self.budget
         if (
             now - self._measured_at > MEASURE_INTERVAL_S
             and budget.held_bytes < MAX_HELD_TO_MEASURE_BYTES
         ):
             self._measured_at = now
-            budget.note_resident(resident_bytes())
+            budget.update_resident(resident_bytes())
         for purpose in Purpose:
             self._metrics.held_bytes.labels(purpose.value).set(budget.held_for(purpose))
         self._metrics.holding_capacity.set(budget.capacity_bytes)
 
     def record_abort(self, request_id: str, reason: str, held_bytes: int) -> None:
-        """Tell that an answer that its caller did not take was let go."""
+        """Log and count an answer that was aborted because its caller did not read it."""
         self._metrics.slow_callers.labels(reason).inc()
         self._log.request_refused(
             request_id, "LET_GO", why=reason, held_bytes=held_bytes, all=self.budget.held_bytes
@@ -69,7 +69,7 @@
 def new_node_memory(
     settings: GatewaySettings, log: DecisionLog, metrics: GatewayMetrics
 ) -> NodeMemory | None:
-    """Return the memory of a node, or None where callers and engines read as fast as they can."""
+    """Return the memory of a node, or None if the settings rule out slow callers and engines."""
     if not settings.slow_peers:
         return None
     return NodeMemory(settings.machine.memory_bytes or machine_bytes(), log, metrics)
