--- a/liftrill/gateway/peers/engine_gossip.py
+++ b/liftrill/gateway/peers/engine_gossip.py
@@ -53,20 +53,20 @@
         self._log = log
         self._metrics = metrics
 
-    def handle_engine_message(self, word: EngineWord) -> None:
+    def handle_engine_message(self, message: EngineWord) -> None:
         """Apply what an engine reports of itself in an answer, and broadcast that it leaves."""
-        self._metrics.count_word(word)
-        if word.rest_s:
-            self._log.engine_rests(word)
-        if word.limit_per_s is not None:
-            self._log.engine_limit_named(word)
+        self._metrics.count_word(message)
+        if message.rest_s:
+            self._log.engine_rests(message)
+        if message.limit_per_s is not None:
+            self._log.engine_limit_named(message)
         now = clock.now_s()
-        engine = self._engines.incarnation(word.engine)
+        engine = self._engines.incarnation(message.engine)
         if engine is not None:
-            self._limits.note_answer(engine, word.limit_per_s, word.permit, now)
-        if self._engines.hear(word, now):
-            self._log_leaving(word.engine, word.source)
-            self._peers.broadcast_leaving([word.engine])
+            self._limits.note_answer(engine, message.limit_per_s, message.permit, now)
+        if self._engines.hear(message, now):
+            self._log_leaving(message.engine, message.source)
+            self._peers.broadcast_leaving([message.engine])
 
     def apply_update(self, update: EngineUpdate) -> None:
         """Apply an update from a peer."""
--- a/liftrill/gateway/peers/node_directory.py
+++ b/liftrill/gateway/peers/node_directory.py
@@ -22,7 +22,7 @@
 # With fewer nodes than this in the caller's zone, nodes of all zones are returned.
 MIN_ZONE_NODES = 2
 # Nodes report their load a few times a second, so a selection is reused for as long.
-PLAN_LIFETIME_S = 0.25
+SELECTION_LIFETIME_S = 0.25
 # A zone above this utilization also sends callers to other zones: as many as bring it down to this
 # value, and no more than the other zones can serve below it. Traffic between zones has a cost, so
 # it is used only where requests would otherwise wait.
@@ -62,12 +62,12 @@
 
 
 @dataclass(slots=True)
-class _Plan:
+class _CachedSelection:
     """The cached selection for the callers of one zone."""
 
-    made_at: float
+    selected_at: float
     node_ids: list[str]
-    answers: NodeSelection
+    selection: NodeSelection
 
 
 @dataclass(slots=True)
@@ -82,7 +82,7 @@
     capacities: NodeCapacities
     policy: NodeSelectionPolicy = field(default_factory=WeightedSelection)
     allows_spillover: bool = True
-    _plans: dict[str, _Plan] = field(default_factory=dict)
+    _cached: dict[str, _CachedSelection] = field(default_factory=dict)
     _spillover_cores: dict[str, float] = field(default_factory=dict)
     _min_spillover_cores: float = 0.0
     _own_zone: str = ""
@@ -93,12 +93,18 @@
     ) -> list[Member]:
         """Return those of the given live members that a caller of a zone should use."""
         node_ids = [member.node_id for member in members]
-        plan = self._plans.get(zone)
-        if plan is None or plan.node_ids != node_ids or now - plan.made_at >= PLAN_LIFETIME_S:
-            plan = _Plan(now, node_ids, self.policy.select(self._candidates(members, zone, now)))
-            self._plans[zone] = plan
+        cached = self._cached.get(zone)
+        if (
+            cached is None
+            or cached.node_ids != node_ids
+            or now - cached.selected_at >= SELECTION_LIFETIME_S
+        ):
+            cached = _CachedSelection(
+                now, node_ids, self.policy.select(self._candidates(members, zone, now))
+            )
+            self._cached[zone] = cached
         by_id = {member.node_id: member for member in members}
-        return [by_id[node_id] for node_id in plan.answers.for_caller(caller)]
+        return [by_id[node_id] for node_id in cached.selection.for_caller(caller)]
 
     def update(self, members: Sequence[Member], zone: str, now: float) -> list[NodePriorityChange]:
         """Update the spillover of this node's zone, and return changed priorities of its nodes."""
@@ -110,13 +116,15 @@
         """Return the nodes that were deprioritized or restored since the last update."""
         node_ids = [member.node_id for member in members]
         loads = self.capacities.node_loads(node_ids, now)
-        found = self._weighted_candidates(members, now)
-        deprioritized = {candidate.node_id for candidate in found if candidate.is_deprioritized}
+        candidates = self._weighted_candidates(members, now)
+        deprioritized = {
+            candidate.node_id for candidate in candidates if candidate.is_deprioritized
+        }
         changed = deprioritized ^ (self._deprioritized & set(node_ids))
         self._deprioritized = deprioritized
         return [
             NodePriorityChange(c, loads[c.node_id], self.capacities.reporting_for_s(c.node_id, now))
-            for c in found
+            for c in candidates
             if c.node_id in changed
         ]
 
@@ -137,12 +145,12 @@
 
     def _spillover_candidates(self, members: Sequence[Member], zone: str) -> list[Candidate]:
         """Return nodes of other zones, with the capacity that they spare for this node's zone."""
-        found: list[Candidate] = []
+        candidates: list[Candidate] = []
         for other, cores in self._spillover_cores.items():
             nodes = [m.node_id for m in members if m.zone == other]
             if zone == self._own_zone and cores > self._min_spillover_cores and nodes:
-                found.extend(_equal_shares(nodes, cores))
-        return found
+                candidates.extend(_equal_shares(nodes, cores))
+        return candidates
 
     def _update_spillover(self, members: Sequence[Member], zone: str, now: float) -> None:
         """Move the spillover to each zone towards what is wanted and what that zone can spare."""
--- a/liftrill/gateway/peers/node_selection.py
+++ b/liftrill/gateway/peers/node_selection.py
@@ -196,13 +196,13 @@
     """Return the nodes as candidates in the given order, with capacity and factor."""
     combined = total_load(list(loads.values()))
     similar = have_similar_capacity([load.capacity_cores for load in loads.values()])
-    found = []
+    candidates = []
     for node_id, load in loads.items():
         factor = _lag_factor(load, combined) * _memory_factor(load)
         if not similar:
             factor *= _spare_factor(load, combined) * _ramp_up_factor(reporting_for_s[node_id])
-        found.append(Candidate(node_id, load.capacity_cores, _quantized(factor)))
-    return found
+        candidates.append(Candidate(node_id, load.capacity_cores, _quantized(factor)))
+    return candidates
 
 
 def _spare_factor(load: NodeLoad, combined: NodeLoad) -> float:
