--- a/liftrill/gateway/holding/memory_budget.py
+++ b/liftrill/gateway/holding/memory_budget.py
@@ -1,84 +1,84 @@
-"""How many bytes a node may hold for its callers, and who lets go first, sans-IO."""
+"""The memory budget of a node for its callers, and the order of eviction, sans-IO."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
 from enum import Enum
 
-KILOBYTE = 1_024
-# What is kept free of the limit: the library's buffers of a thousand connections, and the copy
-# of one large body that is made as it is sent.
+BYTES_PER_KILOBYTE = 1_024
+# Share of the limit that is kept free: for the HTTP library's buffers of a thousand connections,
+# and the copy of one large body that is made while it is sent.
 RESERVE_SHARE = 0.125
-# At least this share of the limit may be held, whatever the process seems to use: memory that
-# was let go of is used again, but still counts as resident.
-LEAST_SHARE = 0.125
-# Bodies from here on are refused where the budget is spent; below it, refusing a request frees
-# less than a connection costs.
+# Minimum capacity as a share of the limit, however much the process seems to use: freed memory is
+# reused, but still counts as resident.
+MIN_CAPACITY_SHARE = 0.125
+# Bodies of at least this size are refused when the budget is full. Refusing a smaller one saves
+# less memory than its connection uses.
 LARGE_BODY_BYTES = 65_536
-# Answers that wait for their callers take at most this share, so that bodies find room too.
-ANSWERS_SHARE = 0.5
-# Bodies that have been coming for longer give way where room is needed: they hold it for the
-# sake of one slow caller.
-TRICKLE_S = 2.0
-# When the budget counts as nearly spent, and as well again.
-SPENT_SHARE = 0.9
-WELL_SHARE = 0.7
+# Maximum share of the capacity for answers that wait for their callers, to leave room for bodies.
+MAX_ANSWERS_SHARE = 0.5
+# Bodies that have been arriving for longer are evicted when room is needed: they hold it for a
+# single slow caller.
+SLOW_BODY_S = 2.0
+# Used shares of the capacity at which the budget becomes nearly full, and recovers.
+NEARLY_FULL_SHARE = 0.9
+RECOVERED_SHARE = 0.7
 
 
 class Purpose(Enum):
-    """For what bytes are held."""
+    """The purpose for which bytes are held."""
 
     BODY_READ = "body_read"
     BODY_HELD = "body_held"
     ANSWER = "answer"
 
 
-def _nothing() -> None:
-    """Let nothing go."""
+def _ignore_eviction() -> None:
+    """Do nothing."""
 
 
-class MemoryHold:
+class MemoryReservation:
     """The bytes that are held for one request and one purpose.
 
     Attributes:
-        caller: who makes the node hold them.
-        since: on the steady clock, seconds.
-        held_bytes: 0 after the end.
-        let_go: ends what is held, where the budget asks for it.
+        caller: the caller to which the bytes are accounted.
+        opened_at: time on the steady clock, in seconds.
+        held_bytes: 0 once closed.
+        on_evicted: called when the budget evicts the bytes.
     """
 
-    __slots__ = ("_budget", "_closed", "caller", "held_bytes", "let_go", "purpose", "since")
+    __slots__ = ("_budget", "_closed", "caller", "held_bytes", "on_evicted", "opened_at", "purpose")
 
     def __init__(
         self,
         budget: "MemoryBudget",
         purpose: Purpose,
         caller: str,
-        since: float,
-        let_go: Callable[[], None],
+        opened_at: float,
+        on_evicted: Callable[[], None],
     ) -> None:
         self._budget = budget
         self._closed = False
         self.purpose = purpose
         self.caller = caller
-        self.since = since
+        self.opened_at = opened_at
         self.held_bytes = 0
-        self.let_go = let_go
+        self.on_evicted = on_evicted
 
     def resize(self, held_bytes: int) -> None:
-        """Hold so many bytes from now on; what has ended holds none."""
+        """Set the number of held bytes; a closed reservation stays at none."""
         if self._closed:
             return
-        self._budget.account(self.purpose, held_bytes - self.held_bytes)
+        self._budget.adjust(self.purpose, held_bytes - self.held_bytes)
         self.held_bytes = held_bytes
 
     def change_purpose(self, purpose: Purpose) -> None:
-        """Hold the same bytes for another purpose."""
-        self._budget.account(self.purpose, -self.held_bytes)
-        self._budget.account(purpose, self.held_bytes)
+        """Account the same bytes to another purpose."""
+        self._budget.adjust(self.purpose, -self.held_bytes)
+        self._budget.adjust(purpose, self.held_bytes)
         self.purpose = purpose
 
     def close(self) -> None:
-        """Hold nothing any more; closing again does nothing."""
+        """Release the bytes; closing again does nothing."""
         self.resize(0)
         self._closed = True
         self._budget.forget(self)
@@ -86,131 +86,134 @@
 
 @dataclass(frozen=True, slots=True)
 class BudgetState:
-    """What a listener is told of a budget."""
+    """The state of a budget, as passed to on_pressure_change."""
 
     held_bytes: int
     capacity_bytes: int
-    nearly_spent: bool
+    is_nearly_full: bool
 
 
 class MemoryBudget:
-    """The accounts of one node.
+    """Accounts for the bytes that one node holds, and evicts slow callers when they are too many.
 
     Attributes:
-        limit_bytes: a process that takes more is killed.
-        held_bytes: of all purposes.
-        when_changed: told when the budget is nearly spent, and when it is well again.
+        limit_bytes: memory limit of the process, above which it is killed.
+        held_bytes: held bytes of all purposes.
+        on_pressure_change: called when the budget becomes nearly full, and when it recovers.
     """
 
-    def __init__(self, limit_bytes: int, own_bytes: int) -> None:
+    def __init__(self, limit_bytes: int, process_bytes: int) -> None:
         self.limit_bytes = limit_bytes
         self.held_bytes = 0
-        self.when_changed: Callable[[BudgetState], None] | None = None
-        self._own_bytes = own_bytes
+        self.on_pressure_change: Callable[[BudgetState], None] | None = None
+        self._process_bytes = process_bytes
         self._by_purpose = dict.fromkeys(Purpose, 0)
-        self._holds: dict[MemoryHold, None] = {}
-        self._nearly_spent = False
+        self._reservations: dict[MemoryReservation, None] = {}
+        self._is_nearly_full = False
 
     @property
     def capacity_bytes(self) -> int:
-        """How many bytes may be held in all."""
-        left = self.limit_bytes * (1.0 - RESERVE_SHARE) - self._own_bytes
-        return int(max(left, self.limit_bytes * LEAST_SHARE))
+        """The number of bytes that may be held in all."""
+        available = self.limit_bytes * (1.0 - RESERVE_SHARE) - self._process_bytes
+        return int(max(available, self.limit_bytes * MIN_CAPACITY_SHARE))
 
     @property
     def free_bytes(self) -> int:
-        """How many bytes more may be held, a kilobyte at the least: 0 tells others nothing."""
-        return max(KILOBYTE, self.capacity_bytes - self.held_bytes)
+        """The number of bytes that may still be held; at least 1024, as peers take 0 as unknown."""
+        return max(BYTES_PER_KILOBYTE, self.capacity_bytes - self.held_bytes)
 
     @property
-    def nearly_spent(self) -> bool:
-        """Whether little is left."""
-        return self._nearly_spent
+    def is_nearly_full(self) -> bool:
+        """Whether the budget is nearly full."""
+        return self._is_nearly_full
 
     def held_for(self, purpose: Purpose) -> int:
-        """Return the bytes that are held for a purpose."""
+        """Return the number of bytes held for a purpose."""
         return self._by_purpose[purpose]
 
-    def may_hold(self, more_bytes: int) -> bool:
-        """Return whether so many bytes more may be held."""
+    def has_room_for(self, more_bytes: int) -> bool:
+        """Return whether that many more bytes may be held."""
         return self.held_bytes + more_bytes <= self.capacity_bytes
 
-    def note_resident(self, resident_bytes: int) -> None:
-        """Take in what the process uses in all, what is held included."""
-        self._own_bytes = max(0, resident_bytes - self.held_bytes)
+    def update_resident(self, resident_bytes: int) -> None:
+        """Update from the resident memory of the process, which includes the held bytes."""
+        self._process_bytes = max(0, resident_bytes - self.held_bytes)
 
-    def open(
+    def reserve(
         self,
         purpose: Purpose,
         caller: str,
         now: float,
-        let_go: Callable[[], None] = _nothing,
-    ) -> MemoryHold:
-        """Begin to hold bytes, none at first."""
-        hold = MemoryHold(self, purpose, caller, now, let_go)
-        self._holds[hold] = None
-        return hold
-
-    def try_grow_body(self, hold: MemoryHold, size_bytes: int, now: float) -> bool:
-        """Hold a body of a size, unless it is large and there is no room for it."""
-        more_bytes = size_bytes - hold.held_bytes
-        if size_bytes >= LARGE_BODY_BYTES and not self._make_room(hold, more_bytes, now):
+        on_evicted: Callable[[], None] = _ignore_eviction,
+    ) -> MemoryReservation:
+        """Return a new reservation, of no bytes yet."""
+        reservation = MemoryReservation(self, purpose, caller, now, on_evicted)
+        self._reservations[reservation] = None
+        return reservation
+
+    def try_grow_body(self, reservation: MemoryReservation, size_bytes: int, now: float) -> bool:
+        """Resize the reservation of a body; return False for a large one without room."""
+        more_bytes = size_bytes - reservation.held_bytes
+        if size_bytes >= LARGE_BODY_BYTES and not self._make_room(reservation, more_bytes, now):
             return False
-        hold.resize(size_bytes)
+        reservation.resize(size_bytes)
         return True
 
-    def grow_answer(self, hold: MemoryHold, size_bytes: int) -> None:
-        """Hold an answer of a size; where that is too much, the most wasteful caller loses one."""
-        hold.resize(size_bytes)
-        bound = int(self.capacity_bytes * ANSWERS_SHARE)
-        while self._by_purpose[Purpose.ANSWER] > bound or not self.may_hold(0):
-            oldest = self._oldest_of_most_wasteful()
+    def grow_answer(self, reservation: MemoryReservation, size_bytes: int) -> None:
+        """Resize the reservation of an answer; evict answers of the heaviest callers if needed."""
+        reservation.resize(size_bytes)
+        max_answer_bytes = int(self.capacity_bytes * MAX_ANSWERS_SHARE)
+        while self._by_purpose[Purpose.ANSWER] > max_answer_bytes or not self.has_room_for(0):
+            oldest = self._oldest_of_heaviest_caller()
             if oldest is None:
                 return
-            self._end(oldest)
+            self._evict(oldest)
 
-    def account(self, purpose: Purpose, more_bytes: int) -> None:
-        """Change the sums; called by holds."""
+    def adjust(self, purpose: Purpose, more_bytes: int) -> None:
+        """Add to the sums; called by reservations."""
         self._by_purpose[purpose] += more_bytes
         self.held_bytes += more_bytes
-        bound = WELL_SHARE if self._nearly_spent else SPENT_SHARE
-        nearly_spent = self.held_bytes > bound * self.capacity_bytes
-        if nearly_spent is not self._nearly_spent:
-            self._nearly_spent = nearly_spent
-            if self.when_changed is not None:
-                state = BudgetState(self.held_bytes, self.capacity_bytes, nearly_spent)
-                self.when_changed(state)
-
-    def forget(self, hold: MemoryHold) -> None:
-        """Drop a hold that has ended; called by holds."""
-        self._holds.pop(hold, None)
-
-    def _make_room(self, wanted: MemoryHold, more_bytes: int, now: float) -> bool:
-        """Return whether there is room, after ending bodies that come too slowly."""
-        if self.may_hold(more_bytes):
+        threshold = RECOVERED_SHARE if self._is_nearly_full else NEARLY_FULL_SHARE
+        is_nearly_full = self.held_bytes > threshold * self.capacity_bytes
+        if is_nearly_full is not self._is_nearly_full:
+            self._is_nearly_full = is_nearly_full
+            if self.on_pressure_change is not None:
+                state = BudgetState(self.held_bytes, self.capacity_bytes, is_nearly_full)
+                self.on_pressure_change(state)
+
+    def forget(self, reservation: MemoryReservation) -> None:
+        """Remove a closed reservation; called by reservations."""
+        self._reservations.pop(reservation, None)
+
+    def _make_room(self, requesting: MemoryReservation, more_bytes: int, now: float) -> bool:
+        """Return whether there is room, after evicting slow bodies if needed."""
+        if self.has_room_for(more_bytes):
             return True
-        for hold in list(self._holds):
-            trickles = hold.purpose is Purpose.BODY_READ and now - hold.since > TRICKLE_S
-            if trickles and hold is not wanted:
-                self._end(hold)
-                if self.may_hold(more_bytes):
+        for reservation in list(self._reservations):
+            is_slow = (
+                reservation.purpose is Purpose.BODY_READ
+                and now - reservation.opened_at > SLOW_BODY_S
+            )
+            if is_slow and reservation is not requesting:
+                self._evict(reservation)
+                if self.has_room_for(more_bytes):
                     return True
         return False
 
-    def _oldest_of_most_wasteful(self) -> MemoryHold | None:
-        by_caller: dict[str, list[MemoryHold]] = {}
-        for hold in self._holds:
-            if hold.purpose is Purpose.ANSWER and hold.held_bytes:
-                by_caller.setdefault(hold.caller, []).append(hold)
+    def _oldest_of_heaviest_caller(self) -> MemoryReservation | None:
+        by_caller: dict[str, list[MemoryReservation]] = {}
+        for reservation in self._reservations:
+            if reservation.purpose is Purpose.ANSWER and reservation.held_bytes:
+                by_caller.setdefault(reservation.caller, []).append(reservation)
         if not by_caller:
             return None
-        # Holds are kept in the order in which they were opened.
-        return max(by_caller.values(), key=_sum_of)[0]
+        # Reservations are kept in the order in which they were opened.
+        return max(by_caller.values(), key=_total_bytes)[0]
 
-    def _end(self, hold: MemoryHold) -> None:
-        hold.close()
-        hold.let_go()
+    def _evict(self, reservation: MemoryReservation) -> None:
+        reservation.close()
+        reservation.on_evicted()
 
 
-def _sum_of(holds: list[MemoryHold]) -> int:
-    return sum(hold.held_bytes for hold in holds)
+def _total_bytes(reservations: list[MemoryReservation]) -> int:
+    return sum(reservation.held_bytes for reservation in reservations)
--- a/liftrill/gateway/peers/node_capacity.py
+++ b/liftrill/gateway/peers/node_capacity.py
@@ -1,8 +1,8 @@
-"""What a node can bear and bears now, from its settings and its own observations, sans-IO.
+"""Capacity and utilization of nodes, from their settings and their measurements, sans-IO.
 
-Machines of one fleet differ in processor and link. A node tells both as processor time: what
-its machine gives it, or less where its link is full before, and how much of that is in use. The
-time by which its own loop is late tells what neither of them shows: other work of the machine.
+The machines of a fleet differ in processor and link. A node reports both as processor time: the
+share of its machine, or less where its link is the bottleneck, and how much of that is in use. The
+lag of its event loop shows what neither of them does: other work on the machine.
 """
 
 from collections import deque
@@ -10,45 +10,46 @@
 from dataclasses import dataclass, field
 
 from liftrill.gateway.engines.service_model import middle
-from liftrill.gateway.peers.peer_silence import SILENT_AFTER_S
+from liftrill.gateway.peers.silence_detector import SILENCE_TIMEOUT_S
 from liftrill.gateway.settings import MachineLimits
 
-# Until a node has served some requests itself, they are taken to be like these: prompts of some
-# thousand tokens, and 3 ms of processor time each.
-FIRST_REQUESTS = 200
-FIRST_REQUEST_BYTES = 8_000
-FIRST_REQUEST_CPU_S = 0.003
-# Heads, and an answer of some hundred bytes, which cross the link beside the request's body.
-REQUEST_FRAME_BYTES = 1_200
-# What was seen of requests fades to half in this many of them: a wave of other requests shows
-# within seconds at a busy node.
-COST_MEMORY_REQUESTS = 1_000
-# Use is a mean over about a second: callers act on an answer for as long, and what reacts sooner
-# than they do swings.
+# Assumed cost of requests until a node has served some itself: prompts of some thousand tokens,
+# with 3 ms of processor time each.
+PRIOR_REQUESTS = 200
+PRIOR_REQUEST_BYTES = 8_000
+PRIOR_REQUEST_CPU_S = 0.003
+# Bytes on the link beside the request's body: headers, and an answer of some hundred bytes.
+REQUEST_OVERHEAD_BYTES = 1_200
+# Half-life of the cost average, in requests: a busy node sees a change in the kind of requests
+# within seconds.
+COST_HALF_LIFE_REQUESTS = 1_000
+# Smoothing factor per tick of the utilization, a mean over about a second: callers act on an answer
+# for about as long, and an average that reacts faster than they do would oscillate.
 USE_SMOOTHING = 0.25
-# Share of the lag that is left a beat after a late one: a single pause is forgotten in a second.
-LAG_FADING = 0.6
-# Callers are gone by then, however much later a loop is.
-LONGEST_LAG_S = 2.0
-# Later than this a loop has more work than processor time; timers alone go off a few ms late.
-LATE_S = 0.1
-# The last bodies whose arrival is looked at; their median bears a few slow callers.
-BODIES_SEEN = 15
-# A word counts for as long as one of loads on engines.
-NODE_WORD_LIFETIME_S = 1.0
-# A late loop that got less of it was stopped, and shows nothing of what keeps it busy.
-LEAST_FULL_SHARE = 0.25
+# Share of the lag that remains after a tick in time: the lag of a single pause decays in a second.
+LAG_DECAY = 0.6
+# Upper bound of the lag: callers have given up by then.
+MAX_LAG_S = 2.0
+# A larger lag means that a loop has more work than processor time; timers alone are a few ms late.
+LATE_THRESHOLD_S = 0.1
+# Number of recent bodies whose arrival delay is kept; the median tolerates a few slow callers.
+ARRIVAL_SAMPLES = 15
+# The load of a node expires after the same time as its report of engine loads.
+NODE_LOAD_LIFETIME_S = 1.0
+# A late loop that got a smaller share of its saturated processor time was suspended, not busy, so
+# saturation is not updated from it.
+MIN_SATURATION_SHARE = 0.25
 
 
 @dataclass(frozen=True, slots=True)
-class NodeWord:
-    """What one node, or one zone, tells of itself.
+class NodeLoad:
+    """The load that one node, or one zone, reports of itself.
 
     Attributes:
-        capacity_cores: processor time a second that it has for requests; 0 where not known.
-        used_cores: how much of it is in use.
-        late_s: by how much its loop runs late, or requests arrive late over its link.
-        free_bytes: of memory; 0 where not known.
+        capacity_cores: processor time a second for requests; 0 if unknown.
+        used_cores: processor time a second in use.
+        late_s: lag of its event loop, or delay of requests that arrive over its link.
+        free_bytes: free memory; 0 if unknown.
     """
 
     capacity_cores: float
@@ -64,199 +65,198 @@
 
 @dataclass(slots=True)
 class RequestCost:
-    """Bytes and processor time of requests, as this node saw them; sums fade."""
+    """Exponentially decaying sums of the bytes and the processor time of requests."""
 
-    sent_bytes: float = FIRST_REQUESTS * (FIRST_REQUEST_BYTES + REQUEST_FRAME_BYTES)
-    cpu_s: float = FIRST_REQUESTS * FIRST_REQUEST_CPU_S
+    link_bytes: float = PRIOR_REQUESTS * (PRIOR_REQUEST_BYTES + REQUEST_OVERHEAD_BYTES)
+    cpu_s: float = PRIOR_REQUESTS * PRIOR_REQUEST_CPU_S
 
-    def add(self, requests: int, sent_bytes: int, cpu_s: float) -> None:
-        """Take in the requests of a while."""
-        left = 0.5 ** (requests / COST_MEMORY_REQUESTS)
-        self.sent_bytes = self.sent_bytes * left + sent_bytes
-        self.cpu_s = self.cpu_s * left + cpu_s
+    def add(self, requests: int, link_bytes: int, cpu_s: float) -> None:
+        """Add the cost of some requests."""
+        decay = 0.5 ** (requests / COST_HALF_LIFE_REQUESTS)
+        self.link_bytes = self.link_bytes * decay + link_bytes
+        self.cpu_s = self.cpu_s * decay + cpu_s
 
     @property
     def bytes_per_cpu_s(self) -> float:
-        """Return the bytes that come along with a second of processor time."""
-        return self.sent_bytes / max(self.cpu_s, 1e-6)
+        """Return the bytes on the link per second of processor time."""
+        return self.link_bytes / max(self.cpu_s, 1e-6)
 
 
 @dataclass(slots=True)
 class NodeCapacity:
-    """The capacity and the use of this node.
+    """The capacity and the utilization of this node.
 
     Attributes:
-        beat_s: the time between two beats of a loop that is never late.
-        lag_s: by how much this node's own loop runs late. What it measures of others meanwhile
-            is its own lateness.
-        late_beats: how many beats in a row came late.
-        full_cores: processor time a second at which this process is busy all the time.
+        tick_interval_s: time between two updates of an event loop without lag.
+        lag_s: lag of this node's event loop. Delays of others that the node measures during a lag
+            are its own.
+        late_ticks: number of consecutive late ticks.
+        saturated_cores: processor time a second at which this process is always busy.
     """
 
     machine: MachineLimits
-    beat_s: float
+    tick_interval_s: float
     lag_s: float = 0.0
-    late_beats: int = 0
-    full_cores: float = field(init=False)
+    late_ticks: int = 0
+    saturated_cores: float = field(init=False)
     _cost: RequestCost = field(default_factory=RequestCost)
     _used_share: float = 0.0
     _free_bytes: int = 0
-    _beat_at: float | None = None
-    _beat_cpu_s: float = 0.0
+    _updated_at: float | None = None
+    _last_cpu_s: float = 0.0
     _requests: int = 0
-    _bytes: int = 0
-    _arrivals_s: deque[float] = field(default_factory=lambda: deque(maxlen=BODIES_SEEN))
+    _link_bytes: int = 0
+    _arrival_delays_s: deque[float] = field(default_factory=lambda: deque(maxlen=ARRIVAL_SAMPLES))
 
     def __post_init__(self) -> None:
-        self.full_cores = self.machine.cpu_share
+        self.saturated_cores = self.machine.cpu_share
 
     @property
     def capacity_cores(self) -> float:
-        """Return what the tightest of processor and link lets through; 0 where not told."""
-        link = self.machine.link_bytes_per_s
-        if not link:
+        """Return the capacity by the tighter of processor and link; 0 if not configured."""
+        link_bytes_per_s = self.machine.link_bytes_per_s
+        if not link_bytes_per_s:
             return self.machine.cpu_share
-        return min(self.machine.cpu_share, link / self._cost.bytes_per_cpu_s)
+        return min(self.machine.cpu_share, link_bytes_per_s / self._cost.bytes_per_cpu_s)
 
     @property
     def late_s(self) -> float:
-        """Return by how much the loop, or what comes over the link, is late."""
-        arrival_s = middle(self._arrivals_s) if self._arrivals_s else 0.0
-        return max(self.lag_s, min(arrival_s, LONGEST_LAG_S))
+        """Return the larger of the loop's lag and the delay of bodies over the link."""
+        arrival_s = middle(self._arrival_delays_s) if self._arrival_delays_s else 0.0
+        return max(self.lag_s, min(arrival_s, MAX_LAG_S))
 
-    def note_request(self, body_bytes: int, arrival_s: float) -> None:
-        """Note a request that was read, and how long its body took to arrive after its head."""
+    def record_request(self, body_bytes: int, arrival_s: float) -> None:
+        """Record a request, with the time from its headers to the end of its body."""
         self._requests += 1
-        self._bytes += body_bytes + REQUEST_FRAME_BYTES
+        self._link_bytes += body_bytes + REQUEST_OVERHEAD_BYTES
         if body_bytes:
-            self._arrivals_s.append(arrival_s)
-
-    def beat(self, now: float, cpu_s: float, free_bytes: int) -> None:
-        """Take in what passed since the last beat, with the processor time used until now."""
-        if self._beat_at is not None:
-            self._measure(now - self._beat_at, cpu_s - self._beat_cpu_s)
-        self._beat_at = now
-        self._beat_cpu_s = cpu_s
+            self._arrival_delays_s.append(arrival_s)
+
+    def update(self, now: float, cpu_s: float, free_bytes: int) -> None:
+        """Update from the time and the total processor time since the last tick."""
+        if self._updated_at is not None:
+            self._measure(now - self._updated_at, cpu_s - self._last_cpu_s)
+        self._updated_at = now
+        self._last_cpu_s = cpu_s
         self._free_bytes = free_bytes
         self._requests = 0
-        self._bytes = 0
+        self._link_bytes = 0
 
-    def word(self) -> NodeWord:
-        """Return what peers are told."""
+    def current_load(self) -> NodeLoad:
+        """Return the load to report to peers."""
         capacity = self.capacity_cores
         used = self._used_share * capacity
-        return NodeWord(capacity, used, self.late_s, self._free_bytes)
+        return NodeLoad(capacity, used, self.late_s, self._free_bytes)
 
     def _measure(self, elapsed_s: float, cpu_s: float) -> None:
         if elapsed_s <= 0.0:
             return
-        late_s = min(LONGEST_LAG_S, max(0.0, elapsed_s - self.beat_s))
-        self.lag_s = max(late_s, self.lag_s * LAG_FADING)
-        self.late_beats = self.late_beats + 1 if late_s > LATE_S else 0
+        late_s = min(MAX_LAG_S, max(0.0, elapsed_s - self.tick_interval_s))
+        self.lag_s = max(late_s, self.lag_s * LAG_DECAY)
+        self.late_ticks = self.late_ticks + 1 if late_s > LATE_THRESHOLD_S else 0
         cores = cpu_s / elapsed_s
         if self._requests:
-            self._cost.add(self._requests, self._bytes, cpu_s)
+            self._cost.add(self._requests, self._link_bytes, cpu_s)
         else:
-            self._forget_arrivals()
-        self._learn_full(cores, late_s)
-        share = max(self._cpu_share(cores), self._link_share(elapsed_s))
-        self._used_share += USE_SMOOTHING * (min(1.0, share) - self._used_share)
+            self._drop_oldest_arrival()
+        self._update_saturation(cores, late_s)
+        utilization = max(self._cpu_utilization(cores), self._link_utilization(elapsed_s))
+        self._used_share += USE_SMOOTHING * (min(1.0, utilization) - self._used_share)
 
-    def _forget_arrivals(self) -> None:
-        """Let a node that is sent nothing any more count as in time by degrees."""
-        if self._arrivals_s:
-            self._arrivals_s.popleft()
+    def _drop_oldest_arrival(self) -> None:
+        """Drop the oldest delay, so that a node without requests gradually counts as in time."""
+        if self._arrival_delays_s:
+            self._arrival_delays_s.popleft()
 
-    def _learn_full(self, cores: float, late_s: float) -> None:
-        """Correct what the settings tell: a late loop is a busy one, whatever it gets."""
-        if cores > self.full_cores > 0.0:
-            self.full_cores = cores
-        elif late_s > LATE_S and cores > LEAST_FULL_SHARE * self.full_cores:
-            self.full_cores += USE_SMOOTHING * (cores - self.full_cores)
+    def _update_saturation(self, cores: float, late_s: float) -> None:
+        """Correct the configured processor share: a late loop is saturated at what it gets."""
+        if cores > self.saturated_cores > 0.0:
+            self.saturated_cores = cores
+        elif late_s > LATE_THRESHOLD_S and cores > MIN_SATURATION_SHARE * self.saturated_cores:
+            self.saturated_cores += USE_SMOOTHING * (cores - self.saturated_cores)
 
-    def _cpu_share(self, cores: float) -> float:
-        return cores / self.full_cores if self.full_cores else 0.0
+    def _cpu_utilization(self, cores: float) -> float:
+        return cores / self.saturated_cores if self.saturated_cores else 0.0
 
-    def _link_share(self, elapsed_s: float) -> float:
-        link = self.machine.link_bytes_per_s
-        return self._bytes / elapsed_s / link if link else 0.0
+    def _link_utilization(self, elapsed_s: float) -> float:
+        link_bytes_per_s = self.machine.link_bytes_per_s
+        return self._link_bytes / elapsed_s / link_bytes_per_s if link_bytes_per_s else 0.0
 
 
 @dataclass(slots=True)
 class NodeCapacities:
-    """The latest words of nodes and of other zones.
+    """The latest loads of all nodes, including this one, and of other zones."""
 
-    This node's own word is taken like the others.
-    """
-
-    _nodes: dict[str, tuple[NodeWord, float]] = field(default_factory=dict)
-    _zones: dict[str, tuple[NodeWord, float]] = field(default_factory=dict)
-    _began_at: dict[str, float] = field(default_factory=dict)
+    _nodes: dict[str, tuple[NodeLoad, float]] = field(default_factory=dict)
+    _zones: dict[str, tuple[NodeLoad, float]] = field(default_factory=dict)
+    _reporting_since: dict[str, float] = field(default_factory=dict)
 
-    def take(self, node: str, word: NodeWord, now: float) -> None:
-        """Replace what a node told before."""
+    def update(self, node: str, load: NodeLoad, now: float) -> None:
+        """Replace the load of a node."""
         last = self._nodes.get(node)
-        if last is None or now - last[1] > SILENT_AFTER_S:
-            self._began_at[node] = now
-        self._nodes[node] = (word, now)
+        if last is None or now - last[1] > SILENCE_TIMEOUT_S:
+            self._reporting_since[node] = now
+        self._nodes[node] = (load, now)
 
-    def take_zone(self, zone: str, word: NodeWord, now: float) -> None:
-        """Replace what was told of another zone."""
-        self._zones[zone] = (word, now)
+    def update_zone(self, zone: str, load: NodeLoad, now: float) -> None:
+        """Replace the load of another zone."""
+        self._zones[zone] = (load, now)
 
     def forget(self, node: str) -> None:
-        """Forget a node that is gone."""
+        """Remove a node that is dead or has departed."""
         self._nodes.pop(node, None)
-        self._began_at.pop(node, None)
-
-    def word_of(self, node: str, now: float) -> NodeWord | None:
-        """Return what a node told lately, or None where it is not known."""
-        return _fresh(self._nodes.get(node), now)
-
-    def of_zone(self, zone: str, now: float) -> NodeWord | None:
-        """Return what was told lately of another zone, or None."""
-        return _fresh(self._zones.get(zone), now)
-
-    def heard_s(self, node: str, now: float) -> float | None:
-        """Return for how long a node has been heard since it was silent, or None."""
-        began_at = self._began_at.get(node)
-        return None if began_at is None else now - began_at
-
-    def total(self, nodes: list[str], now: float) -> NodeWord:
-        """Return the sum over nodes; those that are not known count as the median."""
-        return summed_word(list(self.words(nodes, now).values()))
-
-    def words(self, nodes: list[str], now: float) -> dict[str, NodeWord]:
-        """Return a word for each node, the median of the others' where it is not known."""
-        found = {node: self.word_of(node, now) for node in nodes}
-        known = [word for word in found.values() if word is not None and word.capacity_cores]
-        usual = _median_word(known)
+        self._reporting_since.pop(node, None)
+
+    def node_load(self, node: str, now: float) -> NodeLoad | None:
+        """Return the load of a node, or None if it is unknown or has expired."""
+        return _if_fresh(self._nodes.get(node), now)
+
+    def zone_load(self, zone: str, now: float) -> NodeLoad | None:
+        """Return the load of another zone, or None if it is unknown or has expired."""
+        return _if_fresh(self._zones.get(zone), now)
+
+    def reporting_for_s(self, node: str, now: float) -> float | None:
+        """Return for how long a node has reported without a silence, or None if it never did."""
+        since = self._reporting_since.get(node)
+        return None if since is None else now - since
+
+    def total(self, nodes: list[str], now: float) -> NodeLoad:
+        """Return the total load of nodes; those without a known load count as the median."""
+        return total_load(list(self.node_loads(nodes, now).values()))
+
+    def node_loads(self, nodes: list[str], now: float) -> dict[str, NodeLoad]:
+        """Return the load of each node, or the median of the known ones where it is unknown."""
+        loads_by_node = {node: self.node_load(node, now) for node in nodes}
+        known = [
+            load for load in loads_by_node.values() if load is not None and load.capacity_cores
+        ]
+        median = _median_load(known)
         return {
-            node: word if word is not None and word.capacity_cores else usual
-            for node, word in found.items()
+            node: load if load is not None and load.capacity_cores else median
+            for node, load in loads_by_node.items()
         }
 
 
-def _fresh(entry: tuple[NodeWord, float] | None, now: float) -> NodeWord | None:
-    if entry is None or now - entry[1] > NODE_WORD_LIFETIME_S:
+def _if_fresh(entry: tuple[NodeLoad, float] | None, now: float) -> NodeLoad | None:
+    if entry is None or now - entry[1] > NODE_LOAD_LIFETIME_S:
         return None
     return entry[0]
 
 
-def summed_word(words: Sequence[NodeWord]) -> NodeWord:
-    """Return what nodes bear and use in all, and how late the median of them is."""
-    if not words:
-        return NodeWord(0.0, 0.0)
-    capacity = sum(word.capacity_cores for word in words)
-    used = sum(word.used_cores for word in words)
-    return NodeWord(capacity, used, middle(word.late_s for word in words))
+def total_load(loads: Sequence[NodeLoad]) -> NodeLoad:
+    """Return the total capacity and use of nodes, with their median lateness."""
+    if not loads:
+        return NodeLoad(0.0, 0.0)
+    capacity = sum(load.capacity_cores for load in loads)
+    used = sum(load.used_cores for load in loads)
+    return NodeLoad(capacity, used, middle(load.late_s for load in loads))
 
 
-def _median_word(words: list[NodeWord]) -> NodeWord:
-    if not words:
-        return NodeWord(0.0, 0.0)
-    return NodeWord(
-        middle(word.capacity_cores for word in words),
-        middle(word.used_cores for word in words),
-        middle(word.late_s for word in words),
+def _median_load(loads: list[NodeLoad]) -> NodeLoad:
+    if not loads:
+        return NodeLoad(0.0, 0.0)
+    return NodeLoad(
+        middle(load.capacity_cores for load in loads),
+        middle(load.used_cores for load in loads),
+        middle(load.late_s for load in loads),
     )
