--- a/features/crash_fleet.py
+++ b/features/crash_fleet.py
@@ -5,7 +5,7 @@
 import random
 from dataclasses import dataclass, field
 
-from liftrill.coordination.crash_evidence import EARLY_S, CrashEvidence, LostRun
+from liftrill.coordination.crash_evidence import EARLY_END_S, CrashEvidence, LostRun
 
 WORKERS = 6
 REQUESTS_PER_S = 30.0
@@ -117,10 +117,10 @@
         self.at(now + BACK_AFTER_S, lambda _: self._workers.add(next(self._ids)))
         self.outcome.workers_ended += 1
         lost = [run for run in self._runs.values() if run.worker == worker]
-        self.evidence.note_end(worker, now)
+        self.evidence.record_end(worker, now)
         for run in lost:
             del self._runs[id(run)]
-            early = now - run.first_event_at < EARLY_S
+            early = now - run.first_event_at < EARLY_END_S
             self.evidence.add(LostRun(run.request, worker, early, run.sent_at, now))
             if run.request != b"deadly":
                 self.outcome.lost_runs += 1
@@ -128,9 +128,11 @@
                     again_at = now + self._random.choice((0.005, CALLERS_WAIT_S))
                     self.at(again_at, self._arrive, run.request, run.sends + 1)
         for run in lost:
-            if self.evidence.condemns(run.request):
+            if self.evidence.should_quarantine(run.request):
                 self.outcome.condemned.add(run.request)
-                self.evidence.explain([r.worker for r in self.evidence.runs(run.request)], now)
+                self.evidence.mark_explained(
+                    [r.worker for r in self.evidence.runs(run.request)], now
+                )
                 self.evidence.clear(run.request, now)
         if now - self._last_expired > 1.0:
             self._last_expired = now
--- a/features/gateway_store.py
+++ b/features/gateway_store.py
@@ -3,10 +3,10 @@
 from liftrill.coordination.range_store import (
     ConditionFailedError,
     HistoryGoneError,
-    ItemReading,
     LeaseGoneError,
     RangePage,
     RangeStore,
+    ReadResult,
     RemovedItem,
     StoredItem,
     WatchBatch,
@@ -59,7 +59,7 @@
         self.changes.clear()
 
     async def read(self, key):
-        return ItemReading(self.items.get(key), self.revision)
+        return ReadResult(self.items.get(key), self.revision)
 
     async def read_range(self, prefix, after):
         keys = sorted(k for k in self.items if k.startswith(prefix) and k > after)
@@ -98,7 +98,7 @@
         self.leases[self.revision] = (self.now + seconds, seconds)
         return self.revision
 
-    async def keep_lease(self, lease):
+    async def renew_lease(self, lease):
         if lease not in self.leases:
             raise LeaseGoneError("over")
         seconds = self.leases[lease][1]
@@ -107,5 +107,5 @@
         if self.loses_renewal(self.renewals, self.now):
             raise StoreAnswerLostError("lost")
 
-    async def end_lease(self, lease):
+    async def revoke_lease(self, lease):
         self.drop_lease(lease)
--- a/features/quota_network.py
+++ b/features/quota_network.py
@@ -39,11 +39,11 @@
     def try_take(self, tenant, amount, now, patience_s=30.0):
         return QuotaVerdict(self.bucket.try_take(amount, now))
 
-    def take_anyway(self, tenant, amount, now):
+    def take_unconditionally(self, tenant, amount, now):
         self.bucket.try_take(amount, now)
 
-    def give_back(self, tenant, amount, now):
-        self.bucket.give_back(amount)
+    def refund(self, tenant, amount, now):
+        self.bucket.refund(amount)
 
 
 class QuotaNetwork:
@@ -200,7 +200,7 @@
 
     def shed(self, number, node, units):
         if self.nodes[number] is node and number not in self.down:
-            self.tell(number, node.give_back(TENANT, units, self.clock.now()))
+            self.tell(number, node.refund(TENANT, units, self.clock.now()))
 
     def tell(self, number, notice):
         for other in range(self.count) if notice is not None else ():
--- a/features/steps/crash_evidence_steps.py
+++ b/features/steps/crash_evidence_steps.py
@@ -9,8 +9,8 @@
 
 from features.crash_fleet import CrashFleet
 from liftrill.coordination.crash_evidence import (
-    KEPT_S,
-    MOST_REQUESTS,
+    MAX_REQUESTS,
+    RETENTION_S,
     CrashEvidence,
     LostRun,
 )
@@ -41,27 +41,29 @@
     for word in ends.split():
         if word.endswith("!"):
             runs = context.evidence.runs(name(word[0]))
-            context.evidence.explain([run.worker for run in runs], runs[-1].ended_at)
+            context.evidence.mark_explained([run.worker for run in runs], runs[-1].ended_at)
         elif "+" in word:
             letter, _, at = word.partition("+")
             context.evidence.clear(name(letter), float(at))
         else:
             worker, ended_at, runs = runs_of(word)
-            context.evidence.note_end(worker, ended_at)
+            context.evidence.record_end(worker, ended_at)
             for run in runs:
                 context.evidence.add(run)
 
 
 @then('the request "{letter}" is {judged}')
 def step_judged(context, letter, judged):
-    assert context.evidence.condemns(name(letter)) == (judged == "condemned")
+    assert context.evidence.should_quarantine(name(letter)) == (judged == "condemned")
 
 
 def judged(runs):
     evidence = CrashEvidence()
     for run in runs:
         evidence.add(run)
-    return {fingerprint: evidence.condemns(fingerprint) for fingerprint in (b"a", b"b", b"c")}
+    return {
+        fingerprint: evidence.should_quarantine(fingerprint) for fingerprint in (b"a", b"b", b"c")
+    }
 
 
 def random_runs(draw):
@@ -101,8 +103,8 @@
 
 @then("no more than {count:d} are remembered, and none {seconds:g} s later")
 def step_bounded(context, count, seconds):
-    assert len(context.evidence) == count == MOST_REQUESTS
-    context.evidence.expire(KEPT_S)
+    assert len(context.evidence) == count == MAX_REQUESTS
+    context.evidence.expire(RETENTION_S)
     assert len(context.evidence) == count
     context.evidence.expire(1.0 + seconds)
     assert len(context.evidence) == 0
--- a/features/steps/gateway_quota_steps.py
+++ b/features/steps/gateway_quota_steps.py
@@ -49,13 +49,13 @@
 
     def read(self):
         page = asyncio.run(self.store.read_range("", ""))
-        self.mirror.take_page(page)
+        self.mirror.add_page(page)
         self.record.recall(self.now)
 
     def run(self, seconds, nodes=None):
         until = self.now + seconds
         while self.now < until:
-            self.fleet.note(nodes or self.nodes, self.now)
+            self.fleet.record_alive(nodes or self.nodes, self.now)
             before = self.store.items.get(FLEET_KEY)
             asyncio.run(self.record.write_if_due(self.now))
             self.writes += self.store.items.get(FLEET_KEY) is not before
@@ -103,9 +103,9 @@
 @then("{early:g} s later it still does, and {late:g} s later it goes by those it knows")
 def step_shrinks(context, early, late):
     fleet = context.newcomer.fleet
-    fleet.note(3, early)
+    fleet.record_alive(3, early)
     assert fleet.nodes == context.node.nodes, fleet.nodes
-    fleet.note(3, late)
+    fleet.record_alive(3, late)
     assert fleet.nodes == 3, fleet.nodes
 
 
--- a/features/steps/gateway_relay_steps.py
+++ b/features/steps/gateway_relay_steps.py
@@ -13,10 +13,10 @@
 from liftrill.bench.launcher import free_ports
 from liftrill.coordination.change_log import ChangeLog
 from liftrill.coordination.membership_messages import Condition, Member
-from liftrill.coordination.mirror_currency import MirrorCurrency
+from liftrill.coordination.mirror_freshness import MirrorFreshness
 from liftrill.coordination.range_store import (
-    ItemReading,
     RangePage,
+    ReadResult,
     RemovedItem,
     StoredItem,
     WatchBatch,
@@ -286,13 +286,13 @@
 def step_mirror(context, at, key, removed):
     context.mirror = StoreMirror()
     item = StoredItem(key, b"", 5)
-    context.mirror.take_page(RangePage((item,), 6, False))
-    context.mirror.take_batch(WatchBatch((RemovedItem(key, removed),), at))
+    context.mirror.add_page(RangePage((item,), 6, False))
+    context.mirror.apply_batch(WatchBatch((RemovedItem(key, removed),), at))
 
 
 @when('a reader that is behind tells of "{key}" as written at {revision:d}')
 def step_behind(context, key, revision):
-    context.mirror.take_batch(WatchBatch((StoredItem(key, b"", revision),), revision))
+    context.mirror.apply_batch(WatchBatch((StoredItem(key, b"", revision),), revision))
 
 
 @then('the mirror does not have "{key}"')
@@ -307,14 +307,14 @@
 @given("a log of changes with batches up to revisions 10, 12 and 15 after 8")
 def step_log(context):
     context.log = ChangeLog()
-    context.log.restart(8)
+    context.log.reset(8)
     for at in (10, 12, 15):
         context.log.append(batch(at))
 
 
 @then("a copy at 10 lacks the batches up to 12 and 15")
 def step_lacks(context):
-    assert [b.at for b in context.log.since(10)] == [12, 15]
+    assert [b.position for b in context.log.since(10)] == [12, 15]
 
 
 @then("a copy at 15 lacks none")
@@ -330,7 +330,7 @@
 @when("it holds no more than 2 changes")
 def step_small(context):
     context.log = ChangeLog(capacity=2)
-    context.log.restart(8)
+    context.log.reset(8)
     for at in (10, 12, 15):
         context.log.append(batch(at))
 
@@ -359,7 +359,7 @@
 
     def __init__(self, count, large=0):
         self.mirror = StoreMirror()
-        self.currency = MirrorCurrency()
+        self.currency = MirrorFreshness()
         self.view = ConfigurationView(4.5)
         self.view.adopt(GatewayConfiguration(5, (), {}))
         self.prove()
@@ -369,22 +369,22 @@
         items = [StoredItem(f"key-{n:04}", b"value", n + 1) for n in range(count)]
         if large:
             items[0] = StoredItem("key-0000", os.urandom(large), 1)
-        self.server.publish(self.mirror.take_page(RangePage(tuple(items), count, False)))
+        self.server.publish(self.mirror.add_page(RangePage(tuple(items), count, False)))
 
     def count(self, followers):
         self.followers = followers
 
     def prove(self):
         self.view.prove_current(5, time.monotonic())
-        self.currency.note_reading(1, time.monotonic())
-        self.currency.note_mirror(1)
+        self.currency.record_reading(1, time.monotonic())
+        self.currency.record_position(1)
 
     def learn(self, *changes):
-        self.server.publish(self.mirror.take_batch(WatchBatch(changes, changes[-1].revision)))
+        self.server.publish(self.mirror.apply_batch(WatchBatch(changes, changes[-1].revision)))
 
     def write(self, count, value=b"new"):
         for _ in range(count):
-            revision = self.mirror.at + 1
+            revision = self.mirror.position + 1
             self.learn(StoredItem(f"new-{revision}", value, revision))
 
 
@@ -399,15 +399,15 @@
         self.task = None
 
     def follow(self, address):
-        self.mirror.begin_reading()
-        self.task = asyncio.ensure_future(self.client.follow(address, self.mirror.at))
+        self.mirror.start_reading()
+        self.task = asyncio.ensure_future(self.client.follow(address, self.mirror.position))
 
     def relay_updated(self, update):
         if not update.snapshot:
-            self.mirror.take_batch(update.batch)
+            self.mirror.apply_batch(update.batch)
             return
         self.snapshots += not update.more
-        self.mirror.take_page(RangePage(update.batch.changes, update.batch.at, update.more))
+        self.mirror.add_page(RangePage(update.batch.changes, update.batch.position, update.more))
 
     def reader_patience_s(self):
         return constants.RELAY_SILENCE_SECONDS
@@ -466,7 +466,7 @@
 @when("the reader learns of a written and of a removed item")
 def step_learns(context):
     async def learn():
-        at = context.reader.mirror.at
+        at = context.reader.mirror.position
         written = StoredItem("key-0001", b"other", at + 1)
         context.reader.learn(written, RemovedItem("key-0002", at + 2))
 
@@ -477,7 +477,7 @@
 def step_has_too(context):
     context.run(eventually(lambda: same(context)))
     assert context.follower.mirror.get("key-0002") is None
-    assert context.follower.mirror.at == context.reader.mirror.at
+    assert context.follower.mirror.position == context.reader.mirror.position
 
 
 @when("the follower loses it, and the reader learns of {count:d} more items")
@@ -624,7 +624,7 @@
     async def read(self, key):
         self.asked += 1
         await asyncio.sleep(self.delay)
-        return ItemReading(StoredItem(key, b"", 5), 9)
+        return ReadResult(StoredItem(key, b"", 5), 9)
 
 
 @given(
@@ -671,7 +671,7 @@
         await asyncio.sleep(self.delay)
         if not self.mended:
             raise StoreUnavailableError("no answer")
-        return ItemReading(StoredItem(key, b"", 5), 9)
+        return ReadResult(StoredItem(key, b"", 5), 9)
 
 
 @given("a node whose proof ran out, and a store that fails after {delay:g} s")
--- a/features/steps/gateway_weights_steps.py
+++ b/features/steps/gateway_weights_steps.py
@@ -202,8 +202,8 @@
     async def step(self):
         if self.frozen:
             return
-        self.mirror.begin_reading()
-        self.mirror.take_page(await self.store.read_range("", ""))
+        self.mirror.start_reading()
+        self.mirror.add_page(await self.store.read_range("", ""))
         await self.leadership.step()
 
 
--- a/features/steps/processor_time_steps.py
+++ b/features/steps/processor_time_steps.py
@@ -8,7 +8,7 @@
 from behave import given, then, when
 
 from liftrill.coordination.membership_messages import Condition, Member
-from liftrill.coordination.told_spending import SpendingNotice
+from liftrill.coordination.spending_notices import SpendingNotice
 from liftrill.gateway import ticks
 from liftrill.gateway.peers.peer_link import PeerCallbacks, PeerLink, new_membership
 from liftrill.messages import peer_pb2 as messages
--- a/features/steps/quota_steps.py
+++ b/features/steps/quota_steps.py
@@ -187,7 +187,7 @@
 @given("it owes {units:d} units")
 def step_owes(context, units):
     # The node that is asked knows of it, as the others would.
-    context.network.nodes[0].take_anyway(TENANT, float(units), 0.0)
+    context.network.nodes[0].take_unconditionally(TENANT, float(units), 0.0)
 
 
 @then("the refused ones are told times between 0 and 30 s that are all different")
@@ -209,14 +209,14 @@
 def step_repeat(context, units):
     node = context.network.nodes[0]
     assert node.try_take(TENANT, float(units), 0.0).wait_s == 0.0
-    node.take_anyway(TENANT, float(units), 0.0)
+    node.take_unconditionally(TENANT, float(units), 0.0)
     context.units = float(units)
 
 
 @when("both are given back")
 def step_given_back(context):
     for _ in range(2):
-        context.network.nodes[0].give_back(TENANT, context.units, 0.0)
+        context.network.nodes[0].refund(TENANT, context.units, 0.0)
 
 
 @then("{units:d} units are left there")
@@ -275,7 +275,7 @@
     context.first.spend(units)
     if hears == "hears of it":
         context.second.buckets.hear_spending("first", context.first.notice, 0.0)
-    context.refund = context.first.buckets.give_back(TENANT, float(units), 0.0)
+    context.refund = context.first.buckets.refund(TENANT, float(units), 0.0)
 
 
 @when("the second hears of another {units:d} units that a third node spends")
@@ -316,7 +316,7 @@
 
 @when("they are given back")
 def step_they_are_given_back(context):
-    context.refund = context.first.buckets.give_back(TENANT, context.units, 0.1)
+    context.refund = context.first.buckets.refund(TENANT, context.units, 0.1)
 
 
 @then("its report tells of nothing")
--- a/features/steps/store_copy_steps.py
+++ b/features/steps/store_copy_steps.py
@@ -13,7 +13,7 @@
 from liftrill import constants
 from liftrill.bench.launcher import free_ports
 from liftrill.coordination.membership_messages import Member
-from liftrill.coordination.mirror_currency import MirrorCurrency
+from liftrill.coordination.mirror_freshness import MirrorFreshness
 from liftrill.errors import StoreUnavailableError
 from liftrill.gateway.beliefs import Beliefs
 from liftrill.gateway.configuration_view import ConfigurationView
@@ -35,7 +35,7 @@
 
 @given("a copy of which nothing is proven")
 def step_unproven(context):
-    context.currency = MirrorCurrency()
+    context.currency = MirrorFreshness()
 
 
 @when("these happen: {events}")
@@ -43,9 +43,9 @@
     for event in events.split(", "):
         numbers = [int(number) for number in re.findall(r"\d+", event)]
         if event.startswith("reading"):
-            context.currency.note_reading(*numbers)
+            context.currency.record_reading(*numbers)
         else:
-            context.currency.note_mirror(*numbers)
+            context.currency.record_position(*numbers)
 
 
 @then("the copy is proven as of {as_of}")
--- a/features/steps/store_era_steps.py
+++ b/features/steps/store_era_steps.py
@@ -25,7 +25,7 @@
     WatchBatch,
 )
 from liftrill.coordination.store_mirror import StoreMirror
-from liftrill.coordination.store_position import OldEraError, StoreEra, lease_of, position
+from liftrill.coordination.store_position import OldEraError, StoreEra, lease_id, position
 from liftrill.gateway.relay_codec import (
     RelayAnswer,
     RelayDecodeError,
@@ -136,7 +136,7 @@
 def step_knows(context, told):
     context.refused = []
     context.era = StoreEra(refused=lambda known, told: context.refused.append(told))
-    context.era.hear("" if told == "none" else told)
+    context.era.observe("" if told == "none" else told)
 
 
 @when('an answer tells "{told}" as its era')
@@ -151,7 +151,7 @@
 
 def is_taken(context, told):
     try:
-        context.era.hear(told)
+        context.era.observe(told)
     except OldEraError:
         return False
     return True
@@ -174,13 +174,13 @@
 
 @then("a condition on revision {number:d} of era {era:d} does not hold")
 def step_no_condition(context, number, era):
-    assert raises(ConditionFailedError, context.era.condition, at(era, number))
+    assert raises(ConditionFailedError, context.era.condition_revision, at(era, number))
 
 
 @then("lease 7 of era 3 is gone, and history after revision 7 of era 3 too")
 def step_gone(context):
-    assert raises(LeaseGoneError, context.era.lease, lease_of(4, 7))
-    assert raises(HistoryGoneError, context.era.history, at(3, 7))
+    assert raises(LeaseGoneError, context.era.current_lease_number, lease_id(4, 7))
+    assert raises(HistoryGoneError, context.era.watch_revision, at(3, 7))
 
 
 @then("revision 7 of era 4 is higher than revision 70000 of era 3")
@@ -190,7 +190,7 @@
 
 @then("a condition on revision {number:d} of era {era:d} holds for the store's revision 7")
 def step_condition(context, number, era):
-    assert context.era.condition(at(era, number)) == 7
+    assert context.era.condition_revision(at(era, number)) == 7
 
 
 @then('an answer that tells "{told}" is refused')
@@ -207,7 +207,7 @@
 @given("a copy of era {era:d} with the keys {text}")
 def step_copy(context, era, text):
     context.mirror = StoreMirror()
-    context.mirror.take_page(RangePage(items(era, text), at(era, 12), False))
+    context.mirror.add_page(RangePage(items(era, text), at(era, 12), False))
     context.before = context.mirror.items()
 
 
@@ -215,7 +215,7 @@
 def step_changes(context, era, text):
     found = items(era, text)
     batch = WatchBatch(found, found[-1].revision)
-    context.change = context.mirror.take_batch(batch)
+    context.change = context.mirror.apply_batch(batch)
 
 
 @then("the copy is as before")
@@ -227,7 +227,7 @@
 @when("a whole reading of era {era:d} comes: {text}")
 def step_reading(context, era, text):
     found = items(era, text)
-    context.change = context.mirror.take_page(RangePage(found, found[-1].revision, False))
+    context.change = context.mirror.add_page(RangePage(found, found[-1].revision, False))
     context.after = list(found)
 
 
@@ -246,7 +246,7 @@
 def step_relayed(context):
     for era in (0, 1, 8191):
         newest = position(era, 70_000)
-        lease = lease_of(era, LARGE_LEASE)
+        lease = lease_id(era, LARGE_LEASE)
         written = StoredItem("a", b"value", position(era, 9), lease)
         batch = WatchBatch((written, RemovedItem("b", position(era, 10))), newest)
         assert decode_message(encode_batch(batch)) == RelayUpdate(batch)
--- a/liftrill/coordination/change_log.py
+++ b/liftrill/coordination/change_log.py
@@ -24,29 +24,29 @@
     """
 
     capacity: int = 256
-    at: int = 0
+    position: int = 0
     _entries: deque[_Entry] = field(default_factory=deque)
     _size: int = 0
 
     def append(self, batch: WatchBatch) -> None:
         """Add a batch that follows the newest one."""
-        self._entries.append(_Entry(self.at, batch))
+        self._entries.append(_Entry(self.position, batch))
         self._size += len(batch.changes)
-        self.at = max(self.at, batch.at)
+        self.position = max(self.position, batch.position)
         while self._size > self.capacity:
             self._size -= len(self._entries.popleft().batch.changes)
 
-    def restart(self, at: int) -> None:
+    def reset(self, at: int) -> None:
         """Begin anew at a revision: what lies before is not known step by step."""
         self._entries.clear()
         self._size = 0
-        self.at = at
+        self.position = at
 
     def since(self, at: int) -> tuple[WatchBatch, ...] | None:
         """Return the batches that a copy at a revision lacks, or None if they are gone."""
-        if at >= self.at:
+        if at >= self.position:
             return ()
-        lacking = [entry for entry in self._entries if entry.batch.at > at]
+        lacking = [entry for entry in self._entries if entry.batch.position > at]
         if not lacking or lacking[0].before > at:
             return None
         return tuple(entry.batch for entry in lacking)
--- a/liftrill/coordination/claims.py
+++ b/liftrill/coordination/claims.py
@@ -205,7 +205,7 @@
     previous_members: frozenset[str] = frozenset()
 
     @property
-    def everyone(self) -> frozenset[str]:
+    def all_members(self) -> frozenset[str]:
         """All nodes that a proposal goes to."""
         return self.members | self.previous_members
 
@@ -239,7 +239,7 @@
         """Take in a member's answer."""
         self._answers[member] = answer
 
-    def record_silence(self, member: str) -> None:
+    def record_no_answer(self, member: str) -> None:
         """Note that a member did not answer; it may still have granted."""
         self._silent.add(member)
 
@@ -254,7 +254,7 @@
             return RoundState.GRANTED
         if self.result is not None:
             return RoundState.HELD
-        if len(self._answers) + len(self._silent) < len(self.group.everyone):
+        if len(self._answers) + len(self._silent) < len(self.group.all_members):
             return RoundState.PENDING
         return self._failure()
 
--- a/liftrill/coordination/crash_evidence.py
+++ b/liftrill/coordination/crash_evidence.py
@@ -10,7 +10,7 @@
 
 # A run whose answer began less than this before its worker ended had hardly begun: crashes at
 # the beginning of a run were seen 46 to 93 ms after it (measured on nine workers).
-EARLY_S = 0.25
+EARLY_END_S = 0.25
 # Workers that end closer together than this, with runs that were there at the same time, may
 # have ended of one cause that is none of the runs: a rack without power (guess).
 APART_S = 0.5
@@ -28,9 +28,9 @@
 ENDS_ALONE = 5
 # What is known of a request that was neither sent again nor served is forgotten after this
 # (guess: callers repeat within seconds or minutes).
-KEPT_S = 600.0
+RETENTION_S = 600.0
 # The most requests that are remembered; the oldest go first. 1 MB.
-MOST_REQUESTS = 4096
+MAX_REQUESTS = 4096
 
 
 @dataclass(frozen=True, slots=True)
@@ -40,7 +40,7 @@
     Attributes:
         fingerprint: names the request.
         worker: names the incarnation of the worker.
-        early: whether its answer had not begun, or less than `EARLY_S` before.
+        early: whether its answer had not begun, or less than `EARLY_END_S` before.
     """
 
     fingerprint: bytes
@@ -64,7 +64,7 @@
 
     def add(self, run: LostRun) -> bool:
         """Take in a run, and return whether it was news."""
-        self.note_end(run.worker, run.ended_at)
+        self.record_end(run.worker, run.ended_at)
         if run.ended_at <= self._served_at.get(run.fingerprint, -math.inf):
             return False
         runs = self._runs.setdefault(run.fingerprint, {})
@@ -72,11 +72,11 @@
         runs[run.worker] = _merged(known, run) if known else run
         if runs[run.worker] == known:
             return False
-        while len(self._runs) > MOST_REQUESTS:
+        while len(self._runs) > MAX_REQUESTS:
             self._runs.pop(next(iter(self._runs)))
         return True
 
-    def note_end(self, worker: int, at: float) -> None:
+    def record_end(self, worker: int, at: float) -> None:
         """Note that a worker ended, whatever ran there."""
         self._ends.setdefault(worker, at)
 
@@ -92,13 +92,13 @@
         """Return whether a worker ended soon after it had begun a request."""
         return any(run.early for run in self.runs(fingerprint))
 
-    def explain(self, workers: Iterable[int], at: float) -> None:
+    def mark_explained(self, workers: Iterable[int], at: float) -> None:
         """Note that some workers ended because of a request that is known by now."""
         for worker in workers:
-            self.note_end(worker, at)
+            self.record_end(worker, at)
             self._explained.add(worker)
 
-    def knows_end(self, worker: int) -> bool:
+    def has_ended(self, worker: int) -> bool:
         """Return whether a worker is known to have ended."""
         return worker in self._ends
 
@@ -108,7 +108,7 @@
         unexplained = (run for run in runs if run.worker not in self._explained)
         return sorted(unexplained, key=lambda run: run.ended_at)
 
-    def may_condemn(self, fingerprint: bytes) -> bool:
+    def reaches_quarantine_threshold(self, fingerprint: bytes) -> bool:
         """Return whether as many workers ended under a request as may condemn it."""
         runs = self.runs(fingerprint)
         early = [run for run in runs if run.early]
@@ -117,9 +117,9 @@
             return True
         return _separate(runs) >= ENDS_ALONE
 
-    def condemns(self, fingerprint: bytes) -> bool:
+    def should_quarantine(self, fingerprint: bytes) -> bool:
         """Return whether workers end because of a request, as far as that can be told."""
-        if not self.may_condemn(fingerprint):
+        if not self.reaches_quarantine_threshold(fingerprint):
             return False
         runs = self.runs(fingerprint)
         early = _separate([run for run in runs if run.early])
@@ -131,7 +131,7 @@
 
     def expire(self, now: float) -> None:
         """Forget what is old."""
-        before = now - KEPT_S
+        before = now - RETENTION_S
         for fingerprint, runs in list(self._runs.items()):
             left = {worker: run for worker, run in runs.items() if run.ended_at >= before}
             if left:
--- a/liftrill/coordination/mirror_currency.py
+++ b/liftrill/coordination/mirror_freshness.py
@@ -18,7 +18,7 @@
 
 
 @dataclass(slots=True)
-class MirrorCurrency:
+class MirrorFreshness:
     """Until when a mirror holds all that the store acknowledged.
 
     Attributes:
@@ -33,13 +33,13 @@
         """Return the age of the last proof."""
         return now - self.as_of
 
-    def note_reading(self, revision: int, asked_at: float) -> None:
+    def record_reading(self, revision: int, asked_at: float) -> None:
         """Note that the store was at a revision (0: none named) some time after a question."""
         if not revision:
             return
         self._ahead.append(_Reading(revision, asked_at))
 
-    def note_mirror(self, at: int) -> None:
+    def record_position(self, at: int) -> None:
         """Note that the mirror holds all changes up to a revision."""
         reached = [reading.asked_at for reading in self._ahead if reading.revision <= at]
         if not reached:
--- a/liftrill/coordination/permits.py
+++ b/liftrill/coordination/permits.py
@@ -22,7 +22,7 @@
 # this time.
 PERMIT_LIFETIME_S = 0.5
 # A node that gets no decision within this time does without the resource for a while.
-DECISION_WAIT_S = 0.1
+DECISION_TIMEOUT_S = 0.1
 UNDECIDED_BACKOFF_S = 0.25
 # The least time before a refused node asks again.
 SHORTEST_BACKOFF_S = 0.02
@@ -175,7 +175,7 @@
         request = self._open_request(now)
         if request is None:
             return wait_s
-        return max(wait_s, request.asked_at + DECISION_WAIT_S - now)
+        return max(wait_s, request.asked_at + DECISION_TIMEOUT_S - now)
 
     def ask(self, number: int, user: str, now: float) -> None:
         """Note that a permit is asked for."""
@@ -201,7 +201,7 @@
     def _open_request(self, now: float) -> _PendingRequest | None:
         """Return the request that may still be decided; back off without a decision."""
         request = self._pending
-        if request is not None and now - request.asked_at >= DECISION_WAIT_S:
+        if request is not None and now - request.asked_at >= DECISION_TIMEOUT_S:
             self.backoff_until = max(self.backoff_until, request.asked_at + UNDECIDED_BACKOFF_S)
             return None
         return request
@@ -252,7 +252,7 @@
             slot = self._reserve(resource, named_per_s, share, patience_s, now)
         return PermitDecision(number, slot.granted, slot.wait_s, self._run, now)
 
-    def take_receipt(
+    def record_receipt(
         self, resource: Hashable, run: int, issued_at: float, names_limit: bool, now: float
     ) -> bool:
         """Take in what the answer to a permitted request said; return whether the limit ends.
--- a/liftrill/coordination/quota.py
+++ b/liftrill/coordination/quota.py
@@ -18,7 +18,7 @@
 from collections.abc import Mapping
 from dataclasses import dataclass, field
 
-from liftrill.coordination.told_spending import HeardNotices, OwnNotices, SpendingNotice
+from liftrill.coordination.spending_notices import ReceivedNotices, SentNotices, SpendingNotice
 
 # A report tells what was spent in so many seconds: longer than nodes take between two
 # reports (at most 0.4 s), so that nothing falls between them.
@@ -136,13 +136,13 @@
         self.nodes = nodes
         self._reached_at = 0.0
 
-    def note(self, alive: int, now: float) -> None:
+    def record_alive(self, alive: int, now: float) -> None:
         """Take in how many nodes are believed alive now."""
         if alive >= self.nodes or now - self._reached_at > FLEET_SHRINK_S:
             self.nodes = max(1, alive)
             self._reached_at = now
 
-    def assume(self, nodes: int, now: float) -> None:
+    def raise_to(self, nodes: int, now: float) -> None:
         """Take a fleet to be as large as others remember it, until it proves smaller."""
         if nodes > self.nodes:
             self.nodes = nodes
@@ -163,11 +163,11 @@
         """Take units if the limit leaves them; else say when to come back, within a time."""
 
     @abstractmethod
-    def take_anyway(self, tenant: str, amount: float, now: float) -> None:
+    def take_unconditionally(self, tenant: str, amount: float, now: float) -> None:
         """Take units for work that is done whatever the limit."""
 
     @abstractmethod
-    def give_back(self, tenant: str, amount: float, now: float) -> SpendingNotice | None:
+    def refund(self, tenant: str, amount: float, now: float) -> SpendingNotice | None:
         """Return units that were taken for work that was then not done; tell others so."""
 
 
@@ -258,8 +258,8 @@
         self._random = random_source
         self._buckets: dict[str, _Bucket] = {}
         self._heard: dict[QuotaSource, _Heard] = {}
-        self._own_notices = OwnNotices(random_source.randrange(FIRST_NOTICE_NUMBERS))
-        self._heard_notices = HeardNotices()
+        self._own_notices = SentNotices(random_source.randrange(FIRST_NOTICE_NUMBERS))
+        self._heard_notices = ReceivedNotices()
         # Seconds for which the whole fleet's use is known: each part counts by its size.
         self._credit_s = 0.0
         self._own_credited_at: float | None = None
@@ -293,7 +293,7 @@
             return QuotaVerdict(max(SHORTEST_WAIT_S, wait_s), left=left)
         return QuotaVerdict(0.0, self._take(bucket, tenant, amount, now), left)
 
-    def take_anyway(self, tenant: str, amount: float, now: float) -> None:
+    def take_unconditionally(self, tenant: str, amount: float, now: float) -> None:
         """Take units for work that is done whatever the limit."""
         bucket = self._buckets.get(tenant)
         if bucket is not None:
@@ -301,7 +301,7 @@
             bucket.spent.append((now, amount))
             bucket.note_given(amount, now)
 
-    def give_back(self, tenant: str, amount: float, now: float) -> SpendingNotice | None:
+    def refund(self, tenant: str, amount: float, now: float) -> SpendingNotice | None:
         """Return units that were taken for work that was then not done.
 
         What others were told already stays charged there, but for what a notice takes back: a
--- a/liftrill/coordination/range_store.py
+++ b/liftrill/coordination/range_store.py
@@ -51,7 +51,7 @@
     """
 
     items: tuple[StoredItem, ...]
-    at: int
+    position: int
     more: bool
 
 
@@ -60,15 +60,15 @@
     """Changes after a revision, oldest first; `at` is where the next watch goes on."""
 
     changes: tuple[StoredItem | RemovedItem, ...]
-    at: int
+    position: int
 
 
 @dataclass(frozen=True, slots=True)
-class ItemReading:
+class ReadResult:
     """A linearizable reading of one key: the item or None, at a revision of the store."""
 
     item: StoredItem | None
-    at: int
+    position: int
 
 
 @dataclass(frozen=True, slots=True)
@@ -95,7 +95,7 @@
     """
 
     @abstractmethod
-    async def read(self, key: str) -> ItemReading:
+    async def read(self, key: str) -> ReadResult:
         """Read one key, linearizably."""
 
     @abstractmethod
@@ -129,7 +129,7 @@
         """Return a new lease; it runs from the arrival of the call."""
 
     @abstractmethod
-    async def keep_lease(self, lease: int) -> None:
+    async def renew_lease(self, lease: int) -> None:
         """Renew a lease.
 
         Raises:
@@ -137,5 +137,5 @@
         """
 
     @abstractmethod
-    async def end_lease(self, lease: int) -> None:
+    async def revoke_lease(self, lease: int) -> None:
         """End a lease; its keys go with it."""
--- a/liftrill/coordination/told_spending.py
+++ b/liftrill/coordination/spending_notices.py
@@ -31,7 +31,7 @@
 
 
 @dataclass(slots=True)
-class OwnNotices:
+class SentNotices:
     """What a node has told lately of its own spending.
 
     Attributes:
@@ -68,7 +68,7 @@
 
 
 @dataclass(slots=True)
-class HeardNotices:
+class ReceivedNotices:
     """What others told lately of their spending, as far as it can still be taken back."""
 
     _heard: OrderedDict[tuple[str, int], tuple[float, float]] = field(default_factory=OrderedDict)
--- a/liftrill/coordination/store_mirror.py
+++ b/liftrill/coordination/store_mirror.py
@@ -35,7 +35,7 @@
             of its era: only a whole reading brings a mirror into a later one.
     """
 
-    at: int = 0
+    position: int = 0
     _items: dict[str, StoredItem] = field(default_factory=dict)
     _pages: list[RangePage] = field(default_factory=list)
 
@@ -47,16 +47,16 @@
         """Return one item."""
         return self._items.get(key)
 
-    def begin_reading(self) -> None:
+    def start_reading(self) -> None:
         """Prepare for the pages of a new reading."""
         self._pages.clear()
 
-    def next_page_after(self) -> str:
+    def last_read_key(self) -> str:
         """Return the key after which the next page starts."""
         items = self._pages[-1].items if self._pages else ()
         return items[-1].key if items else ""
 
-    def take_page(self, page: RangePage) -> MirrorChange | None:
+    def add_page(self, page: RangePage) -> MirrorChange | None:
         """Take in a page; return what changed once the last one is there."""
         self._pages.append(page)
         if page.more and page.items:
@@ -66,19 +66,19 @@
         self._pages.clear()
         # An older copy than what is known, such as a reading from a lagging replica,
         # takes nothing away.
-        if first_at < self.at:
+        if first_at < self.position:
             return MirrorChange((), (), gap=True)
         return self._replace(found, first_at)
 
-    def take_batch(self, batch: WatchBatch) -> MirrorChange:
+    def apply_batch(self, batch: WatchBatch) -> MirrorChange:
         """Take in the changes of a watch, or of a mirror that may be behind this one."""
         written: dict[str, StoredItem] = {}
         removed: dict[str, None] = {}
-        if self._is_later_era(batch.at):
+        if self._is_later_era(batch.position):
             return MirrorChange((), (), gap=False)
         for change in batch.changes:
             # All up to `at` is known, removals too: an item that was removed does not return.
-            if change.revision <= self.at or self._is_later_era(change.revision):
+            if change.revision <= self.position or self._is_later_era(change.revision):
                 continue
             known = self._items.get(change.key)
             # One that is known already is told again: a copy that follows this one may have
@@ -91,15 +91,15 @@
                 self._items[change.key] = change
                 written[change.key] = change
                 removed.pop(change.key, None)
-        self.at = max(self.at, batch.at)
+        self.position = max(self.position, batch.position)
         return MirrorChange(tuple(written.values()), tuple(removed), gap=False)
 
     def _is_later_era(self, position: int) -> bool:
-        return bool(self.at) and era_of(position) > era_of(self.at)
+        return bool(self.position) and era_of(position) > era_of(self.position)
 
     def _replace(self, found: dict[str, StoredItem], at: int) -> MirrorChange:
         # A copy without an era came from nodes that tell none: the store itself went on.
-        restored = era_of(self.at) > 0 and self._is_later_era(at)
+        restored = era_of(self.position) > 0 and self._is_later_era(at)
         removed = tuple(key for key in self._items if key not in found)
         written = tuple(
             item
@@ -110,7 +110,7 @@
             del self._items[key]
         for item in written:
             self._items[item.key] = item
-        self.at = at
+        self.position = at
         return MirrorChange(written, removed, gap=True, restored=restored)
 
     def _forget(self, key: str, written: dict[str, StoredItem], removed: dict[str, None]) -> None:
--- a/liftrill/coordination/store_position.py
+++ b/liftrill/coordination/store_position.py
@@ -49,7 +49,7 @@
     return position & LARGEST_REVISION
 
 
-def lease_of(era: int, number: int) -> int:
+def lease_id(era: int, number: int) -> int:
     """Return a name for a lease that no lease of another era has; 0 for none."""
     return era << LEASE_BITS | number if number else 0
 
@@ -59,12 +59,12 @@
     return lease & LARGEST_LEASE
 
 
-def told_era(era: int) -> int | None:
+def reported_era(era: int) -> int | None:
     """Return an era as the store tells it, or None where it tells none."""
     return era - 1 if era else None
 
 
-def lifted(position: int, base_era: int) -> int:
+def relative_position(position: int, base_era: int) -> int:
     """Return a position in which a base era counts as 0, and earlier ones as well."""
     return max(0, era_of(position) - base_era) << REVISION_BITS | revision_of(position)
 
@@ -93,12 +93,12 @@
     """
 
     era: int = 0
-    turns: int = 0
-    began: Callable[[int], None] = _tell_nobody
-    refused: Callable[[int, str], None] = _count_nothing
+    change_count: int = 0
+    on_new_era: Callable[[int], None] = _tell_nobody
+    on_refused_answer: Callable[[int, str], None] = _count_nothing
     _heard: bool = False
 
-    def hear(self, told: str) -> int:
+    def observe(self, told: str) -> int:
         """Return the era of an answer, from what it tells.
 
         Raises:
@@ -106,7 +106,7 @@
         """
         era = _parse(told)
         if era < self.era:
-            self.refused(self.era, told)
+            self.on_refused_answer(self.era, told)
             raise OldEraError(f"era {told!r} after {self.era}")
         if era > self.era:
             self._turn(era)
@@ -116,10 +116,10 @@
     def _turn(self, era: int) -> None:
         self.era = era
         if self._heard:
-            self.turns += 1
-            self.began(era)
+            self.change_count += 1
+            self.on_new_era(era)
 
-    def condition(self, position: int) -> int:
+    def condition_revision(self, position: int) -> int:
         """Return what the store calls a position in a condition.
 
         Raises:
@@ -132,7 +132,7 @@
             raise ConditionFailedError("a revision of an earlier era")
         return revision_of(position)
 
-    def lease(self, lease: int) -> int:
+    def current_lease_number(self, lease: int) -> int:
         """Return what the store calls a lease.
 
         Raises:
@@ -142,7 +142,7 @@
             raise LeaseGoneError("a lease of an earlier era")
         return lease_number(lease)
 
-    def history(self, position: int) -> int:
+    def watch_revision(self, position: int) -> int:
         """Return what the store calls the end of a copy, from which a watch is to go on.
 
         Raises:
--- a/liftrill/coordination/token_bucket.py
+++ b/liftrill/coordination/token_bucket.py
@@ -36,7 +36,7 @@
             return 0.0
         return (needed - self._tokens) / self.rate
 
-    def give_back(self, amount: float) -> None:
+    def refund(self, amount: float) -> None:
         """Return tokens that were taken for work that was then not done."""
         self._tokens = min(self.burst, self._tokens + amount)
 
--- a/liftrill/gateway/admission/quota_gate.py
+++ b/liftrill/gateway/admission/quota_gate.py
@@ -4,7 +4,7 @@
 from dataclasses import dataclass, field, replace
 
 from liftrill.coordination.quota import QuotaReport, QuotaSource, SharedBuckets
-from liftrill.coordination.told_spending import SpendingNotice
+from liftrill.coordination.spending_notices import SpendingNotice
 from liftrill.errors import ResultCode
 from liftrill.gateway.admission.request_admission import AdmissionRefusal
 from liftrill.gateway.configuration_view import ConfigurationView
@@ -85,7 +85,7 @@
         """Count a request that is sent once more: it may run twice."""
         quota = self._quotas.get(request.tenant)
         if quota is not None:
-            self.buckets.take_anyway(request.tenant, units_of(quota, request), now)
+            self.buckets.take_unconditionally(request.tenant, units_of(quota, request), now)
 
     def record_not_run(self, request: OpaqueRequest, runs: int, now: float) -> None:
         """Give back what a request had taken for some runs that were none."""
@@ -94,7 +94,7 @@
             return
         for _ in range(runs):
             units = units_of(quota, request)
-            notice = self.buckets.give_back(request.tenant, units, now)
+            notice = self.buckets.refund(request.tenant, units, now)
             if notice is not None:
                 self.tell(notice)
 
--- a/liftrill/gateway/currency.py
+++ b/liftrill/gateway/currency.py
@@ -111,7 +111,7 @@
         before the question, however long the answer was on its way.
         """
         # A reader that has not heard of the store's return yet proves what was before it.
-        if era_of(answer.at) == era_of(self._follower.mirror.at):
+        if era_of(answer.at) == era_of(self._follower.mirror.position):
             self._prove(answer.version, asked_at - answer.proof_age_s)
 
     async def prove_within(self, limit_s: float) -> None:
@@ -178,13 +178,13 @@
 
     async def _ask(self, asked_at: float) -> None:
         reading = await self._store.read(self._beliefs.decoder.configuration_key)
-        self._follower.store_answered(reading.at, asked_at)
-        if reading.at > self._follower.mirror.at and not self._checks_watch():
-            self._watch_check = asyncio.ensure_future(self._check_watch(reading.at))
+        self._follower.store_answered(reading.position, asked_at)
+        if reading.position > self._follower.mirror.position and not self._checks_watch():
+            self._watch_check = asyncio.ensure_future(self._check_watch(reading.position))
         item = reading.item
         if item is None:
             return
-        self._copy_at = self._copy_at or reading.at
+        self._copy_at = self._copy_at or reading.position
         if item.revision > self._beliefs.configuration_revision:
             self._owner.configuration_read(item)
         if self._may_be_undone(asked_at) and item.revision <= self._copy_at:
@@ -202,6 +202,6 @@
         A watch that has gone deaf looks like one that has nothing to tell.
         """
         await asyncio.sleep(self._follower.watch_lag_s())
-        if self._follower.mirror.at < revision:
+        if self._follower.mirror.position < revision:
             self._owner.watch_behind(revision)
             self._follower.read_again()
--- a/liftrill/gateway/engines/engine_limits.py
+++ b/liftrill/gateway/engines/engine_limits.py
@@ -368,7 +368,7 @@
         if receipt.rate_per_s is not None:
             known.updated_at = now
             known.limit = replace(known.limit, rate_per_s=receipt.rate_per_s)
-        ended = self._issuer.take_receipt(
+        ended = self._issuer.record_receipt(
             receipt.engine, receipt.run, receipt.issued_at, receipt.rate_per_s is not None, now
         )
         if ended:
--- a/liftrill/gateway/engines/engine_selector.py
+++ b/liftrill/gateway/engines/engine_selector.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass, replace
 
 from liftrill import constants
-from liftrill.coordination.permits import DECISION_WAIT_S
+from liftrill.coordination.permits import DECISION_TIMEOUT_S
 from liftrill.gateway.admission.overload import OverloadGuard
 from liftrill.gateway.admission.room import EngineRoom
 from liftrill.gateway.delivery import Unavailable
@@ -83,7 +83,7 @@
         floor = self._version_floor(able, request)
         ready = [view for view in left if self._is_ready(view, request, floor, now)]
         # One that an engine turned away has waited already.
-        may_wait = not excluded and now + DECISION_WAIT_S < request.waits_until
+        may_wait = not excluded and now + DECISION_TIMEOUT_S < request.waits_until
         while ready:
             choice = self._choose_ready(request, ready, now, quietest)
             if isinstance(choice, Unavailable) or not self.limits.is_limited(choice.engine):
--- a/liftrill/gateway/fleet_record.py
+++ b/liftrill/gateway/fleet_record.py
@@ -48,7 +48,7 @@
         if item is None or item.revision == self._recalled_revision:
             return
         self._recalled_revision = item.revision
-        self._fleet.assume(self._recorded(), now)
+        self._fleet.raise_to(self._recorded(), now)
 
     def skip(self) -> None:
         """Leave unread what the store has now: it is an older record that came back."""
--- a/liftrill/gateway/gateway.py
+++ b/liftrill/gateway/gateway.py
@@ -15,9 +15,9 @@
 from liftrill.coordination.membership_messages import Condition, Member
 from liftrill.coordination.quota import FleetSize, SharedBuckets
 from liftrill.coordination.range_store import RangeStore, StoredItem
+from liftrill.coordination.spending_notices import SpendingNotice
 from liftrill.coordination.store_mirror import MirrorChange
-from liftrill.coordination.store_position import era_of, revision_of, told_era
-from liftrill.coordination.told_spending import SpendingNotice
+from liftrill.coordination.store_position import era_of, reported_era, revision_of
 from liftrill.errors import ResultCode
 from liftrill.gateway import ticks
 from liftrill.gateway.admission.quota_gate import QuotaGate
@@ -384,7 +384,7 @@
         """Take in a change of the store's mirror, and pass it on."""
         self._relay.publish(change)
         if change.restored:
-            self._note_restored(era_of(self._follower.mirror.at))
+            self._note_restored(era_of(self._follower.mirror.position))
             self._fleet_record.skip()
         else:
             self._fleet_record.recall(clock.now_s())
@@ -402,18 +402,18 @@
     def store_era_refused(self, era: int, told: str) -> None:
         """Note that an answer of the store is of an earlier era than is known, or tells none."""
         self.metrics.refused_eras.inc()
-        self.log.store_era_refused(told_era(era), told)
+        self.log.store_era_refused(reported_era(era), told)
 
     def _note_restored(self, era: int) -> None:
         if era <= self._store_era:
             return
         self._store_era = era
         self.metrics.store_era.set(era - 1)
-        at = self._follower.mirror.at
+        at = self._follower.mirror.position
         self.log.belief(
             "store_restored",
-            era=told_era(era),
-            copy_era=told_era(era_of(at)),
+            era=reported_era(era),
+            copy_era=reported_era(era_of(at)),
             at=revision_of(at),
         )
         self._leadership.store_restored()
@@ -431,7 +431,7 @@
         now = clock.now_s()
         self.log.belief(
             "store_read",
-            at=self._follower.mirror.at,
+            at=self._follower.mirror.position,
             call_s=round(now - asked_at, 3),
             mirror_age_s=rounded_age(self._follower.currency.age_s(now)),
         )
@@ -439,7 +439,7 @@
 
     def watch_behind(self, revision: int) -> None:
         """Log that the watch did not bring what a reading named."""
-        self.log.belief("watch_behind", at=self._follower.mirror.at, revision=revision)
+        self.log.belief("watch_behind", at=self._follower.mirror.position, revision=revision)
 
     def own_name(self) -> str:
         """Return the name of this node."""
@@ -451,7 +451,7 @@
 
     def store_connection(self, connected: bool) -> None:
         """Note that the store was lost or regained."""
-        self.log.belief("store", connected=connected, at=self._follower.mirror.at)
+        self.log.belief("store", connected=connected, at=self._follower.mirror.position)
 
     def relay_answered(self, answer: RelayAnswer, asked_at: float) -> None:
         """Take the proof of the reader that this node follows."""
@@ -474,7 +474,7 @@
             "reader_followed",
             reader=reader.node_id,
             store_lost=store_lost,
-            at=self._follower.mirror.at,
+            at=self._follower.mirror.position,
             mirror_age_s=rounded_age(self._follower.currency.age_s(now)),
             proof_age_s=rounded_age(self.view.proof_age(now)),
         )
@@ -492,7 +492,7 @@
     def _on_member(self, member: Member) -> None:
         alive = len(self._membership.members())
         self._allowance.nodes = max(self._allowance.nodes, alive)
-        self._fleet.note(alive, clock.now_s())
+        self._fleet.record_alive(alive, clock.now_s())
         if member.condition is Condition.ALIVE:
             self._gossip.tell_joiner(member)
         if member.condition >= Condition.DEAD:
@@ -727,7 +727,7 @@
             self.metrics.line_age.set(age_s)
             self._tell_of_parts(now)
             self._note_speeds(now)
-            self._fleet.note(len(self._membership.members()), now)
+            self._fleet.record_alive(len(self._membership.members()), now)
             self._quotas.expire(now)
             if self.memory is not None:
                 self.memory.watch(now)
--- a/liftrill/gateway/leadership.py
+++ b/liftrill/gateway/leadership.py
@@ -24,7 +24,7 @@
     StoredItem,
 )
 from liftrill.coordination.store_mirror import StoreMirror
-from liftrill.coordination.store_position import era_of, lifted
+from liftrill.coordination.store_position import era_of, relative_position
 from liftrill.errors import StoreAnswerLostError, StoreError, StoreUnavailableError
 from liftrill.gateway.decision_log import DecisionLog
 
@@ -100,7 +100,7 @@
         Nodes of builds that know of no eras use bare revisions: as long as the store has not
         come back from an older copy, theirs and this one follow each other.
         """
-        return lifted(self.fence, self._base_era or 0)
+        return relative_position(self.fence, self._base_era or 0)
 
     def _known_base_era(self) -> int:
         """Return the base era: of the store's record, or the first that this node knew."""
@@ -108,7 +108,7 @@
         if item is not None and item.value.isdigit():
             self._base_era = int(item.value)
         elif self._base_era is None:
-            self._base_era = era_of(self._mirror.at)
+            self._base_era = era_of(self._mirror.position)
         return self._base_era
 
     def may_order(self, now: float) -> bool:
@@ -123,7 +123,7 @@
         """Do what is due with the store: acquire or renew."""
         if self._retired:
             return
-        if self._mirror.at:
+        if self._mirror.position:
             self._known_base_era()
         now = self._clock()
         had = self.fence
@@ -175,7 +175,7 @@
         if not lease:
             return
         try:
-            await self._store.end_lease(lease)
+            await self._store.revoke_lease(lease)
         except StoreError as error:
             self._log.belief("leader_key_left", lease=lease, reason=type(error).__name__)
 
@@ -255,10 +255,10 @@
             asked_at = self._clock()
             with suppress(StoreUnavailableError, StoreAnswerLostError, TimeoutError):
                 async with asyncio.timeout(timeout_s):
-                    await self._store.keep_lease(self._store_lease)
+                    await self._store.renew_lease(self._store_lease)
                     return asked_at
         asked_at = self._clock()
-        await self._store.keep_lease(self._store_lease)
+        await self._store.renew_lease(self._store_lease)
         return asked_at
 
     async def _contend(self) -> None:
--- a/liftrill/gateway/peers/peer_link.py
+++ b/liftrill/gateway/peers/peer_link.py
@@ -20,7 +20,7 @@
     SendDatagram,
     Ticked,
 )
-from liftrill.coordination.told_spending import SpendingNotice
+from liftrill.coordination.spending_notices import SpendingNotice
 from liftrill.gateway import ticks
 from liftrill.gateway.delivery_events import EngineAddress
 from liftrill.gateway.engines.engine_limits import EngineLimit, LimitMessage
--- a/liftrill/gateway/quarantine.py
+++ b/liftrill/gateway/quarantine.py
@@ -9,7 +9,7 @@
 from collections.abc import Iterable
 from dataclasses import dataclass, field, replace
 
-from liftrill.coordination.crash_evidence import EARLY_S, CrashEvidence, LostRun
+from liftrill.coordination.crash_evidence import EARLY_END_S, CrashEvidence, LostRun
 from liftrill.errors import ResultCode
 from liftrill.gateway.admission.request_admission import AdmissionRefusal
 from liftrill.gateway.decision_log import DecisionLog
@@ -108,7 +108,7 @@
     ) -> None:
         """Note that a run broke, or was given up: its engine may be found to have ended."""
         first = times.first_event_at
-        early = first is None or now - first < EARLY_S
+        early = first is None or now - first < EARLY_END_S
         run = LostRun(request.fingerprint, view.number, early, times.sent_at, now)
         loss = _Loss(run, request.route.name, request.tenant)
         if self.knows_end(view):
@@ -118,7 +118,7 @@
 
     def knows_end(self, view: EngineView) -> bool:
         """Return whether an engine is known to have ended."""
-        return self._evidence.knows_end(view.number)
+        return self._evidence.has_ended(view.number)
 
     def engine_ended(self, view: EngineView, now: float) -> None:
         """Note that an engine has ended, and judge what was lost with it here."""
@@ -144,7 +144,7 @@
             self._note_end(run.worker, node, now)
             known = self.entries.get(run.fingerprint)
             if known is not None and self.entries.left_s(run.fingerprint, time.time()):
-                self._evidence.explain([run.worker], now)
+                self._evidence.mark_explained([run.worker], now)
                 if self._evidence.add(run):
                     # It sent what is kept from engines: it has not heard.
                     self._settle(run.fingerprint, now)
@@ -196,7 +196,7 @@
                 self._losses[number] = left
             else:
                 del self._losses[number]
-        for number in [n for n in self._ended if not self._evidence.knows_end(n)]:
+        for number in [n for n in self._ended if not self._evidence.has_ended(n)]:
             del self._ended[number]
         for entry in self.entries.forgotten(time.time()):
             self.entries.remove(entry.fingerprint)
@@ -211,7 +211,7 @@
             return
         # Its record may be gone when its name is asked for.
         self._ended[number] = name or self._engine_name(number)
-        self._evidence.note_end(number, now)
+        self._evidence.record_end(number, now)
         losses = self._losses.pop(number, [])
         self.metrics.engine_ends.inc()
         self.log.belief(
@@ -255,7 +255,7 @@
         fingerprint = run.fingerprint
         if self.entries.left_s(fingerprint, time.time()):
             self._settle(fingerprint, now)
-        elif self._has_returned(run) or self._evidence.may_condemn(fingerprint):
+        elif self._has_returned(run) or self._evidence.reaches_quarantine_threshold(fingerprint):
             self._judged_at[fingerprint] = now + JUDGED_AFTER_S
 
     def _has_returned(self, run: LostRun) -> bool:
@@ -268,7 +268,7 @@
         runs = self._evidence.runs(fingerprint)
         if not runs:
             return
-        if not self._has_returned(runs[-1]) and not self._evidence.condemns(fingerprint):
+        if not self._has_returned(runs[-1]) and not self._evidence.should_quarantine(fingerprint):
             return
         loss = self._own.pop(fingerprint, None)
         entry = self.entries.next_entry(fingerprint, time.time())
@@ -299,7 +299,7 @@
         entry = self.entries.get(fingerprint)
         named = (engine_number(name) for name in entry.engines) if entry else ()
         seen = (run.worker for run in self._evidence.runs(fingerprint))
-        self._evidence.explain({*named, *seen}, now)
+        self._evidence.mark_explained({*named, *seen}, now)
         self._evidence.clear(fingerprint, now)
 
     def _clear(self, fingerprint: bytes, now: float) -> None:
--- a/liftrill/gateway/relay_codec.py
+++ b/liftrill/gateway/relay_codec.py
@@ -10,8 +10,8 @@
 from liftrill.coordination.range_store import RemovedItem, StoredItem, WatchBatch
 from liftrill.coordination.store_position import (
     era_of,
+    lease_id,
     lease_number,
-    lease_of,
     position,
     revision_of,
 )
@@ -80,8 +80,10 @@
 def encode_batch(batch: WatchBatch) -> bytes:
     """Return a batch of changes; all of them are of one era."""
     items = [_encode_change(change) for change in batch.changes]
-    era = era_of(max(batch.at, *(change.revision for change in batch.changes), 0))
-    return messages.RelayMessage(items=items, at=revision_of(batch.at), era=era).SerializeToString()
+    era = era_of(max(batch.position, *(change.revision for change in batch.changes), 0))
+    return messages.RelayMessage(
+        items=items, at=revision_of(batch.position), era=era
+    ).SerializeToString()
 
 
 def encode_snapshot(items: Iterable[StoredItem], at: int) -> Iterator[bytes]:
@@ -152,7 +154,7 @@
     if row.removed:
         return RemovedItem(row.key, revision)
     value = _inflate(row.value) if row.deflated else row.value
-    return StoredItem(row.key, value, revision, lease_of(era, row.lease))
+    return StoredItem(row.key, value, revision, lease_id(era, row.lease))
 
 
 def _inflate(data: bytes) -> bytes:
--- a/liftrill/gateway/relay_server.py
+++ b/liftrill/gateway/relay_server.py
@@ -10,7 +10,7 @@
 
 from liftrill import clock
 from liftrill.coordination.change_log import ChangeLog
-from liftrill.coordination.mirror_currency import MirrorCurrency
+from liftrill.coordination.mirror_freshness import MirrorFreshness
 from liftrill.coordination.range_store import RemovedItem, StoredItem, WatchBatch
 from liftrill.coordination.store_mirror import MirrorChange, StoreMirror
 from liftrill.coordination.store_position import position
@@ -70,7 +70,7 @@
     """
 
     mirror: StoreMirror
-    currency: MirrorCurrency
+    currency: MirrorFreshness
 
     @property
     @abstractmethod
@@ -116,21 +116,21 @@
 
     def publish(self, change: MirrorChange) -> None:
         """Pass a change of the mirror on."""
-        before, self._published_at = self._published_at, self._mirror.at
+        before, self._published_at = self._published_at, self._mirror.position
         if change.gap:
-            if before == self._mirror.at and not change.written and not change.removed:
+            if before == self._mirror.position and not change.written and not change.removed:
                 return
-            self._log.restart(self._mirror.at)
+            self._log.reset(self._mirror.position)
             for data in self._snapshot():
                 self._send_all(data)
             return
-        removed = (RemovedItem(key, self._mirror.at) for key in change.removed)
-        batch = WatchBatch((*change.written, *removed), self._mirror.at)
+        removed = (RemovedItem(key, self._mirror.position) for key in change.removed)
+        batch = WatchBatch((*change.written, *removed), self._mirror.position)
         self._log.append(batch)
         self._send_all(encode_batch(batch))
 
     def _snapshot(self) -> Iterator[bytes]:
-        return encode_snapshot(self._mirror.items(), self._mirror.at)
+        return encode_snapshot(self._mirror.items(), self._mirror.position)
 
     def publish_early(self, item: StoredItem) -> None:
         """Pass on an item that was read alone, before the mirror knows of it."""
@@ -142,7 +142,7 @@
             subscriber.put(data)
 
     async def _on_request(self, request: web.BaseRequest) -> web.StreamResponse:
-        if not self._mirror.at:
+        if not self._mirror.position:
             return web.Response(status=503)
         try:
             after = _copy_of(request.query)
@@ -196,7 +196,7 @@
             nonce,
             self._view.version,
             self._view.proof_age(now),
-            self._mirror.at,
+            self._mirror.position,
             self._source.currency.age_s(now),
             self._source.path,
         )
--- a/liftrill/gateway/store_follower.py
+++ b/liftrill/gateway/store_follower.py
@@ -11,7 +11,7 @@
 
 from liftrill import clock, constants
 from liftrill.coordination.membership_messages import Member
-from liftrill.coordination.mirror_currency import MirrorCurrency
+from liftrill.coordination.mirror_freshness import MirrorFreshness
 from liftrill.coordination.range_store import HistoryGoneError, RangePage, RangeStore, StoredItem
 from liftrill.coordination.store_mirror import MirrorChange, StoreMirror
 from liftrill.coordination.store_position import era_of
@@ -98,7 +98,7 @@
         self, store: RangeStore, prefix: str, owner: FollowerOwner, limits: ReaderLimits
     ) -> None:
         self.mirror = StoreMirror()
-        self.currency = MirrorCurrency()
+        self.currency = MirrorFreshness()
         self.connected = False
         self.followed: Member | None = None
         self._store = store
@@ -175,8 +175,8 @@
                 self.read_again()
 
     def _note_reading(self, revision: int, asked_at: float) -> None:
-        self.currency.note_reading(revision, asked_at)
-        self.currency.note_mirror(self.mirror.at)
+        self.currency.record_reading(revision, asked_at)
+        self.currency.record_position(self.mirror.position)
 
     def _reader_to_follow(self) -> Member | None:
         if self._reread and (self._try_store or not self._outage.lost):
@@ -192,17 +192,21 @@
             RelayLostError: the reader tells no eras, and the store does: after its return from an
                 older copy such a reader would go on with what it had.
         """
-        if update.batch.at and not era_of(update.batch.at) and era_of(self.mirror.at):
+        if (
+            update.batch.position
+            and not era_of(update.batch.position)
+            and era_of(self.mirror.position)
+        ):
             raise RelayLostError("it tells no era of the store")
         self._note_connection(True)
         if not update.snapshot:
-            change = self.mirror.take_batch(update.batch)
+            change = self.mirror.apply_batch(update.batch)
             if change.written or change.removed:
                 self._tell(change)
-            self.currency.note_mirror(self.mirror.at)
+            self.currency.record_position(self.mirror.position)
             return
         items = tuple(item for item in update.batch.changes if isinstance(item, StoredItem))
-        whole = self.mirror.take_page(RangePage(items, update.batch.at, update.more))
+        whole = self.mirror.add_page(RangePage(items, update.batch.position, update.more))
         if whole is not None:
             self._tell(whole)
 
@@ -232,9 +236,9 @@
         # When it is given up, the store itself is tried before another stand-in.
         self._try_store = True
         self._reader_path = ()
-        self.mirror.begin_reading()
+        self.mirror.start_reading()
         try:
-            await self._interruptible(self._relay.follow(reader.address, self.mirror.at))
+            await self._interruptible(self._relay.follow(reader.address, self.mirror.position))
         except RelayLostError as error:
             self._owner.reader_lost(reader, str(error))
             # Too little time for another reader to be reached and answer.
@@ -251,7 +255,7 @@
             await self._follow(reader)
             return
         if self._reread:
-            first = not self.mirror.at
+            first = not self.mirror.position
             await self._read_all()
             if first:
                 # Whom to follow is known soon, and then need not be watched here.
@@ -278,9 +282,9 @@
     async def _read_all(self) -> None:
         self._reread = False
         self._try_store = False
-        self.mirror.begin_reading()
+        self.mirror.start_reading()
         asked_at = clock.now_s()
-        known_at = self.mirror.at
+        known_at = self.mirror.position
         self._reading = True
         try:
             first_at, change = await self._read_pages()
@@ -301,31 +305,31 @@
         """Return the revision of the first page, and what the pages change."""
         first_at = 0
         while True:
-            page = await self._store.read_range(self._prefix, self.mirror.next_page_after())
-            first_at = first_at or page.at
-            if era_of(page.at) != era_of(first_at):
+            page = await self._store.read_range(self._prefix, self.mirror.last_read_key())
+            first_at = first_at or page.position
+            if era_of(page.position) != era_of(first_at):
                 raise HistoryGoneError("its pages are of two eras")
-            change = self.mirror.take_page(page)
+            change = self.mirror.add_page(page)
             if change is not None:
                 return first_at, change
 
     async def _watch_once(self) -> None:
         started_at = clock.now_s()
         wait = constants.STORE_WATCH_SECONDS
-        batch = await self._store.watch(self._prefix, self.mirror.at, wait)
+        batch = await self._store.watch(self._prefix, self.mirror.position, wait)
         self._outage.note_answered()
         self._note_connection(True)
         if batch.changes:
-            self._tell(self.mirror.take_batch(batch))
+            self._tell(self.mirror.apply_batch(batch))
             await self._pace(started_at)
         else:
-            self.mirror.take_batch(batch)
-            self.currency.note_mirror(self.mirror.at)
+            self.mirror.apply_batch(batch)
+            self.currency.record_position(self.mirror.position)
 
     def _tell(self, change: MirrorChange) -> None:
         """Tell of a change, and until when the mirror was whole before it."""
         self._owner.mirror_changed(change, self.currency.as_of)
-        self.currency.note_mirror(self.mirror.at)
+        self.currency.record_position(self.mirror.position)
 
     async def _pace(self, started_at: float) -> None:
         """Let changes gather after one that came quickly: each call is paid for."""
--- a/liftrill/node/claim_service.py
+++ b/liftrill/node/claim_service.py
@@ -107,12 +107,12 @@
 
     def withdraw(self, ticket: ClaimTicket) -> None:
         """Release a claim whose request was certainly not dispatched."""
-        for member in ticket.group.everyone:
+        for member in ticket.group.all_members:
             self._spawn(self._send_withdrawal(member, ticket.proposal))
 
     def store_result(self, ticket: ClaimTicket, result: StoredResult) -> None:
         """Leave the answer with the members, for callers that repeat the key."""
-        for member in ticket.group.everyone:
+        for member in ticket.group.all_members:
             self._spawn(self._send_result(member, ticket.proposal, result))
 
     # Answering
@@ -172,7 +172,7 @@
     async def _run_round(self, claim_round: ClaimRound) -> RoundState:
         tasks = [
             asyncio.create_task(self._propose(member, claim_round))
-            for member in claim_round.group.everyone
+            for member in claim_round.group.all_members
         ]
         try:
             for task in asyncio.as_completed(tasks):
@@ -187,7 +187,7 @@
     async def _propose(self, member: str, claim_round: ClaimRound) -> None:
         answer = await self._ask(member, claim_round.proposal)
         if answer is None:
-            claim_round.record_silence(member)
+            claim_round.record_no_answer(member)
         else:
             claim_round.record_answer(member, answer)
 
--- a/liftrill/routing/admission.py
+++ b/liftrill/routing/admission.py
@@ -49,7 +49,7 @@
             return wait
         wait = limits.prompt_tokens.try_take(prompt_tokens, now)
         if wait > 0:
-            limits.requests.give_back(1.0)
+            limits.requests.refund(1.0)
             return wait
         return self._admit_workload(limits, workload, prompt_tokens, now)
 
@@ -69,8 +69,8 @@
     ) -> float:
         wait = self._workloads[workload].requests.try_take(1.0, now)
         if wait > 0:
-            tenant_limits.requests.give_back(1.0)
-            tenant_limits.prompt_tokens.give_back(prompt_tokens)
+            tenant_limits.requests.refund(1.0)
+            tenant_limits.prompt_tokens.refund(prompt_tokens)
         return wait
 
     def _tenant_limits(self, tenant: Tenant) -> TenantLimits:
