--- a/features/steps/gateway_relay_steps.py
+++ b/features/steps/gateway_relay_steps.py
@@ -608,7 +608,7 @@
     """Return a follower whose copy has all that the stores of these steps tell."""
     return SimpleNamespace(
         followed=followed,
-        mirror=SimpleNamespace(at=9),
+        mirror=SimpleNamespace(position=9),
         store_failed=lambda: None,
         store_answered=lambda revision, asked_at: None,
     )
--- a/features/steps/store_era_steps.py
+++ b/features/steps/store_era_steps.py
@@ -135,7 +135,7 @@
 @given("a node that knows era {told} of the store")
 def step_knows(context, told):
     context.refused = []
-    context.era = StoreEra(refused=lambda known, told: context.refused.append(told))
+    context.era = StoreEra(on_refused_answer=lambda known, told: context.refused.append(told))
     context.era.observe("" if told == "none" else told)
 
 
--- a/liftrill/coordination/__init__.py
+++ b/liftrill/coordination/__init__.py
@@ -1,5 +1,5 @@
-"""Coordination parts that other programs can embed.
+"""Coordination components that other programs can embed.
 
-Nothing here does I/O, reads a clock or draws from a global random source: time comes in
-as an argument (seconds, as a float) and effects go out as return values.
+The modules here do no I/O, read no clock and use no global random source: the time is an
+argument (seconds, as a float), and effects are return values.
 """
--- a/liftrill/coordination/change_log.py
+++ b/liftrill/coordination/change_log.py
@@ -1,4 +1,4 @@
-"""The latest changes of a store's mirror, for copies that follow it, sans-IO."""
+"""Log of the latest changes of a store mirror, for replicas that follow it, sans-IO."""
 
 from collections import deque
 from dataclasses import dataclass, field
@@ -8,7 +8,7 @@
 
 @dataclass(frozen=True, slots=True)
 class _Entry:
-    """A batch, and the revision that a copy must have reached before it."""
+    """A batch and the position that a replica must have reached to apply it."""
 
     before: int
     batch: WatchBatch
@@ -16,11 +16,11 @@
 
 @dataclass(slots=True)
 class ChangeLog:
-    """Keep batches that follow each other without a gap.
+    """Keeps consecutive change batches.
 
     Attributes:
-        capacity: the most changes that are kept.
-        at: the revision that the newest batch brings a copy to.
+        capacity: the maximum number of changes kept.
+        position: the position of a replica after the newest batch.
     """
 
     capacity: int = 256
@@ -29,24 +29,24 @@
     _size: int = 0
 
     def append(self, batch: WatchBatch) -> None:
-        """Add a batch that follows the newest one."""
+        """Append the batch that follows the newest one."""
         self._entries.append(_Entry(self.position, batch))
         self._size += len(batch.changes)
         self.position = max(self.position, batch.position)
         while self._size > self.capacity:
             self._size -= len(self._entries.popleft().batch.changes)
 
-    def reset(self, at: int) -> None:
-        """Begin anew at a revision: what lies before is not known step by step."""
+    def reset(self, position: int) -> None:
+        """Drop all batches and start at a position; earlier changes are not available."""
         self._entries.clear()
         self._size = 0
-        self.position = at
+        self.position = position
 
-    def since(self, at: int) -> tuple[WatchBatch, ...] | None:
-        """Return the batches that a copy at a revision lacks, or None if they are gone."""
-        if at >= self.position:
+    def since(self, position: int) -> tuple[WatchBatch, ...] | None:
+        """Return the batches after a position, or None if some were dropped."""
+        if position >= self.position:
             return ()
-        lacking = [entry for entry in self._entries if entry.batch.position > at]
-        if not lacking or lacking[0].before > at:
+        missing = [entry for entry in self._entries if entry.batch.position > position]
+        if not missing or missing[0].before > position:
             return None
-        return tuple(entry.batch for entry in lacking)
+        return tuple(entry.batch for entry in missing)
--- a/liftrill/coordination/circuit.py
+++ b/liftrill/coordination/circuit.py
@@ -1,17 +1,17 @@
-"""Circuit breaker and adaptive concurrency limit for one back end, as one node sees it."""
+"""Circuit breaker and adaptive concurrency limit of one node for one back end."""
 
 from dataclasses import dataclass, field
 
 
 @dataclass(slots=True)
 class CircuitBreaker:
-    """Opens after consecutive failures and lets one probe through when its wait is over.
+    """Opens after consecutive failures and allows one probe request after a backoff.
 
-    The wait doubles with each failed probe, up to eight times the first wait.
+    The backoff doubles with each failed probe, up to eight times the first one.
 
     Attributes:
         failures_to_open: consecutive failures that open the circuit.
-        open_seconds: the first wait.
+        open_seconds: the first backoff.
     """
 
     failures_to_open: int
@@ -20,7 +20,7 @@
     _open_until: float = field(init=False, default=0.0)
     _probing: bool = field(init=False, default=False)
 
-    LONGEST_WAIT_FACTOR = 8
+    MAX_BACKOFF_FACTOR = 8
 
     def allows(self, now: float) -> bool:
         """Return whether a request may be sent now."""
@@ -29,7 +29,7 @@
         return now >= self._open_until and not self._probing
 
     def record_start(self, now: float) -> None:
-        """Note that a request was sent; with an open circuit this is the probe."""
+        """Record that a request was sent; with an open circuit, it is the probe."""
         if self._failures >= self.failures_to_open and now >= self._open_until:
             self._probing = True
 
@@ -39,25 +39,25 @@
         self._probing = False
 
     def record_failure(self, now: float) -> None:
-        """Count a failure, and open or keep open the circuit at the threshold."""
+        """Count a failure; at the threshold, open the circuit or extend its backoff."""
         self._failures += 1
         self._probing = False
         excess = self._failures - self.failures_to_open
         if excess >= 0:
-            factor = min(2**excess, self.LONGEST_WAIT_FACTOR)
-            self._open_until = now + self.open_seconds * factor
+            backoff_factor = min(2**excess, self.MAX_BACKOFF_FACTOR)
+            self._open_until = now + self.open_seconds * backoff_factor
 
     def record_abandoned(self) -> None:
-        """Note that a request ended without saying anything about the back end."""
+        """Record that a request ended without a result for the back end."""
         self._probing = False
 
 
 @dataclass(slots=True)
 class ConcurrencyLimit:
-    """Additive increase, multiplicative decrease on the requests in flight.
+    """Limits the requests in flight by additive increase, multiplicative decrease (AIMD).
 
     Attributes:
-        limit: the requests that may be in flight now.
+        limit: the requests that may currently be in flight.
         minimum: the lowest limit.
         maximum: the highest limit.
     """
@@ -69,12 +69,12 @@
     DECREASE_FACTOR = 0.7
 
     def record_success(self, in_flight: int) -> None:
-        """Raise the limit by about one per limit's worth of successes while it is in use."""
+        """Raise the limit by about one per `limit` successes while at least half is in use."""
         if in_flight * 2 >= self.limit:
             self.limit = min(self.maximum, self.limit + 1.0 / self.limit)
 
     def record_overload(self) -> None:
-        """Lower the limit after the back end refused for load."""
+        """Lower the limit after the back end refused a request because of its load."""
         self.limit = max(self.minimum, self.limit * self.DECREASE_FACTOR)
 
     def allows(self, in_flight: int) -> bool:
--- a/liftrill/coordination/key_value_store.py
+++ b/liftrill/coordination/key_value_store.py
@@ -1,6 +1,6 @@
-"""The platform's key-value service as the rest of the system sees it.
+"""Interface to the platform's key-value service.
 
-Adaptors live in `liftrill.node`; this module only says what they must provide.
+The adapters are in `liftrill.node`.
 """
 
 from abc import ABC, abstractmethod
@@ -9,10 +9,10 @@
 
 @dataclass(frozen=True, slots=True)
 class StoredEntry:
-    """One key's value.
+    """The value of one key.
 
     Attributes:
-        revision: grows with each change in the store; also serves as a fencing token.
+        revision: the store's revision of the last change of the key; usable as a fencing token.
         session: the lease that holds the key, or an empty string.
     """
 
@@ -24,7 +24,7 @@
 
 @dataclass(frozen=True, slots=True)
 class MachineEntry:
-    """One line of the platform's list of machines, which lags behind the truth."""
+    """One machine in the platform's list, which may be out of date."""
 
     machine_id: str
     service: str
@@ -38,7 +38,7 @@
     """The platform's list of machines.
 
     Attributes:
-        index: grows with each change of the list.
+        index: increases with each change of the list.
     """
 
     index: int
@@ -46,23 +46,23 @@
 
 
 class KeyValueStore(ABC):
-    """Compare-and-swap, leases and watches.
+    """A key-value store with compare-and-swap, leases and watches.
 
-    Every method raises `StoreUnavailableError` when the operation certainly had no
-    effect. Methods that write raise `StoreAnswerLostError` when it may have had one.
+    Every method raises `StoreUnavailableError` when the operation had no effect. Methods that
+    write raise `StoreAnswerLostError` when the operation may have had an effect.
     """
 
     @abstractmethod
     async def get(self, key: str) -> StoredEntry | None:
-        """Return the entry of a key, or None if there is none."""
+        """Return the entry of a key, or None if the key is absent."""
 
     @abstractmethod
     async def watch(self, key: str, after_revision: int, wait_seconds: float) -> StoredEntry | None:
-        """Return the entry once its revision exceeds the given one, or as it is after the wait."""
+        """Return the entry once its revision exceeds the given one, or after the wait."""
 
     @abstractmethod
     async def compare_and_swap(self, key: str, value: bytes, revision: int) -> bool:
-        """Write a value if the key is still at a revision; revision 0 means it must not exist."""
+        """Write a value if the key is still at a revision; 0 means that it must be absent."""
 
     @abstractmethod
     async def create_session(self, time_to_live_seconds: float) -> str:
@@ -70,12 +70,12 @@
 
     @abstractmethod
     async def renew_session(self, session: str) -> bool:
-        """Renew a lease; False if it has lapsed."""
+        """Renew a lease; return False if it has expired."""
 
     @abstractmethod
     async def acquire(self, key: str, value: bytes, session: str) -> StoredEntry | None:
-        """Take a key for a lease; the entry if it is now held by it, otherwise None."""
+        """Acquire a key for a lease; return its entry, or None if another lease holds it."""
 
     @abstractmethod
     async def watch_machines(self, after_index: int, wait_seconds: float) -> MachineList:
-        """Return the list of machines once its index differs, or as it is after the wait."""
+        """Return the machines once the list's index differs from `after_index`, or after the wait."""
--- a/liftrill/coordination/lease.py
+++ b/liftrill/coordination/lease.py
@@ -1,8 +1,9 @@
-"""A lease on a key of the store, from the side of one contender, sans-IO.
+"""State of one contender for a lease on a key of the store, sans-IO.
 
-The holder believes in its lease only until a local deadline that starts when it sent its
-last successful renewal, so its belief ends before the store's. Belief is a help, not the
-protection: what a holder does must carry the fencing token, which the receiver checks.
+The holder treats its lease as valid until a local deadline, which is counted from when it sent
+its last successful renewal, so that the deadline passes before the lease expires in the store.
+The deadline alone does not ensure safety: each action of a holder must carry the fencing token,
+which the receiver checks.
 """
 
 from dataclasses import dataclass
@@ -10,13 +11,13 @@
 
 @dataclass(frozen=True, slots=True)
 class LeaseParameters:
-    """Times in seconds.
+    """Timing of a lease, in seconds.
 
     Attributes:
-        time_to_live: after which the store lets a silent holder's lease lapse.
-        renew_interval: between renewals.
-        retry_interval: between attempts to acquire.
-        safety_margin: by which the holder's belief ends before the time to live.
+        time_to_live: the time after which the store expires a lease that is not renewed.
+        renew_interval: the time between renewals.
+        retry_interval: the time between attempts to acquire the lease.
+        safety_margin: how long before the time to live the local deadline passes.
     """
 
     time_to_live: float = 10.0
@@ -27,12 +28,12 @@
 
 @dataclass(frozen=True, slots=True)
 class AcquireLease:
-    """Create a session if there is none and try to take the key."""
+    """Instruction to create a session if there is none, and to try to acquire the key."""
 
 
 @dataclass(frozen=True, slots=True)
 class RenewLease:
-    """Renew a session."""
+    """Instruction to renew a session."""
 
     session: str
 
@@ -41,26 +42,26 @@
 
 
 class Lease:
-    """One contender's state. Times are seconds on a monotonic clock.
+    """State of one contender. Times are seconds on a monotonic clock.
 
     Attributes:
-        token: the fencing token of the lease held, or None.
+        token: the fencing token of the lease, or None if it is not held.
     """
 
     def __init__(self, parameters: LeaseParameters) -> None:
         self._parameters = parameters
         self._session = ""
-        self._believed_until = 0.0
+        self._valid_until = 0.0
         self._next_action_at = 0.0
         self.token: int | None = None
 
     def holds(self, now: float) -> bool:
-        """Return whether the lease is believed to be held."""
-        return self.token is not None and now < self._believed_until
+        """Return whether the lease is held and its local deadline has not passed."""
+        return self.token is not None and now < self._valid_until
 
     def due(self, now: float) -> LeaseInstruction | None:
-        """Return what should be done with the store now."""
-        if self.token is not None and now >= self._believed_until:
+        """Return the store operation that is due, or None."""
+        if self.token is not None and now >= self._valid_until:
             self.step_down()
         if now < self._next_action_at:
             return None
@@ -71,21 +72,21 @@
         return AcquireLease()
 
     def acquired(self, session: str, token: int, asked_at: float) -> None:
-        """Note that the store granted the lease to a request sent at a time."""
+        """Record that the store granted the lease to the request sent at `asked_at`."""
         self._session = session
         self.token = token
         self._extend(asked_at)
 
     def renewed(self, asked_at: float) -> None:
-        """Note that the store renewed the lease."""
+        """Record that the store renewed the lease by the request sent at `asked_at`."""
         self._extend(asked_at)
 
     def step_down(self) -> None:
-        """Give the lease up: it lapsed, or an order with its token was refused."""
+        """Give up the lease: it expired, or an order with its fencing token was refused."""
         self.token = None
         self._session = ""
 
     def _extend(self, asked_at: float) -> None:
         lifetime = self._parameters.time_to_live - self._parameters.safety_margin
-        self._believed_until = asked_at + lifetime
+        self._valid_until = asked_at + lifetime
         self._next_action_at = asked_at + self._parameters.renew_interval
--- a/liftrill/coordination/mirror_freshness.py
+++ b/liftrill/coordination/mirror_freshness.py
@@ -1,8 +1,8 @@
-"""How current a mirror of the store is known to be, sans-IO.
+"""Tracks the proven freshness of a store mirror, sans-IO.
 
-A watch that waits proves nothing: its connection may have gone silent, or the store may tell
-it nothing. A reading of any key does: it names the store's revision, and a mirror that has
-reached that revision holds every change that was acknowledged before the question.
+An open watch does not prove that a mirror is current: its connection may be dead, or the store
+may send it no events. A read of any key does: the response contains the store's revision, and a
+mirror that has reached this revision contains every change acknowledged before the request.
 """
 
 import math
@@ -10,39 +10,39 @@
 
 
 @dataclass(frozen=True, slots=True)
-class _Reading:
-    """The store's revision as an answer named it, and when it was asked (steady clock)."""
+class _Read:
+    """The store's revision in a read response, and the time of the request (steady clock)."""
 
     revision: int
-    asked_at: float
+    requested_at: float
 
 
 @dataclass(slots=True)
 class MirrorFreshness:
-    """Until when a mirror holds all that the store acknowledged.
+    """The time up to which a mirror is proven to contain all acknowledged changes.
 
     Attributes:
-        as_of: every change that was acknowledged before this time is in the mirror (steady
-            clock); minus infinity before the first proof.
+        as_of: the mirror contains every change acknowledged before this time (steady clock);
+            minus infinity before the first proof.
     """
 
     as_of: float = -math.inf
-    _ahead: list[_Reading] = field(default_factory=list)
+    _unreached: list[_Read] = field(default_factory=list)
 
     def age_s(self, now: float) -> float:
-        """Return the age of the last proof."""
+        """Return the seconds since `as_of`."""
         return now - self.as_of
 
-    def record_reading(self, revision: int, asked_at: float) -> None:
-        """Note that the store was at a revision (0: none named) some time after a question."""
+    def record_reading(self, revision: int, requested_at: float) -> None:
+        """Record the revision in a read response (0: it had none), and the request's time."""
         if not revision:
             return
-        self._ahead.append(_Reading(revision, asked_at))
+        self._unreached.append(_Read(revision, requested_at))
 
-    def record_position(self, at: int) -> None:
-        """Note that the mirror holds all changes up to a revision."""
-        reached = [reading.asked_at for reading in self._ahead if reading.revision <= at]
+    def record_position(self, position: int) -> None:
+        """Record that the mirror contains all changes up to a position."""
+        reached = [read.requested_at for read in self._unreached if read.revision <= position]
         if not reached:
             return
         self.as_of = max(self.as_of, *reached)
-        self._ahead = [reading for reading in self._ahead if reading.revision > at]
+        self._unreached = [read for read in self._unreached if read.revision > position]
--- a/liftrill/coordination/quota.py
+++ b/liftrill/coordination/quota.py
@@ -1,14 +1,13 @@
-"""Limits on what each tenant uses, kept by all nodes of a fleet together, sans-IO.
+"""Tenant quotas that all nodes of a fleet enforce together, sans-IO.
 
-Every node has a copy of one token bucket for each tenant, and admits by it alone. What the
-copy gains is bound to what the node has heard: the bucket refills by the part of the fleet
-that has just told what it spent, and by the node's own part. So a node that hears nobody
-falls back to its own part of the limit by itself, and the parts of all sides of a cut, of
-nodes that start and of nodes that froze add up to no more than the limit.
+Every node has a replica of one token bucket for each tenant, and admits requests by its replica
+alone. A replica refills only as far as the spending of the fleet is known: by the shares of the
+nodes whose spending reports were received recently, and by the node's own share. So a node that
+receives no reports falls back to its own share of the limit, and the shares of all sides of a
+network partition, of starting nodes and of frozen nodes add up to no more than the limit.
 
-What one request spends is told to all at once where it is a good part of what is left;
-the rest is told in reports of what was spent lately. See docs/design/quotas.md for how far
-this may overshoot.
+Spending that is a large part of the remaining units is sent to all nodes immediately; the rest
+is sent in reports of recent spending. docs/design/quotas.md gives the possible overshoot.
 """
 
 import math
@@ -20,45 +19,45 @@
 
 from liftrill.coordination.spending_notices import ReceivedNotices, SentNotices, SpendingNotice
 
-# A report tells what was spent in so many seconds: longer than nodes take between two
-# reports (at most 0.4 s), so that nothing falls between them.
+# The time that a report covers. Longer than the interval between two reports of a node (at most
+# 0.4 s), so that all spending is reported.
 REPORT_WINDOW_S = 0.5
-# Two reports and a lost one, at 0.4 s each at most. A source that was silent for longer takes
-# its part of what is left in each bucket with it.
-SILENT_AFTER_S = 1.0
-# A request is told at once that costs this share of its tenant's burst or more: fewer than
-# twenty such requests are under way before they are told (guess).
-TOLD_BURST_SHARE = 0.05
-# So is any request while less than this share of the burst is left. Usual use leaves most of
-# it; a tenant at five times its rate empties the rest in a twelfth of a second.
-TOLD_LEVEL_SHARE = 0.75
-# How much of what the rule allows is used, so that datagrams that tell of requests at once may
-# be lost, 5 in 100, and requests cross on their way to other nodes.
+# Two report intervals of at most 0.4 s each, so that one report may be lost. When a source times
+# out, each bucket loses the source's share of the remaining units.
+REPORT_TIMEOUT_S = 1.0
+# A request that spends at least this share of its tenant's burst sends a notice immediately, so
+# that fewer than 20 such requests are in progress before other nodes know of them.
+NOTICE_BURST_SHARE = 0.05
+# So does any request while less than this share of the burst remains. Ordinary use leaves most of
+# the burst; a tenant at five times its rate uses up the rest in a twelfth of a second.
+NOTICE_LEVEL_SHARE = 0.75
+# The share of the allowed units that buckets let through. The rest covers the loss of 5 % of the
+# notices, and requests that other nodes admit before a notice reaches them.
 USED_SHARE = 0.93
-# A fleet counts as smaller after this long only: the 5 s for which a node that is cut off may
-# serve keys, and the 3 s until it takes the others for dead, are over by then.
+# The time after which a lower number of nodes takes effect. It exceeds the 5 s for which a
+# partitioned node may serve keys plus the 3 s until it declares the others dead.
 FLEET_SHRINK_S = 10.0
-# A caller is told to come back after this long at the most: few wait longer.
-LONGEST_WAIT_S = 30.0
-# And after this long at the least, so that a refusal never reads as none.
-SHORTEST_WAIT_S = 0.05
-# Who comes late in its time comes in a quarter of it at least: callers that all find no room must
-# not come back together.
-LATEST_SOONEST = 0.75
-# What a node has let through lately tells what it has to give; averaged over the time that a
-# caller with a few seconds of patience may be told to wait.
-GIVEN_AVERAGE_S = 2.0
-# The numbers of a node's notices begin anywhere below, so that those of two lives differ.
-FIRST_NOTICE_NUMBERS = 1 << 32
+# The maximum retry delay of a refused request: few callers wait longer.
+MAX_WAIT_S = 30.0
+# The minimum retry delay: a delay of 0 would mean that the request is admitted.
+MIN_WAIT_S = 0.05
+# Callers without a slot within their maximum wait retry at a random time in at least the last
+# quarter of it, so that they do not all retry together.
+RETRY_START_SHARE = 0.75
+# The time constant for averaging the units that this node admits: about the wait of a caller that
+# waits for a few seconds.
+ADMITTED_DECAY_S = 2.0
+# The first notice number of a node is random below this, so that the numbers of two runs differ.
+FIRST_NOTICE_NUMBER_LIMIT = 1 << 32
 
 
 @dataclass(frozen=True, slots=True)
 class QuotaLimit:
-    """What a tenant may use, over all nodes together.
+    """The limit of a tenant, for all nodes together.
 
     Attributes:
-        rate_per_s: units a second.
-        burst: units that it may use at once beyond that.
+        rate_per_s: units per second.
+        burst: additional units that may be used at once.
     """
 
     rate_per_s: float
@@ -67,12 +66,12 @@
 
 @dataclass(frozen=True, slots=True)
 class QuotaTolerance:
-    """How what a tenant uses is judged.
+    """How far a tenant's use may exceed its limit.
 
     Attributes:
-        window_s: in any span of this length,
-        overshoot: so much more than the limit may be used, as a share of it,
-        slack: and so many units beyond that.
+        window_s: the length of the windows in which use is compared with the limit.
+        overshoot: the excess allowed in any window, as a share of the limit.
+        slack: the further excess allowed in any window, in units.
     """
 
     window_s: float = 8.0
@@ -80,14 +79,15 @@
     slack: float = 0.0
 
     def allowed(self, limit: QuotaLimit) -> float:
-        """Return the units that may be used in a window."""
+        """Return the units that a tenant may use in a window."""
         units = limit.rate_per_s * self.window_s + limit.burst
         return units * (1.0 + self.overshoot) + self.slack
 
-    def bucket_of(self, limit: QuotaLimit) -> QuotaLimit:
-        """Return the bucket that lets through most of what may be used.
+    def bucket_limit(self, limit: QuotaLimit) -> QuotaLimit:
+        """Return the limit for the bucket, which lets through most of the allowed units.
 
-        All of the tolerance goes into the rate: a burst may come twice where nodes restart.
+        The whole tolerance is added to the rate, since a burst may be used twice when nodes
+        restart.
         """
         rate_per_s = (USED_SHARE * self.allowed(limit) - limit.burst) / self.window_s
         return QuotaLimit(max(limit.rate_per_s, rate_per_s), limit.burst)
@@ -95,7 +95,7 @@
 
 @dataclass(frozen=True, slots=True)
 class QuotaSource:
-    """Who reports: a node, or a whole zone where the node is empty."""
+    """The source of a report: a node, or a whole zone where `node` is empty."""
 
     zone: str
     node: str = ""
@@ -103,10 +103,10 @@
 
 @dataclass(frozen=True, slots=True)
 class QuotaReport:
-    """What some nodes spent in the last `REPORT_WINDOW_S`, less what was told at once.
+    """The spending of one or more nodes in the last `REPORT_WINDOW_S`, without that in notices.
 
     Attributes:
-        nodes: how many nodes it counts.
+        nodes: the number of nodes that the report covers.
         spent: units by tenant.
     """
 
@@ -116,12 +116,12 @@
 
 @dataclass(frozen=True, slots=True)
 class QuotaVerdict:
-    """Whether a request may be served under its tenant's limit.
+    """The decision whether a tenant's limit admits a request.
 
     Attributes:
-        wait_s: 0 where it may; otherwise when there is room for it.
-        notice: what other nodes are to be told at once of what it spends, if anything.
-        left: units left in this node's copy of the bucket.
+        wait_s: 0 if the request is admitted; otherwise the seconds after which to retry.
+        notice: the notice of spending to send to other nodes immediately, or None.
+        left: units that remained in this node's bucket before the request.
     """
 
     wait_s: float = 0.0
@@ -130,27 +130,27 @@
 
 
 class FleetSize:
-    """How many nodes share the limits: the most believed alive lately."""
+    """The number of nodes that share the limits: the highest number recently alive."""
 
     def __init__(self, nodes: int = 1) -> None:
         self.nodes = nodes
-        self._reached_at = 0.0
+        self._confirmed_at = 0.0
 
     def record_alive(self, alive: int, now: float) -> None:
-        """Take in how many nodes are believed alive now."""
-        if alive >= self.nodes or now - self._reached_at > FLEET_SHRINK_S:
+        """Record the number of nodes that are currently believed alive."""
+        if alive >= self.nodes or now - self._confirmed_at > FLEET_SHRINK_S:
             self.nodes = max(1, alive)
-            self._reached_at = now
+            self._confirmed_at = now
 
     def raise_to(self, nodes: int, now: float) -> None:
-        """Take a fleet to be as large as others remember it, until it proves smaller."""
+        """Raise the size to one that other nodes recorded, until fewer nodes are alive for long."""
         if nodes > self.nodes:
             self.nodes = nodes
-            self._reached_at = now
+            self._confirmed_at = now
 
 
 class QuotaPolicy(ABC):
-    """Decide which requests are within the limits of their tenants."""
+    """Decides whether requests are within the limits of their tenants."""
 
     @abstractmethod
     def configure(self, limits: Mapping[str, QuotaLimit], now: float) -> None:
@@ -158,9 +158,9 @@
 
     @abstractmethod
     def try_take(
-        self, tenant: str, amount: float, now: float, patience_s: float = LONGEST_WAIT_S
+        self, tenant: str, amount: float, now: float, max_wait_s: float = MAX_WAIT_S
     ) -> QuotaVerdict:
-        """Take units if the limit leaves them; else say when to come back, within a time."""
+        """Take units if the limit allows it; else return when to retry, within the maximum wait."""
 
     @abstractmethod
     def take_unconditionally(self, tenant: str, amount: float, now: float) -> None:
@@ -168,54 +168,57 @@
 
     @abstractmethod
     def refund(self, tenant: str, amount: float, now: float) -> SpendingNotice | None:
-        """Return units that were taken for work that was then not done; tell others so."""
+        """Return units of work that was not done; return the notice to send, if any."""
 
 
 @dataclass(slots=True)
 class _Bucket:
-    """One node's copy of a tenant's bucket.
+    """One node's replica of a tenant's bucket.
 
     Attributes:
-        level: units left; below 0 where more was spent than there was.
+        level: remaining units; negative if more was spent than remained.
         credited_s: the seconds of the whole fleet's refill that the level includes.
-        spent: what this node spent lately and did not tell at once, with when.
-        returns_at: when the last refused caller is to come back.
-        given: what this node let through; older amounts count less and less.
+        spent: recent spending of this node that is not in notices, as pairs of time and amount.
+        next_slot_at: the end of the last retry slot that was assigned to a refused request.
+        admitted: units that this node admitted, with exponential decay.
+        admitted_at: the time as of which `admitted` is decayed.
     """
 
     limit: QuotaLimit
     level: float
     credited_s: float
     spent: deque[tuple[float, float]] = field(default_factory=deque)
-    returns_at: float = 0.0
-    given: float = 0.0
-    given_at: float = 0.0
+    next_slot_at: float = 0.0
+    admitted: float = 0.0
+    admitted_at: float = 0.0
 
     def credit(self, credited_s: float) -> None:
-        """Refill up to so many seconds of the whole fleet's refill."""
+        """Refill the bucket up to a total of seconds of the whole fleet's refill."""
         gained = self.limit.rate_per_s * (credited_s - self.credited_s)
         self.credited_s = credited_s
         self.level = min(self.limit.burst, self.level + gained)
 
     def change_limit(self, limit: QuotaLimit) -> None:
-        """Put another limit in force; a debt lasts no longer than it would have."""
+        """Replace the limit; a negative level takes no longer to refill than before."""
         if self.level < 0.0:
             self.level *= min(1.0, limit.rate_per_s / self.limit.rate_per_s)
         self.level = min(self.level, limit.burst)
         self.limit = limit
 
-    def note_given(self, amount: float, now: float) -> None:
-        """Note units that are let through here, or below 0 that were not used."""
-        faded = math.exp((self.given_at - now) / GIVEN_AVERAGE_S)
-        self.given = max(0.0, self.given * faded + amount)
-        self.given_at = now
+    def record_admitted(self, amount: float, now: float) -> None:
+        """Add units that this node admitted; negative for units that were not used."""
+        decayed = math.exp((self.admitted_at - now) / ADMITTED_DECAY_S)
+        self.admitted = max(0.0, self.admitted * decayed + amount)
+        self.admitted_at = now
 
-    def given_per_s(self, now: float) -> float:
-        """Return what this node let through in a second lately."""
-        return self.given * math.exp((self.given_at - now) / GIVEN_AVERAGE_S) / GIVEN_AVERAGE_S
+    def admitted_per_s(self, now: float) -> float:
+        """Return the average units per second that this node admitted recently."""
+        return (
+            self.admitted * math.exp((self.admitted_at - now) / ADMITTED_DECAY_S) / ADMITTED_DECAY_S
+        )
 
-    def unspend(self, amount: float, now: float) -> bool:
-        """Take an amount that was spent out of what is reported; return whether it was there."""
+    def remove_spent(self, amount: float, now: float) -> bool:
+        """Remove an amount from the spending to report; return whether it was there."""
         self.spent_since(now - REPORT_WINDOW_S)
         for entry in reversed(self.spent):
             if entry[1] == amount:
@@ -224,25 +227,25 @@
         return False
 
     def spent_since(self, since: float) -> float:
-        """Return what was spent after a time, and forget the rest."""
+        """Return the spending after a time, and drop earlier entries."""
         while self.spent and self.spent[0][0] <= since:
             self.spent.popleft()
         return sum(amount for _, amount in self.spent)
 
 
 @dataclass(slots=True)
-class _Heard:
-    """The newest report of a source, and when it came."""
+class _ReceivedReport:
+    """The newest report of a source, and when it was received."""
 
     report: QuotaReport
     at: float
 
 
 class SharedBuckets(QuotaPolicy):
-    """Admit by a copy of the fleet's buckets that refills by what is heard.
+    """Admits by replicas of the fleet's buckets, which refill by the reports received.
 
     Attributes:
-        fleet: how many nodes share the limits.
+        fleet: the number of nodes that share the limits.
     """
 
     def __init__(
@@ -257,10 +260,11 @@
         self._starts_full = starts_full
         self._random = random_source
         self._buckets: dict[str, _Bucket] = {}
-        self._heard: dict[QuotaSource, _Heard] = {}
-        self._own_notices = SentNotices(random_source.randrange(FIRST_NOTICE_NUMBERS))
-        self._heard_notices = ReceivedNotices()
-        # Seconds for which the whole fleet's use is known: each part counts by its size.
+        self._reports: dict[QuotaSource, _ReceivedReport] = {}
+        self._sent_notices = SentNotices(random_source.randrange(FIRST_NOTICE_NUMBER_LIMIT))
+        self._received_notices = ReceivedNotices()
+        # Seconds for which the spending of the whole fleet is known; a part of the fleet counts by
+        # its share of the nodes.
         self._credit_s = 0.0
         self._own_credited_at: float | None = None
 
@@ -269,10 +273,10 @@
         self._credit_own(now)
         buckets: dict[str, _Bucket] = {}
         for tenant, declared in limits.items():
-            limit = self._tolerance.bucket_of(declared)
+            limit = self._tolerance.bucket_limit(declared)
             known = self._buckets.get(tenant)
             if known is None:
-                known = _Bucket(limit, self._first_level(limit), self._credit_s)
+                known = _Bucket(limit, self._initial_level(limit), self._credit_s)
             else:
                 known.credit(self._credit_s)
                 known.change_limit(limit)
@@ -280,17 +284,17 @@
         self._buckets = buckets
 
     def try_take(
-        self, tenant: str, amount: float, now: float, patience_s: float = LONGEST_WAIT_S
+        self, tenant: str, amount: float, now: float, max_wait_s: float = MAX_WAIT_S
     ) -> QuotaVerdict:
-        """Take units if any are left: the last request may leave a debt."""
+        """Take units if any remain; the last request may make the level negative."""
         bucket = self._buckets.get(tenant)
         if bucket is None:
             return QuotaVerdict()
         left = self._left(bucket, now)
         if left <= 0.0:
-            patience_s = min(patience_s, LONGEST_WAIT_S)
-            wait_s = self._wait_s(bucket, amount, left, now, patience_s)
-            return QuotaVerdict(max(SHORTEST_WAIT_S, wait_s), left=left)
+            max_wait_s = min(max_wait_s, MAX_WAIT_S)
+            wait_s = self._wait_s(bucket, amount, left, now, max_wait_s)
+            return QuotaVerdict(max(MIN_WAIT_S, wait_s), left=left)
         return QuotaVerdict(0.0, self._take(bucket, tenant, amount, now), left)
 
     def take_unconditionally(self, tenant: str, amount: float, now: float) -> None:
@@ -299,36 +303,36 @@
         if bucket is not None:
             bucket.level -= amount
             bucket.spent.append((now, amount))
-            bucket.note_given(amount, now)
+            bucket.record_admitted(amount, now)
 
     def refund(self, tenant: str, amount: float, now: float) -> SpendingNotice | None:
-        """Return units that were taken for work that was then not done.
+        """Return units that were taken for work that was not done.
 
-        What others were told already stays charged there, but for what a notice takes back: a
-        refund may be lost, and never counts for more than was charged.
+        Spending that was already reported to other nodes stays charged there, except where the
+        returned notice refunds it. A refund may be lost, and never exceeds what was charged.
         """
         bucket = self._buckets.get(tenant)
         if bucket is None:
             return None
         bucket.level = min(bucket.limit.burst, bucket.level + amount)
-        bucket.note_given(-amount, now)
-        if bucket.unspend(amount, now):
+        bucket.record_admitted(-amount, now)
+        if bucket.remove_spent(amount, now):
             return None
-        return self._own_notices.take_back(tenant, amount, now)
+        return self._sent_notices.refund(tenant, amount, now)
 
     def hear(self, source: QuotaSource, report: QuotaReport, now: float) -> None:
-        """Take in a report: refill by its part of the fleet, and charge what was spent."""
+        """Apply a report: refill by its share of the fleet, and charge its spending."""
         if not source.node:
-            for known in [s for s in self._heard if s.zone == source.zone and s.node]:
-                del self._heard[known]
-        elif QuotaSource(source.zone) in self._heard:
-            # The zone's sum has this node already.
+            for known in [s for s in self._reports if s.zone == source.zone and s.node]:
+                del self._reports[known]
+        elif QuotaSource(source.zone) in self._reports:
+            # The report of the zone already includes this node.
             return
-        self._drop_silent(now)
-        before = self._heard.get(source)
-        # A first report tells of the time that it covers.
+        self._drop_timed_out(now)
+        before = self._reports.get(source)
+        # The first report of a source counts for the time that it covers.
         elapsed_s = now - before.at if before else REPORT_WINDOW_S
-        self._heard[source] = _Heard(report, now)
+        self._reports[source] = _ReceivedReport(report, now)
         self._credit_s += elapsed_s * min(1.0, report.nodes / self.fleet.nodes)
         for tenant, amount in report.spent.items():
             bucket = self._buckets.get(tenant)
@@ -337,59 +341,61 @@
                 bucket.level -= amount * elapsed_s / REPORT_WINDOW_S
 
     def hear_spending(self, sender: str, notice: SpendingNotice, now: float) -> None:
-        """Charge what another node tells at once that it spends, or takes back."""
+        """Apply another node's notice of spending or of a refund."""
         bucket = self._buckets.get(notice.tenant)
         if bucket is not None:
             bucket.credit(self._credit_s)
-            charged = self._heard_notices.charge(sender, notice, now)
+            charged = self._received_notices.charge(sender, notice, now)
             bucket.level = min(bucket.limit.burst, bucket.level - charged)
 
     def own_report(self, now: float) -> QuotaReport:
-        """Return what this node spent lately."""
+        """Return the report of this node's recent spending."""
         since = now - REPORT_WINDOW_S
         spent = {tenant: bucket.spent_since(since) for tenant, bucket in self._buckets.items()}
         return QuotaReport(1, {tenant: amount for tenant, amount in spent.items() if amount})
 
     def zone_report(self, zone: str, now: float) -> QuotaReport:
-        """Return what this node and the heard nodes of its zone spent lately."""
-        self._drop_silent(now)
+        """Return the report of this node and the other reporting nodes of its zone."""
+        self._drop_timed_out(now)
         nodes = 1
         total = dict(self.own_report(now).spent)
-        for source, heard in self._heard.items():
+        for source, entry in self._reports.items():
             if source.zone != zone or not source.node:
                 continue
             nodes += 1
-            for tenant, amount in heard.report.spent.items():
+            for tenant, amount in entry.report.spent.items():
                 total[tenant] = total.get(tenant, 0.0) + amount
         return QuotaReport(nodes, total)
 
     def heard_nodes(self) -> int:
-        """Return of how many nodes the use is known, this node included."""
-        return 1 + sum(heard.report.nodes for heard in self._heard.values())
+        """Return the number of nodes whose spending is known, including this node."""
+        return 1 + sum(entry.report.nodes for entry in self._reports.values())
 
-    def _first_level(self, limit: QuotaLimit) -> float:
-        """Return what is left to a tenant that becomes known, or has a limit from now on.
+    def _initial_level(self, limit: QuotaLimit) -> float:
+        """Return the initial level for a new tenant, or one that had no limit before.
 
-        The fleet may have spent the burst just before this node restarted.
+        At the start of this node the bucket may have to be empty, because the fleet may have
+        spent the burst just before.
         """
         return limit.burst if self._starts_full or self._buckets else 0.0
 
     def _left(self, bucket: _Bucket, now: float) -> float:
-        self._drop_silent(now)
+        self._drop_timed_out(now)
         self._credit_own(now)
         bucket.credit(self._credit_s)
         return bucket.level
 
-    def _drop_silent(self, now: float) -> None:
-        """Forget the sources that are silent, and leave them their part of what is left."""
-        silent = [s for s, heard in self._heard.items() if now - heard.at > SILENT_AFTER_S]
-        if not silent:
+    def _drop_timed_out(self, now: float) -> None:
+        """Drop the sources that timed out, and their share of the remaining units."""
+        timed_out = [s for s, entry in self._reports.items() if now - entry.at > REPORT_TIMEOUT_S]
+        if not timed_out:
             return
         before = self.heard_nodes()
-        for source in silent:
-            del self._heard[source]
-        # What was charged before counts less from here on than a refund of it would.
-        self._heard_notices.forget()
+        for source in timed_out:
+            del self._reports[source]
+        # Earlier charges are scaled down with the levels, so that their refunds would be too
+        # large.
+        self._received_notices.clear()
         kept_share = self.heard_nodes() / before
         for bucket in self._buckets.values():
             bucket.credit(self._credit_s)
@@ -403,31 +409,31 @@
     def _take(
         self, bucket: _Bucket, tenant: str, amount: float, now: float
     ) -> SpendingNotice | None:
-        """Take units and return what other nodes are to be told at once."""
-        scarce = bucket.level < TOLD_LEVEL_SHARE * bucket.limit.burst
+        """Take units and return the notice to send to other nodes immediately, or None."""
+        scarce = bucket.level < NOTICE_LEVEL_SHARE * bucket.limit.burst
         bucket.level -= amount
-        bucket.note_given(amount, now)
-        if scarce or amount >= TOLD_BURST_SHARE * bucket.limit.burst:
-            return self._own_notices.spend(tenant, amount, now)
+        bucket.record_admitted(amount, now)
+        if scarce or amount >= NOTICE_BURST_SHARE * bucket.limit.burst:
+            return self._sent_notices.spend(tenant, amount, now)
         bucket.spent.append((now, amount))
         return None
 
     def _wait_s(
-        self, bucket: _Bucket, amount: float, left: float, now: float, patience_s: float
+        self, bucket: _Bucket, amount: float, left: float, now: float, max_wait_s: float
     ) -> float:
-        """Return when a refused caller is to come back: after those refused before it.
+        """Return when a refused caller should retry: after the callers refused before it.
 
-        Each has a place as long as this node takes to give its units. Who would have one later
-        than it waits for has none, and comes late in the time that it does wait.
+        Each caller gets a retry slot as long as this node takes to admit its units. A caller whose
+        slot would end after its maximum wait gets none, and retries late within that wait.
         """
         rate_per_s = bucket.limit.rate_per_s
-        own_part = rate_per_s / self.fleet.nodes
-        drain_per_s = min(rate_per_s, max(own_part, bucket.given_per_s(now)))
-        place_s = amount / drain_per_s
-        room_at = now - left / rate_per_s
-        place_at = max(bucket.returns_at, room_at)
-        if place_at + place_s > now + patience_s:
-            soonest_s = min(max(patience_s / 2, room_at - now), LATEST_SOONEST * patience_s)
-            return self._random.uniform(soonest_s, patience_s)
-        bucket.returns_at = place_at + place_s
-        return place_at - now + self._random.uniform(0.0, place_s)
+        own_share_per_s = rate_per_s / self.fleet.nodes
+        admit_per_s = min(rate_per_s, max(own_share_per_s, bucket.admitted_per_s(now)))
+        slot_s = amount / admit_per_s
+        refilled_at = now - left / rate_per_s
+        slot_at = max(bucket.next_slot_at, refilled_at)
+        if slot_at + slot_s > now + max_wait_s:
+            earliest_s = min(max(max_wait_s / 2, refilled_at - now), RETRY_START_SHARE * max_wait_s)
+            return self._random.uniform(earliest_s, max_wait_s)
+        bucket.next_slot_at = slot_at + slot_s
+        return slot_at - now + self._random.uniform(0.0, slot_s)
--- a/liftrill/coordination/range_store.py
+++ b/liftrill/coordination/range_store.py
@@ -1,4 +1,4 @@
-"""A store with ranges, transactions, leases and watches, as the rest of the system sees it."""
+"""Interface to a store with range reads, transactions, leases and watches."""
 
 from abc import ABC, abstractmethod
 from dataclasses import dataclass
@@ -7,24 +7,24 @@
 
 
 class HistoryGoneError(StoreError):
-    """The store has forgotten the changes that a watch asked for: read the range again."""
+    """The store no longer has the changes that a watch requested: read the range again."""
 
 
 class LeaseGoneError(StoreError):
-    """The lease has run out or was ended."""
+    """The lease expired or was revoked."""
 
 
 class ConditionFailedError(StoreError):
-    """A key was not at the expected revision; nothing was changed."""
+    """A key was not at the expected revision; the transaction changed nothing."""
 
 
 @dataclass(frozen=True, slots=True)
 class StoredItem:
-    """One key's value.
+    """The value of one key.
 
     Attributes:
-        revision: the store's counter at the last change; serves as a fencing token.
-        lease: the lease that the key goes with, or 0.
+        revision: the store's revision of the last change; usable as a fencing token.
+        lease: the lease that the key is bound to, or 0.
     """
 
     key: str
@@ -43,11 +43,11 @@
 
 @dataclass(frozen=True, slots=True)
 class RangePage:
-    """Some items of a range, in order of their keys.
+    """One page of the items of a range, ordered by key.
 
     Attributes:
-        at: the store's revision when the page was read.
-        more: whether further items follow the last one.
+        position: the position of the store when the page was read.
+        more: whether the range has items after this page.
     """
 
     items: tuple[StoredItem, ...]
@@ -57,7 +57,7 @@
 
 @dataclass(frozen=True, slots=True)
 class WatchBatch:
-    """Changes after a revision, oldest first; `at` is where the next watch goes on."""
+    """Changes after a position, oldest first; the next watch continues after `position`."""
 
     changes: tuple[StoredItem | RemovedItem, ...]
     position: int
@@ -65,7 +65,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ReadResult:
-    """A linearizable reading of one key: the item or None, at a revision of the store."""
+    """The result of a linearizable read: the item or None, and the position of the store."""
 
     item: StoredItem | None
     position: int
@@ -73,7 +73,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Expectation:
-    """A condition: the key is at a revision; 0 means that it is absent."""
+    """A transaction condition: the key is at a revision; 0 means that it is absent."""
 
     key: str
     revision: int
@@ -81,7 +81,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PutItem:
-    """A key to write, with the lease that it goes with, or 0."""
+    """A key to write, and the lease to bind it to, or 0."""
 
     key: str
     value: bytes
@@ -89,25 +89,27 @@
 
 
 class RangeStore(ABC):
-    """Every method raises `StoreUnavailableError` when the operation certainly had no effect.
+    """A store with range reads, transactions, leases and watches.
 
-    Methods that write raise `StoreAnswerLostError` when it may have had one, or may yet.
+    Every method raises `StoreUnavailableError` when the operation had no effect. Methods that
+    write raise `StoreAnswerLostError` when the operation may have had an effect, or may still
+    have one.
     """
 
     @abstractmethod
     async def read(self, key: str) -> ReadResult:
-        """Read one key, linearizably."""
+        """Return one key by a linearizable read."""
 
     @abstractmethod
     async def read_range(self, prefix: str, after: str) -> RangePage:
-        """Read one page of the keys with a prefix, those after a key."""
+        """Return one page of the keys with a prefix that follow the key `after`."""
 
     @abstractmethod
     async def watch(self, prefix: str, after_revision: int, wait_seconds: float) -> WatchBatch:
-        """Return changes after a revision, or none after the wait.
+        """Return the changes after a revision, or none after the wait.
 
         Raises:
-            HistoryGoneError: the store no longer has them.
+            HistoryGoneError: the store no longer has these changes.
         """
 
     @abstractmethod
@@ -117,25 +119,25 @@
         puts: tuple[PutItem, ...],
         removed: tuple[str, ...] = (),
     ) -> int:
-        """Write all or nothing and return the revision.
+        """Write all changes or none, and return the revision.
 
         Raises:
             ConditionFailedError: an expectation does not hold.
-            LeaseGoneError: a lease of the items to write is over.
+            LeaseGoneError: the lease of an item to write expired or was revoked.
         """
 
     @abstractmethod
     async def grant_lease(self, seconds: float) -> int:
-        """Return a new lease; it runs from the arrival of the call."""
+        """Return a new lease, whose time starts when the store receives the call."""
 
     @abstractmethod
     async def renew_lease(self, lease: int) -> None:
         """Renew a lease.
 
         Raises:
-            LeaseGoneError: it is over.
+            LeaseGoneError: the lease expired or was revoked.
         """
 
     @abstractmethod
     async def revoke_lease(self, lease: int) -> None:
-        """End a lease; its keys go with it."""
+        """Revoke a lease and remove the keys bound to it."""
--- a/liftrill/coordination/rendezvous.py
+++ b/liftrill/coordination/rendezvous.py
@@ -1,15 +1,15 @@
-"""Rendezvous (highest random weight) hashing, after Thaler and Ravishankar, 1996."""
+"""Rendezvous (highest random weight) hashing, after Thaler and Ravishankar (1996)."""
 
 import math
 from collections.abc import Iterable, Mapping
 
 import xxhash
 
-HASHES = 2.0**64
+HASH_COUNT = 2.0**64
 
 
 def rank(key: bytes, candidates: Iterable[str]) -> list[str]:
-    """Return the candidates in descending weight for a key.
+    """Return the candidates for a key, by descending weight.
 
     Every caller with the same candidates gets the same order, and removing a candidate
     leaves the order of the others unchanged.
@@ -23,22 +23,22 @@
 
 
 def first_weighted(key: bytes, weights: Mapping[str, float]) -> str | None:
-    """Return the candidate of a key, where each is that of keys in proportion to its weight.
+    """Return the candidate for a key; each candidate gets a share of keys by its weight.
 
-    Where all weights are alike it is that of `first`. A weight that changes moves no key
-    between other candidates.
+    With equal weights the result is that of `first`. Changing the weight of a candidate moves
+    no key between the other candidates.
     """
     if len(set(weights.values())) < 2:
         return first(key, weights)
 
     def score(name: str) -> tuple[float, str]:
         digest, _ = weight(key, name)
-        return -weights[name] / math.log((digest + 0.5) / HASHES), name
+        return -weights[name] / math.log((digest + 0.5) / HASH_COUNT), name
 
     return max(weights, key=score)
 
 
 def weight(key: bytes, candidate: str) -> tuple[int, str]:
-    """Return a candidate's weight for a key; the name breaks ties."""
+    """Return the weight of a candidate for a key; its name breaks ties."""
     digest = xxhash.xxh3_64_intdigest(key + b"\x00" + candidate.encode())
     return digest, candidate
--- a/liftrill/coordination/retry_budget.py
+++ b/liftrill/coordination/retry_budget.py
@@ -1,18 +1,18 @@
-"""A retry budget: a bounded share of successes, so that retries cannot amplify an overload."""
+"""Retry budget: limits retries to a share of successes, so that retries do not amplify overload."""
 
 from dataclasses import dataclass, field
 
-# Shares such as 0.1 do not add up to exactly 1.
-ROUNDING = 1e-9
+# Sums of shares such as 0.1 are not exactly 1 in floating point.
+ROUNDING_TOLERANCE = 1e-9
 
 
 @dataclass(slots=True)
 class RetryBudget:
-    """A balance that successes raise and retries spend.
+    """A balance that successes increase and retries decrease.
 
     Attributes:
-        share: the retries that one success earns.
-        reserve: the largest balance, and the balance at the start.
+        share: the number of retries added by one success.
+        reserve: the initial and maximum balance.
     """
 
     share: float
@@ -24,16 +24,16 @@
 
     @property
     def balance(self) -> float:
-        """The retries that may be made now."""
+        """The number of retries currently allowed."""
         return self._balance
 
     def record_success(self) -> None:
-        """Earn a share of a retry."""
+        """Add the share of one success to the balance."""
         self._balance = min(self.reserve, self._balance + self.share)
 
     def try_spend(self) -> bool:
-        """Spend one retry, or return False if the balance is below one."""
-        if self._balance < 1.0 - ROUNDING:
+        """Take one retry from the balance, or return False if less than one is left."""
+        if self._balance < 1.0 - ROUNDING_TOLERANCE:
             return False
         self._balance -= 1.0
         return True
--- a/liftrill/coordination/store_mirror.py
+++ b/liftrill/coordination/store_mirror.py
@@ -1,4 +1,4 @@
-"""A copy of a range of the store, kept by reading it once and watching it, sans-IO."""
+"""A mirror of a range of the store, built by one read and updated by a watch, sans-IO."""
 
 from dataclasses import dataclass, field
 
@@ -8,13 +8,13 @@
 
 @dataclass(frozen=True, slots=True)
 class MirrorChange:
-    """What changed for the readers of a mirror.
+    """A change of a mirror, for its readers.
 
     Attributes:
-        gap: whether the change came from reading the range anew, so that a removal may
-            have happened at any time since the last answer.
-        restored: whether the store came back from an older copy of itself: what is written is
-            old until its writers write again, and what is missing may be there still.
+        gap: whether the change comes from reading the whole range again, so that a removal may
+            have happened at any time since the last response.
+        restored: whether the store was restored from an older copy of itself: written items are
+            old until their writers write again, and missing items may still exist.
     """
 
     written: tuple[StoredItem, ...]
@@ -25,14 +25,14 @@
 
 @dataclass(slots=True)
 class StoreMirror:
-    """The items of a range as last heard.
+    """The newest known items of a range.
 
-    Pages do not form a snapshot, so the watch goes on from the revision of the first
-    page, and an item replaces another only when its revision is higher.
+    Pages are not a snapshot, so the watch continues from the position of the first page, and an
+    item replaces another one only if its revision is higher.
 
     Attributes:
-        at: the position from which a watch goes on; 0 before the first reading. All items are
-            of its era: only a whole reading brings a mirror into a later one.
+        position: the position from which a watch continues; 0 before the first read. All items
+            are of the era of this position: only a full read moves a mirror to a later era.
     """
 
     position: int = 0
@@ -44,49 +44,50 @@
         return list(self._items.values())
 
     def get(self, key: str) -> StoredItem | None:
-        """Return one item."""
+        """Return the item of a key, or None if the key is absent."""
         return self._items.get(key)
 
     def start_reading(self) -> None:
-        """Prepare for the pages of a new reading."""
+        """Discard the pages of an unfinished read before a new one."""
         self._pages.clear()
 
     def last_read_key(self) -> str:
-        """Return the key after which the next page starts."""
+        """Return the last key read so far, after which the next page starts."""
         items = self._pages[-1].items if self._pages else ()
         return items[-1].key if items else ""
 
     def add_page(self, page: RangePage) -> MirrorChange | None:
-        """Take in a page; return what changed once the last one is there."""
+        """Add a page; after the last page, apply the read and return the change."""
         self._pages.append(page)
         if page.more and page.items:
             return None
-        first_at = self._pages[0].at
+        first_position = self._pages[0].position
         found = {item.key: item for read in self._pages for item in read.items}
         self._pages.clear()
-        # An older copy than what is known, such as a reading from a lagging replica,
-        # takes nothing away.
-        if first_at < self.position:
+        # A read that is older than the mirror, such as one from a lagging replica, changes
+        # nothing.
+        if first_position < self.position:
             return MirrorChange((), (), gap=True)
-        return self._replace(found, first_at)
+        return self._replace(found, first_position)
 
     def apply_batch(self, batch: WatchBatch) -> MirrorChange:
-        """Take in the changes of a watch, or of a mirror that may be behind this one."""
+        """Apply the changes of a watch, or of another mirror that may be behind this one."""
         written: dict[str, StoredItem] = {}
         removed: dict[str, None] = {}
         if self._is_later_era(batch.position):
             return MirrorChange((), (), gap=False)
         for change in batch.changes:
-            # All up to `at` is known, removals too: an item that was removed does not return.
+            # All changes up to `position` are known, including removals: a removed item must not
+            # reappear.
             if change.revision <= self.position or self._is_later_era(change.revision):
                 continue
             known = self._items.get(change.key)
-            # One that is known already is told again: a copy that follows this one may have
-            # come to it by another way, and lack it.
+            # An item of the same revision is reported again: a replica that follows this mirror
+            # may not have it.
             if known is not None and known.revision > change.revision:
                 continue
             if isinstance(change, RemovedItem):
-                self._forget(change.key, written, removed)
+                self._remove(change.key, written, removed)
             else:
                 self._items[change.key] = change
                 written[change.key] = change
@@ -97,9 +98,10 @@
     def _is_later_era(self, position: int) -> bool:
         return bool(self.position) and era_of(position) > era_of(self.position)
 
-    def _replace(self, found: dict[str, StoredItem], at: int) -> MirrorChange:
-        # A copy without an era came from nodes that tell none: the store itself went on.
-        restored = era_of(self.position) > 0 and self._is_later_era(at)
+    def _replace(self, found: dict[str, StoredItem], position: int) -> MirrorChange:
+        # A mirror in era 0 came from nodes that report no era: the change to a later era does not
+        # mean that the store was restored.
+        restored = era_of(self.position) > 0 and self._is_later_era(position)
         removed = tuple(key for key in self._items if key not in found)
         written = tuple(
             item
@@ -110,10 +112,10 @@
             del self._items[key]
         for item in written:
             self._items[item.key] = item
-        self.position = at
+        self.position = position
         return MirrorChange(written, removed, gap=True, restored=restored)
 
-    def _forget(self, key: str, written: dict[str, StoredItem], removed: dict[str, None]) -> None:
+    def _remove(self, key: str, written: dict[str, StoredItem], removed: dict[str, None]) -> None:
         written.pop(key, None)
         if self._items.pop(key, None) is not None:
             removed[key] = None
--- a/liftrill/coordination/token_bucket.py
+++ b/liftrill/coordination/token_bucket.py
@@ -1,4 +1,4 @@
-"""Token bucket rate limits."""
+"""Token bucket rate limiter."""
 
 from dataclasses import dataclass, field
 
@@ -9,7 +9,7 @@
 
     Attributes:
         rate: tokens added per second; zero or less means no limit.
-        burst: the most tokens the bucket holds.
+        burst: the capacity of the bucket.
     """
 
     rate: float
@@ -21,11 +21,11 @@
         self._tokens = self.burst
 
     def try_take(self, amount: float, now: float) -> float:
-        """Take tokens if they are there.
+        """Take tokens if enough are available.
 
         Returns:
-            0.0 if the tokens were taken; otherwise the seconds until they will be there.
-            An amount above the burst is taken from a full bucket, which then owes the rest.
+            0.0 if the tokens were taken; otherwise the seconds until they will be available.
+            An amount above the burst is taken from a full bucket, whose level is then negative.
         """
         if self.rate <= 0:
             return 0.0
@@ -37,7 +37,7 @@
         return (needed - self._tokens) / self.rate
 
     def refund(self, amount: float) -> None:
-        """Return tokens that were taken for work that was then not done."""
+        """Put back tokens that were taken for work that was not done."""
         self._tokens = min(self.burst, self._tokens + amount)
 
     def _refill(self, now: float) -> None:
