--- a/liftrill/coordination/claims.py
+++ b/liftrill/coordination/claims.py
@@ -1,20 +1,20 @@
-"""Claims: at most one attempt per key, without a store, sans-IO.
+"""Claims: at most one attempt per idempotency key, without a store, sans-IO.
 
-A key is a UUIDv7, so it carries the time at which its caller made it. An attempt may be
-dispatched only after a majority of the claim group granted it the key. A member grants a
-key to one attempt and remembers that until the key is older than the claim lifetime;
-from then on it refuses the key.
+A key is a UUIDv7, so it contains the time at which the caller created it. An attempt may be
+dispatched only after a majority of the claim group granted it the key. A member grants a key to
+one attempt and keeps the grant until the key is older than the claim lifetime; from then on it
+refuses the key.
 
-Members keep nothing on disk. A member that restarted has forgotten its grants, but it
-can only have granted keys that were made before it restarted, give or take the clocks'
-error: it abstains for those, and serves younger keys at once.
+Members store nothing on disk. A restarted member has lost its grants, but these can only be for
+keys created before the restart, within the clock skew: the member abstains for such keys, and
+serves newer ones immediately.
 
-While the group changes, a claim needs a majority of the old and of the new members, so
-that nodes which have not heard of the change still meet those which have. The change may
-be completed once a majority of the old members has adopted it.
+During a change of the group, a claim needs a majority of the old and of the new members, so that
+the majorities of nodes with the old and with the new group intersect. The change may be completed
+once a majority of the old members has adopted it.
 
-docs/design/claims.md gives the argument and the ways that were weighed;
-spec/claims.py is the model.
+docs/design/claims.md gives the correctness argument and the alternatives; spec/claims.py is the
+model.
 """
 
 from collections import OrderedDict
@@ -25,18 +25,18 @@
 
 KEY_BYTES = 16
 MILLISECONDS_SHIFT = 80
-# A grant can be for a key up to one skew in the future, by a clock one skew fast; the
-# restarted member's own clock may be one skew slow.
+# A granted key may be one skew in the future on the member's clock, which may have been one skew
+# fast; after the restart, its clock may be one skew slow.
 RESTART_MARGIN_IN_SKEWS = 3
 
 
 def key_time(key: bytes) -> float:
-    """Return when a UUIDv7 was made, in Unix seconds (RFC 9562, section 5.7)."""
+    """Return the creation time of a UUIDv7, in Unix seconds (RFC 9562, section 5.7)."""
     return (int.from_bytes(key, "big") >> MILLISECONDS_SHIFT) / 1000
 
 
 class Verdict(Enum):
-    """A member's answer."""
+    """The result of a proposal at one member."""
 
     GRANTED = "granted"
     HELD = "held"
@@ -47,7 +47,7 @@
 
 @dataclass(frozen=True, slots=True)
 class StoredResult:
-    """The answer of a finished request."""
+    """The stored response of a finished request."""
 
     text: str
     finish_reason: str
@@ -58,10 +58,10 @@
 
 @dataclass(frozen=True, slots=True)
 class ClaimProposal:
-    """Asks a member to grant a key to an attempt.
+    """A request to a member to grant a key to an attempt.
 
     Attributes:
-        digest: of the tenant and the body, so that a key cannot be used for two requests.
+        digest: digest of the tenant and the body, so that a key serves only one request.
         epoch: the version of the group that the proposer knows.
     """
 
@@ -73,7 +73,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ClaimAnswer:
-    """A member's answer; the holder's fields are set with HELD."""
+    """A member's response to a proposal; the holder's fields are set for HELD."""
 
     verdict: Verdict
     holder_attempt_id: str = ""
@@ -90,13 +90,13 @@
 
 @dataclass(frozen=True, slots=True)
 class ClaimParameters:
-    """Times in seconds.
+    """Limits of a claim member; times are in seconds.
 
     Attributes:
-        lifetime: how long after its making a key is remembered, and refused afterwards.
-        skew: the largest error of any machine's clock.
-        capacity: the most claims that a member keeps; beyond it abstains.
-        result_bytes: the longest answer that is kept.
+        lifetime: the age up to which a key is kept; older keys are refused.
+        skew: the maximum error of any machine's clock.
+        capacity: the maximum number of claims of a member; when full, the member abstains.
+        result_bytes: the maximum length of a stored response.
     """
 
     lifetime: float
@@ -110,7 +110,7 @@
 
     def __init__(self, parameters: ClaimParameters, started_at: float) -> None:
         self._parameters = parameters
-        self._remembers_since = started_at
+        self._complete_since = started_at
         self._claims: OrderedDict[bytes, _Claim] = OrderedDict()
         self._withdrawn: OrderedDict[tuple[bytes, str], None] = OrderedDict()
         self._epoch = 0
@@ -119,38 +119,38 @@
         return len(self._claims)
 
     def adopt_epoch(self, epoch: int, now: float) -> None:
-        """Serve proposals of another epoch from now on.
+        """Serve proposals of a later epoch from now on.
 
-        Claims stay. For keys it does not know, the member counts as restarted: other
+        Claims are kept. For unknown keys the member acts as if it had restarted, since other
         members may have granted them in an earlier epoch.
         """
         if epoch > self._epoch:
             self._epoch = epoch
-            self._remembers_since = now
+            self._complete_since = now
 
     def propose(self, proposal: ClaimProposal, now: float) -> ClaimAnswer:
-        """Grant the key to the attempt, or say why not."""
+        """Grant the key to the attempt, or return the reason for the refusal."""
         claim = self._claims.get(proposal.key)
         if claim is not None:
             return self._answer_for(claim, proposal)
         verdict = self._refusal(proposal, now)
         if verdict is not None:
             return ClaimAnswer(verdict)
-        self._forget_expired(now)
+        self._drop_expired(now)
         if len(self._claims) >= self._parameters.capacity:
             return ClaimAnswer(Verdict.ABSTAINED)
         self._claims[proposal.key] = _Claim(proposal.attempt_id, proposal.digest)
         return ClaimAnswer(Verdict.GRANTED)
 
     def withdraw(self, key: bytes, attempt_id: str) -> None:
-        """Release a key for an attempt that was not and will never be dispatched."""
+        """Release the key of an attempt that was not and will not be dispatched."""
         self._withdrawn[(key, attempt_id)] = None
         claim = self._claims.get(key)
         if claim is not None and claim.attempt_id == attempt_id:
             del self._claims[key]
 
     def store_result(self, key: bytes, attempt_id: str, result: StoredResult) -> None:
-        """Keep the answer of the attempt that holds a key."""
+        """Store the response of the attempt that holds a key."""
         claim = self._claims.get(key)
         if claim is None or claim.attempt_id != attempt_id:
             return
@@ -163,25 +163,25 @@
         return ClaimAnswer(Verdict.HELD, claim.attempt_id, claim.digest, claim.result)
 
     def _refusal(self, proposal: ClaimProposal, now: float) -> Verdict | None:
-        made_at = key_time(proposal.key)
+        created_at = key_time(proposal.key)
         if proposal.epoch != self._epoch:
             return Verdict.WRONG_EPOCH
-        if made_at < now - self._parameters.lifetime:
+        if created_at < now - self._parameters.lifetime:
             return Verdict.EXPIRED
-        if made_at > now + self._parameters.skew or self._may_have_forgotten(made_at):
+        if created_at > now + self._parameters.skew or self._may_have_forgotten(created_at):
             return Verdict.ABSTAINED
         if (proposal.key, proposal.attempt_id) in self._withdrawn:
             return Verdict.ABSTAINED
         return None
 
-    def _may_have_forgotten(self, made_at: float) -> bool:
+    def _may_have_forgotten(self, created_at: float) -> bool:
         if not is_enabled(Mechanism.RESTART_ABSTENTION):
             return False
         margin = RESTART_MARGIN_IN_SKEWS * self._parameters.skew
-        return made_at <= self._remembers_since + margin
+        return created_at <= self._complete_since + margin
 
-    def _forget_expired(self, now: float) -> None:
-        """Drop expired claims, oldest grants first; an expired key is never granted again."""
+    def _drop_expired(self, now: float) -> None:
+        """Drop expired claims, oldest grants first; an expired key is not granted again."""
         limit = now - self._parameters.lifetime
         while self._claims:
             key = next(iter(self._claims))
@@ -194,10 +194,10 @@
 
 @dataclass(frozen=True, slots=True)
 class ClaimGroup:
-    """Who keeps claims.
+    """The members that keep claims.
 
     Attributes:
-        previous_members: the members before a change that is under way, or empty.
+        previous_members: the members before a change in progress, or empty.
     """
 
     epoch: int
@@ -206,17 +206,17 @@
 
     @property
     def all_members(self) -> frozenset[str]:
-        """All nodes that a proposal goes to."""
+        """All nodes that receive a proposal."""
         return self.members | self.previous_members
 
     @property
     def quorum_sets(self) -> list[frozenset[str]]:
-        """The sets of which a majority each is needed."""
+        """The sets of members in each of which a majority is needed."""
         return [group for group in (self.members, self.previous_members) if group]
 
 
 class RoundState(Enum):
-    """Where a claim round stands."""
+    """The state of a claim round."""
 
     PENDING = "pending"
     GRANTED = "granted"
@@ -228,41 +228,41 @@
 
 @dataclass(slots=True)
 class ClaimRound:
-    """The proposer's side: collects answers until the claim is decided."""
+    """Collects the members' responses to a proposal until the claim is decided."""
 
     group: ClaimGroup
     proposal: ClaimProposal
     _answers: dict[str, ClaimAnswer] = field(default_factory=dict)
-    _silent: set[str] = field(default_factory=set)
+    _unresponsive: set[str] = field(default_factory=set)
 
     def record_answer(self, member: str, answer: ClaimAnswer) -> None:
-        """Take in a member's answer."""
+        """Record a member's response."""
         self._answers[member] = answer
 
     def record_no_answer(self, member: str) -> None:
-        """Note that a member did not answer; it may still have granted."""
-        self._silent.add(member)
+        """Record that a member did not respond; it may have granted the key."""
+        self._unresponsive.add(member)
 
     @property
     def state(self) -> RoundState:
-        """What can be said now.
+        """The current state of the round.
 
-        A round that cannot be granted waits for every answer, since any may bring the
-        result of the attempt that holds the key.
+        A round that is not granted waits for every response, since any may contain the result of
+        the attempt that holds the key.
         """
         if all(self._has_majority(group) for group in self.group.quorum_sets):
             return RoundState.GRANTED
         if self.result is not None:
             return RoundState.HELD
-        if len(self._answers) + len(self._silent) < len(self.group.all_members):
+        if len(self._answers) + len(self._unresponsive) < len(self.group.all_members):
             return RoundState.PENDING
         return self._failure()
 
     @property
     def result(self) -> StoredResult | None:
-        """The answer of the attempt that holds the key, if a member has it."""
-        same = [a for a in self._held() if a.holder_digest == self.proposal.digest]
-        return next((answer.result for answer in same if answer.result), None)
+        """The stored response of the attempt that holds the key, if a member sent it."""
+        matching = [a for a in self._held() if a.holder_digest == self.proposal.digest]
+        return next((answer.result for answer in matching if answer.result), None)
 
     def _failure(self) -> RoundState:
         held = self._held()
--- a/liftrill/coordination/configuration.py
+++ b/liftrill/coordination/configuration.py
@@ -1,9 +1,8 @@
 """A replica of a versioned, content-addressed configuration.
 
-The head names a generation and the digest of each section. A replica adopts a head only
-when its generation is higher than the one in force and every section is present with
-the right digest, so that no source, not even a store restored from an old copy, can
-take it back.
+The head contains a generation and the digest of each section. A replica adopts a head only if its
+generation is higher than the one in force and all sections are present with the right digests.
+So no source, not even a store restored from an old copy, can revert a replica.
 """
 
 import hashlib
@@ -15,18 +14,18 @@
 from liftrill.errors import ConfigurationError
 from liftrill.mechanisms import Mechanism, is_enabled
 
-# Operators are trusted: what matters is that nobody finds a second content for a digest.
+# Operators are trusted, so only second-preimage resistance matters, not collision resistance.
 DIGEST_BYTES = 16
 
 
 def content_digest(content: bytes) -> bytes:
-    """Return the BLAKE2b-128 digest that names a section's content."""
+    """Return the BLAKE2b-128 digest that identifies a section's content."""
     return hashlib.blake2b(content, digest_size=DIGEST_BYTES).digest()
 
 
 @dataclass(frozen=True, slots=True)
 class Head:
-    """A generation and the digests of its sections, by section name."""
+    """A generation, and the digests of its sections by section name."""
 
     generation: int
     section_digests: Mapping[str, bytes]
@@ -34,14 +33,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Configuration:
-    """A complete configuration in force."""
+    """A head with the content of all its sections."""
 
     head: Head
     sections: Mapping[str, bytes]
 
 
 class Adoption(Enum):
-    """What a replica did with a head that it was offered."""
+    """The result of offering a head or a section to a replica."""
 
     ADOPTED = "adopted"
     INCOMPLETE = "incomplete"
@@ -50,7 +49,7 @@
 
 @dataclass(slots=True)
 class ConfigurationReplica:
-    """Holds the configuration in force and the sections collected for a newer head."""
+    """The configuration in force, and the sections received so far for a newer head."""
 
     current: Configuration | None = None
     _contents: dict[bytes, bytes] = field(default_factory=dict)
@@ -58,23 +57,23 @@
 
     @property
     def generation(self) -> int:
-        """The generation in force, or 0 without a configuration."""
+        """The generation in force, or 0 if there is no configuration."""
         return self.current.head.generation if self.current else 0
 
     @property
     def wanted_digests(self) -> list[bytes]:
-        """The sections that are missing for the newest head heard of."""
+        """The digests of the sections that are missing for the pending head."""
         if self._pending is None:
             return []
         digests = self._pending.section_digests.values()
         return [digest for digest in digests if digest not in self._contents]
 
     def offer_head(self, head: Head) -> Adoption:
-        """Take note of a head; adopt it if it is newer and complete.
+        """Make a newer head the pending one, and adopt it if all its sections are present.
 
         Raises:
-            ConfigurationError: the same generation names other content than the one in
-                force, which a correct store cannot produce.
+            ConfigurationError: the head has the generation in force but different digests, which a
+                correct store cannot produce.
         """
         if head.generation < self.generation and is_enabled(Mechanism.GENERATION_ORDER):
             return Adoption.STALE
@@ -87,26 +86,26 @@
         return self._try_adopt()
 
     def offer_section(self, digest: bytes, content: bytes) -> Adoption:
-        """Take in a section's content; adopt the newest head if it is now complete.
+        """Add a missing section; adopt the pending head if all its sections are present.
 
         Raises:
-            ConfigurationError: the content does not have the digest.
+            ConfigurationError: the content does not match the digest.
         """
         if content_digest(content) != digest:
-            raise ConfigurationError(f"section {digest.hex()} does not match its digest")
+            raise ConfigurationError(f"content of section {digest.hex()} does not match its digest")
         if digest not in self.wanted_digests:
             return Adoption.STALE
         self._contents[digest] = content
         return self._try_adopt()
 
     def section_by_digest(self, digest: bytes) -> bytes | None:
-        """Return a section's content for a peer that asks, or None."""
+        """Return the content of a section, or None if this replica does not have it."""
         return self._contents.get(digest)
 
     def _check_same_content(self, head: Head) -> None:
         assert self.current is not None
         if dict(head.section_digests) != dict(self.current.head.section_digests):
-            raise ConfigurationError(f"two contents for generation {head.generation}")
+            raise ConfigurationError(f"conflicting sections for generation {head.generation}")
 
     def _try_adopt(self) -> Adoption:
         head = self._pending
@@ -116,7 +115,7 @@
             return Adoption.INCOMPLETE
         sections = {name: self._contents[d] for name, d in head.section_digests.items()}
         self.current = Configuration(head, MappingProxyType(sections))
-        # Only what is in force is kept; unchanged sections need not be fetched again.
+        # Only the sections in force are kept, so that unchanged ones are not fetched again.
         self._contents = {d: self._contents[d] for d in head.section_digests.values()}
         self._pending = None
         return Adoption.ADOPTED
--- a/liftrill/coordination/crash_evidence.py
+++ b/liftrill/coordination/crash_evidence.py
@@ -1,46 +1,46 @@
-"""Tells requests under which workers end from those that ran there by accident, sans-IO.
+"""Detects requests that terminate the workers on which they run, sans-IO.
 
-What is known is a set of facts, each about one run on one worker: it can be merged in any
-order and told more than once. Times are on the clock of whoever holds the set.
+The evidence is a set of facts, each about one run on one worker. Facts can be added in any order
+and more than once. Times are on the clock of the node that holds the set.
 """
 
 import math
 from collections.abc import Iterable
 from dataclasses import dataclass, field
 
-# A run whose answer began less than this before its worker ended had hardly begun: crashes at
-# the beginning of a run were seen 46 to 93 ms after it (measured on nine workers).
+# A run is lost early if its response began less than this before its worker terminated. A request
+# that crashes its worker at the beginning of a run does so after 46 to 93 ms.
 EARLY_END_S = 0.25
-# Workers that end closer together than this, with runs that were there at the same time, may
-# have ended of one cause that is none of the runs: a rack without power (guess).
-APART_S = 0.5
-# For how long back it counts that workers end without a request (guess: some spells of crashes).
-BESIDE_S = 10.0
-# How many early ends tell of a request where no worker ends without it, where some do, and where
-# another request met all the same ends. With two, a fleet loses one worker less to each such
-# request than with three.
-EARLY_ENDS_ALONE = 2
-EARLY_ENDS = 3
-EARLY_ENDS_TOGETHER = 4
-# The same for runs that had gone on for a while, as most that meet an end by accident have. With
-# four, twice as many requests were condemned where a third of all workers crashes every 1 to 4 s
-# (virtual time).
-ENDS_ALONE = 5
-# What is known of a request that was neither sent again nor served is forgotten after this
-# (guess: callers repeat within seconds or minutes).
+# Workers that terminate closer together than this, with runs that overlap in time, may have one
+# cause other than the runs, such as a power failure of a rack.
+SEPARATE_END_S = 0.5
+# How long before the end of the last run terminations of other workers count. This covers several
+# bursts of crashes.
+UNRELATED_END_WINDOW_S = 10.0
+# The number of early ends that identify a request: where no worker terminates without the request,
+# where some do, and where another request was lost on all of the same workers. With two instead
+# of three in the first case, a fleet loses one worker less to each such request.
+MIN_EARLY_ENDS_EXCLUSIVE = 2
+MIN_EARLY_ENDS = 3
+MIN_EARLY_ENDS_SHARED = 4
+# The same number for early and late ends together; most runs that are lost by accident end late.
+# With four, twice as many requests were quarantined where a third of all workers crashes every 1
+# to 4 s (virtual time).
+MIN_ENDS = 5
+# How long evidence is kept. Callers repeat requests within seconds or minutes.
 RETENTION_S = 600.0
-# The most requests that are remembered; the oldest go first. 1 MB.
+# The maximum number of requests with evidence, about 1 MB; the oldest are dropped first.
 MAX_REQUESTS = 4096
 
 
 @dataclass(frozen=True, slots=True)
 class LostRun:
-    """A run that was under way when its worker ended.
+    """A run that was in progress when its worker terminated.
 
     Attributes:
-        fingerprint: names the request.
-        worker: names the incarnation of the worker.
-        early: whether its answer had not begun, or less than `EARLY_END_S` before.
+        fingerprint: identifies the request.
+        worker: identifies the incarnation of the worker.
+        early: whether the response had not begun, or began less than `EARLY_END_S` before.
     """
 
     fingerprint: bytes
@@ -52,7 +52,7 @@
 
 @dataclass(slots=True)
 class CrashEvidence:
-    """What is known of runs that workers ended under, and of workers that ended."""
+    """Evidence about lost runs and terminated workers."""
 
     _runs: dict[bytes, dict[int, LostRun]] = field(default_factory=dict)
     _ends: dict[int, float] = field(default_factory=dict)
@@ -63,7 +63,7 @@
         return len(self._runs)
 
     def add(self, run: LostRun) -> bool:
-        """Take in a run, and return whether it was news."""
+        """Add a lost run, and return whether it changed the evidence."""
         self.record_end(run.worker, run.ended_at)
         if run.ended_at <= self._served_at.get(run.fingerprint, -math.inf):
             return False
@@ -77,11 +77,11 @@
         return True
 
     def record_end(self, worker: int, at: float) -> None:
-        """Note that a worker ended, whatever ran there."""
+        """Record that a worker terminated, with or without runs."""
         self._ends.setdefault(worker, at)
 
     def clear(self, fingerprint: bytes, at: float) -> bool:
-        """Note that a request was served: it ends no workers; return whether it was suspect."""
+        """Drop the runs of a request that was served; return whether there were any."""
         if fingerprint not in self._runs:
             return False
         del self._runs[fingerprint]
@@ -89,67 +89,68 @@
         return True
 
     def is_suspect(self, fingerprint: bytes) -> bool:
-        """Return whether a worker ended soon after it had begun a request."""
+        """Return whether a worker terminated early in a run of a request."""
         return any(run.early for run in self.runs(fingerprint))
 
     def mark_explained(self, workers: Iterable[int], at: float) -> None:
-        """Note that some workers ended because of a request that is known by now."""
+        """Record that some workers terminated because of a request that is already known."""
         for worker in workers:
             self.record_end(worker, at)
             self._explained.add(worker)
 
     def has_ended(self, worker: int) -> bool:
-        """Return whether a worker is known to have ended."""
+        """Return whether a worker is known to have terminated."""
         return worker in self._ends
 
     def runs(self, fingerprint: bytes) -> list[LostRun]:
-        """Return the runs of a request under which workers ended for no known reason, by time."""
+        """Return the lost runs of a request whose terminations are unexplained, by time."""
         runs = self._runs.get(fingerprint, {}).values()
         unexplained = (run for run in runs if run.worker not in self._explained)
         return sorted(unexplained, key=lambda run: run.ended_at)
 
     def reaches_quarantine_threshold(self, fingerprint: bytes) -> bool:
-        """Return whether as many workers ended under a request as may condemn it."""
+        """Return whether a request has enough lost runs that it may have to be quarantined."""
         runs = self.runs(fingerprint)
         early = [run for run in runs if run.early]
-        # Copies that are sent together end their workers together: three are no accident.
-        if len(early) >= EARLY_ENDS or _separate(early) >= EARLY_ENDS_ALONE:
+        # Copies of a request that are sent together terminate their workers together. Three early
+        # ends are no coincidence, even if they are not separate.
+        if len(early) >= MIN_EARLY_ENDS or _count_separate(early) >= MIN_EARLY_ENDS_EXCLUSIVE:
             return True
-        return _separate(runs) >= ENDS_ALONE
+        return _count_separate(runs) >= MIN_ENDS
 
     def should_quarantine(self, fingerprint: bytes) -> bool:
-        """Return whether workers end because of a request, as far as that can be told."""
+        """Return whether the evidence shows that a request terminates its workers."""
         if not self.reaches_quarantine_threshold(fingerprint):
             return False
         runs = self.runs(fingerprint)
-        early = _separate([run for run in runs if run.early])
-        if early >= EARLY_ENDS_TOGETHER:
+        early = _count_separate([run for run in runs if run.early])
+        if early >= MIN_EARLY_ENDS_SHARED:
             return True
-        if self._has_companion(fingerprint):
+        if self._has_correlated_request(fingerprint):
             return False
-        return early >= EARLY_ENDS or not self._ended_without(runs)
+        return early >= MIN_EARLY_ENDS or not self._others_terminated(runs)
 
     def expire(self, now: float) -> None:
-        """Forget what is old."""
+        """Drop evidence that is older than `RETENTION_S`."""
         before = now - RETENTION_S
         for fingerprint, runs in list(self._runs.items()):
-            left = {worker: run for worker, run in runs.items() if run.ended_at >= before}
-            if left:
-                self._runs[fingerprint] = left
+            kept = {worker: run for worker, run in runs.items() if run.ended_at >= before}
+            if kept:
+                self._runs[fingerprint] = kept
             else:
                 del self._runs[fingerprint]
         self._ends = {worker: at for worker, at in self._ends.items() if at >= before}
         self._served_at = {name: at for name, at in self._served_at.items() if at >= before}
         self._explained.intersection_update(self._ends)
 
-    def _ended_without(self, runs: list[LostRun]) -> bool:
-        """Return whether workers ended lately under none of some runs, for no known reason."""
-        since = runs[-1].ended_at - BESIDE_S
-        under = {run.worker for run in runs} | self._explained
-        return any(at >= since for worker, at in self._ends.items() if worker not in under)
+    def _others_terminated(self, runs: list[LostRun]) -> bool:
+        """Return whether other workers terminated lately for an unknown cause."""
+        since = runs[-1].ended_at - UNRELATED_END_WINDOW_S
+        known = {run.worker for run in runs} | self._explained
+        return any(at >= since for worker, at in self._ends.items() if worker not in known)
 
-    def _has_companion(self, fingerprint: bytes) -> bool:
-        """Return whether another request met the same ends, and as early."""
+    def _has_correlated_request(self, fingerprint: bytes) -> bool:
+        """Return whether another request lost runs on the same workers, and as early."""
         runs = self.runs(fingerprint)
         return any(
             all(run.worker in others and others[run.worker].early >= run.early for run in runs)
@@ -161,7 +162,8 @@
 def _merged(one: LostRun, other: LostRun) -> LostRun:
     """Return two runs of one request on one worker as one.
 
-    Where one of them had gone on for a while, the request did not end the worker by beginning.
+    The merged run is early only if both are: a late one shows that beginning the request did not
+    terminate the worker.
     """
     return LostRun(
         one.fingerprint,
@@ -172,16 +174,16 @@
     )
 
 
-def _separate(runs: Iterable[LostRun]) -> int:
-    """Return how many of some runs, by time, met an end of their own."""
+def _count_separate(runs: Iterable[LostRun]) -> int:
+    """Return the number of separate worker terminations among runs in order of time."""
     count = 0
     last: LostRun | None = None
     for run in runs:
-        if last is None or _is_apart(last, run):
+        if last is None or _is_separate(last, run):
             count += 1
             last = run
     return count
 
 
-def _is_apart(last: LostRun, run: LostRun) -> bool:
-    return run.sent_at >= last.ended_at or run.ended_at - last.ended_at >= APART_S
+def _is_separate(last: LostRun, run: LostRun) -> bool:
+    return run.sent_at >= last.ended_at or run.ended_at - last.ended_at >= SEPARATE_END_S
--- a/liftrill/coordination/key_value_store.py
+++ b/liftrill/coordination/key_value_store.py
@@ -78,4 +78,4 @@
 
     @abstractmethod
     async def watch_machines(self, after_index: int, wait_seconds: float) -> MachineList:
-        """Return the machines once the list's index differs from `after_index`, or after the wait."""
+        """Return the list once its index differs from `after_index`, or after the wait."""
--- a/liftrill/coordination/membership.py
+++ b/liftrill/coordination/membership.py
@@ -1,13 +1,13 @@
-"""Membership by gossip, after SWIM (Das, Gupta and Motivala, 2002), sans-IO.
+"""Gossip membership, after SWIM (Das, Gupta and Motivala, 2002), sans-IO.
 
-Each member probes one other per interval, directly and then through others. A member
-that does not answer is suspected; it can refute with a higher incarnation, and is
-declared dead when its time runs out. Dead members and seeds are probed now and then, so
-that two sides of a healed cut find each other without a restart.
+In each interval, a member probes another one, directly and then through further members. A member
+that does not respond is suspected. It can refute the suspicion with a higher incarnation, and is
+declared dead after the suspicion time. Dead members and seeds are probed occasionally, so that the
+two sides of a healed network partition find each other without a restart.
 
-Rumours spread one change quickly, but not the many of a fleet that starts at once: they
-share the few records of a datagram. So a member asks others for all that they know a few
-times after its start, and seldom from then on.
+Rumours spread a single change quickly, but not the many changes when a whole fleet starts, because
+a datagram carries only a few records. So a member requests full member lists several times after
+its start, and rarely from then on.
 """
 
 import math
@@ -35,27 +35,28 @@
     Ticked,
 )
 
-# At which ages a member asks for all others. Every other request goes to a seed: all of a
-# fleet that starts together have told the seeds of themselves by then.
+# The times after its start at which a member requests member lists. Every other request goes to a
+# seed: when a whole fleet starts, the seeds have the records of all members first.
 LIST_REQUEST_AGES_S = (0.0, 0.3, 0.6, 1.0, 1.6, 3.0, 6.0)
-# Then this often, in case that rumours were lost: with 350 members a list of 21 KB comes and
-# one goes in that time, 0.7 KB/s of the 3 KB/s that control may take.
+# The interval of later requests, which make up for lost rumours. With 350 members, one list of 21
+# KB is received and one sent per interval: 0.7 KB/s of the 3 KB/s allowed for control traffic.
 LIST_REQUEST_INTERVAL_S = 60.0
-# About 1,200 bytes: a datagram is not to be split on its way.
+# About 1,200 bytes, so that datagrams are not fragmented.
 RECORDS_PER_LIST_DATAGRAM = 20
-# The suspicion time holds for up to two to this power members, and grows beyond.
+# The suspicion time applies to at most 2 to the power of this many members; it grows with more.
 SUSPICION_DOUBLINGS = 4.0
 
 
 @dataclass(frozen=True, slots=True)
 class MembershipParameters:
-    """Timing, in seconds, and counts.
+    """Parameters of the protocol; times are in seconds.
 
     Attributes:
-        records_for_newcomer: members told at once to one that tells of itself.
-        sampled_records: members picked at random that ride on each ping.
-        remote_probe_share: share of probes that go to other regions.
-        revival_probe_share: share of probes that go to dead members and seeds.
+        records_for_newcomer: the number of records in the response to a member that announces
+            itself.
+        sampled_records: the number of random records that are added to each ping.
+        remote_probe_share: the share of probes that go to other regions.
+        rejoin_probe_share: the share of probes that go to dead members and seeds.
     """
 
     probe_interval: float = 0.5
@@ -70,7 +71,7 @@
     announcement_fanout: int = 4
     announcement_spacing: float = 0.2
     remote_probe_share: float = 0.1
-    revival_probe_share: float = 0.1
+    rejoin_probe_share: float = 0.1
 
 
 @dataclass(slots=True)
@@ -91,7 +92,7 @@
     """One member's view of all members.
 
     Attributes:
-        generation: the configuration generation in force here; set by the owner.
+        generation: the configuration generation in force at this node; set by the owner.
     """
 
     def __init__(
@@ -108,8 +109,8 @@
         self._random = random_source
         self._table: RumourTable[str, Member] = RumourTable(parameters.retransmission_factor)
         self._table.offer(own.node_id, own.version, own)
-        self._listed: list[Member] = []
-        self._listed_at = 0
+        self._cached_members: list[Member] = []
+        self._cached_at_change = 0
         self._suspected_at: dict[str, float] = {}
         self._dead_at: dict[str, float] = {}
         self._probes: dict[int, _Probe] = {}
@@ -124,30 +125,30 @@
 
     @property
     def own(self) -> Member:
-        """The record of this node itself."""
+        """The record of this node."""
         return self._own
 
     def members(self) -> list[Member]:
-        """Return the members believed alive or suspected, this one included.
+        """Return the alive and suspected members, including this one.
 
-        The list is the same until a record changes, and is not to be changed by callers: it is
-        asked for some 30 times a second.
+        The list is cached until a record changes, because it is requested about 30 times a second.
+        Callers must not modify it.
         """
-        if self._listed_at != self._table.changes:
-            self._listed_at = self._table.changes
-            self._listed = [m for m in self._table if m.condition <= Condition.SUSPECT]
-        return self._listed
+        if self._cached_at_change != self._table.change_count:
+            self._cached_at_change = self._table.change_count
+            self._cached_members = [m for m in self._table if m.condition <= Condition.SUSPECT]
+        return self._cached_members
 
     def all_members(self) -> list[Member]:
-        """Return every record, those of dead members included."""
+        """Return all records, including those of dead members."""
         return list(self._table)
 
     def member(self, node_id: str) -> Member | None:
-        """Return what is believed of a member."""
+        """Return the record of a member, or None if it is unknown."""
         return self._table.get(node_id)
 
     def handle(self, event: MembershipEvent, now: float) -> list[MembershipInstruction]:
-        """Take in one event and return what follows from it."""
+        """Process an event and return the resulting instructions."""
         if isinstance(event, Ticked):
             return self._on_tick(now)
         return self._on_datagram(event, now)
@@ -155,28 +156,28 @@
     def merge(
         self, members: Iterable[Member], now: float, spread: bool = False
     ) -> list[MembershipInstruction]:
-        """Take in records, from a snapshot unless they are to be spread."""
+        """Merge records; `spread` is False for those of a snapshot."""
         instructions: list[MembershipInstruction] = []
         for member in members:
             instructions.extend(self._merge_member(member, now, spread))
         return instructions
 
     def announce(self) -> list[MembershipInstruction]:
-        """Return pings that tell a few members at once of a change, such as a generation."""
+        """Return pings that announce a change, such as a new generation, to a few members."""
         others = [m for m in self.members() if m.node_id != self._own.node_id]
         count = min(self._parameters.announcement_fanout, len(others))
         return [self._ping(m.address) for m in self._random.sample(others, count)]
 
     def request_announcement(self) -> None:
-        """Tell a few members soon: what rides on the datagrams is news to this node.
+        """Announce to a few members soon, because a datagram carried new information.
 
-        News that every receiver passes on at once reaches all in a few hops. Requests
-        that come close together share one announcement.
+        Information that every receiver forwards immediately reaches all members in a few hops.
+        Requests that follow each other closely share one announcement.
         """
         self._announcement_requested = True
 
     def depart(self) -> list[MembershipInstruction]:
-        """Return pings that tell a few members that this node leaves."""
+        """Return pings that announce to a few members that this node leaves."""
         self._own = replace(self._own, condition=Condition.DEPARTED)
         self._table.offer(self._own.node_id, self._own.version, self._own)
         return self.announce()
@@ -186,7 +187,7 @@
     def _on_tick(self, now: float) -> list[MembershipInstruction]:
         instructions = self._check_probes(now)
         instructions.extend(self._check_suspicions(now))
-        self._forget_dead(now)
+        self._remove_expired_dead(now)
         instructions.extend(self._announce_requested(now))
         instructions.extend(self._request_list(now))
         if now >= self._next_probe_at:
@@ -196,7 +197,7 @@
 
     def _on_datagram(self, event: DatagramReceived, now: float) -> list[MembershipInstruction]:
         datagram = event.datagram
-        # What is on a list is known to others, and need not be spread by this node.
+        # Records on a member list are known to other members, so this node need not spread them.
         is_list = isinstance(datagram.body, MemberList)
         instructions = self.merge(datagram.members, now, spread=not is_list)
         if datagram.generation > self.generation:
@@ -213,18 +214,18 @@
 
     def _acknowledge(self, event: DatagramReceived) -> SendDatagram:
         body = Acknowledgement(self._own.node_id)
-        # A sender that is held for suspect or dead is told so, and can refute.
-        told = self._table.get(event.datagram.sender)
+        # A sender that is suspected or dead gets its record, so that it can refute it.
+        known = self._table.get(event.datagram.sender)
         extra: tuple[Member, ...] = ()
-        if told is not None and told.condition is not Condition.ALIVE:
-            extra = (told,)
+        if known is not None and known.condition is not Condition.ALIVE:
+            extra = (known,)
         if any(member.node_id == event.datagram.sender for member in event.datagram.members):
-            # A member that tells of itself has just joined, restarted or come back.
+            # A member that sends its own record has just joined, restarted or rejoined.
             extra += tuple(self._sample(self._parameters.records_for_newcomer))
         return self._send(event.source_address, event.datagram.sequence, body, extra)
 
     def _sample(self, count: int) -> list[Member]:
-        """Return a few live members at random, so that views agree in the end."""
+        """Return a few random members, so that all views converge eventually."""
         members = self.members()
         return self._random.sample(members, min(count, len(members)))
 
@@ -260,7 +261,7 @@
     # Lists of members
 
     def _request_list(self, now: float) -> list[MembershipInstruction]:
-        """Return what asks for a list, when that is due."""
+        """Return a request for a member list if it is due."""
         if self._started_at is None:
             self._started_at = now
         if now - self._started_at < self._next_request_age_s():
@@ -272,7 +273,7 @@
         if not candidates:
             return []
         address = self._random.choice(candidates)
-        # Its own record goes along: the other side may not know this member.
+        # The request includes the own record, because the receiver may not know this member.
         return [self._send(address, 0, MemberListRequest(), (self._own,))]
 
     def _next_request_age_s(self) -> float:
@@ -283,10 +284,10 @@
         return LIST_REQUEST_AGES_S[-1] + later * LIST_REQUEST_INTERVAL_S
 
     def _list_members(self, event: DatagramReceived) -> list[MembershipInstruction]:
-        """Return all living members, in as many datagrams as they need."""
+        """Return all alive members, in as many datagrams as needed."""
         size = RECORDS_PER_LIST_DATAGRAM
-        living = [m for m in self._table if m.condition is Condition.ALIVE]
-        starts = range(0, len(living), size)
+        alive = [m for m in self._table if m.condition is Condition.ALIVE]
+        starts = range(0, len(alive), size)
         return [
             SendDatagram(
                 event.source_address,
@@ -294,7 +295,7 @@
                     self._own.node_id,
                     event.datagram.sequence,
                     MemberList(),
-                    tuple(living[start : start + size]),
+                    tuple(alive[start : start + size]),
                     self.generation,
                 ),
             )
@@ -304,24 +305,24 @@
     # Probing
 
     def _start_probe(self, now: float) -> list[MembershipInstruction]:
-        if self._random.random() < self._parameters.revival_probe_share or len(self._table) == 1:
-            return self._probe_revival()
+        if self._random.random() < self._parameters.rejoin_probe_share or len(self._table) == 1:
+            return self._probe_for_rejoin()
         target = self._next_target()
         if target is None:
-            return self._probe_revival()
+            return self._probe_for_rejoin()
         ping = self._ping(target.address)
         self._probes[ping.datagram.sequence] = _Probe(target.node_id, now)
         return [ping]
 
-    def _probe_revival(self) -> list[MembershipInstruction]:
+    def _probe_for_rejoin(self) -> list[MembershipInstruction]:
         known = {m.address for m in self.members()}
         dead = [m.address for m in self._table if m.condition is Condition.DEAD]
         candidates = [address for address in (*dead, *self._seeds) if address not in known]
-        # Its own record goes along: the other side may have forgotten this member.
+        # The ping includes the own record, because the receiver may have removed this member.
         return [self._ping(self._random.choice(candidates), (self._own,))] if candidates else []
 
     def _next_target(self) -> Member | None:
-        """Return the next member of a shuffled round, most often of the own region."""
+        """Return the next member of a shuffled round, usually of the own region."""
         members = {m.node_id: m for m in self.members() if m.node_id != self._own.node_id}
         if not members:
             return None
@@ -352,7 +353,7 @@
         return instructions
 
     def _probe_again(self, sequence: int, target: str) -> list[MembershipInstruction]:
-        """Ping once more, and through others, in case the way between the two is bad."""
+        """Ping again directly and through others, in case only the direct path is bad."""
         member = self._table.get(target)
         direct = [self._send(member.address, sequence, Ping())] if member else []
         return [*direct, *self._probe_indirectly(sequence, target)]
@@ -364,18 +365,19 @@
         chosen = self._random.sample(others, count)
         return [self._send(m.address, sequence, PingRequest(target)) for m in chosen]
 
-    # Beliefs
+    # Suspicions and records
 
     def _suspect(self, node_id: str, now: float) -> list[MembershipInstruction]:
         member = self._table.get(node_id)
         if member is None or member.condition is not Condition.ALIVE:
             return []
         suspect = replace(member, condition=Condition.SUSPECT)
-        # It is told at once, so that its refutation has most of the time to spread.
+        # The suspect is informed immediately, so that its refutation has most of the
+        # suspicion time to spread.
         return [*self._merge_member(suspect, now), self._ping(member.address, (suspect,))]
 
     def _suspicion_time(self) -> float:
-        """Return how long a suspect may refute: rumours take longer among more members."""
+        """Return the time to refute a suspicion: with more members, rumours take longer."""
         doublings = math.log2(len(self._table) + 1)
         return self._parameters.suspicion_time * max(1.0, doublings / SUSPICION_DOUBLINGS)
 
@@ -389,7 +391,7 @@
             instructions.extend(self._merge_member(replace(member, condition=Condition.DEAD), now))
         return instructions
 
-    def _forget_dead(self, now: float) -> None:
+    def _remove_expired_dead(self, now: float) -> None:
         limit = now - self._parameters.dead_retention
         for node_id in [n for n, at in self._dead_at.items() if at <= limit]:
             del self._dead_at[node_id]
@@ -399,8 +401,8 @@
         self, member: Member, now: float, spread: bool = True
     ) -> list[MembershipInstruction]:
         if member.node_id == self._own.node_id:
-            return self._defend_own(member)
-        member = self._completed(member)
+            return self._refute(member)
+        member = self._expanded(member)
         if not self._table.offer(member.node_id, member.version, member, spread):
             return []
         self._suspected_at.pop(member.node_id, None)
@@ -411,26 +413,26 @@
             self._dead_at[member.node_id] = now
         return [MemberChanged(member)]
 
-    def _completed(self, member: Member) -> Member:
-        """Return a record with the place of its member, which a short one leaves out."""
+    def _expanded(self, member: Member) -> Member:
+        """Return a record with the address, region and zone that a compact record omits."""
         known = self._table.get(member.node_id)
         if member.address or known is None:
             return member
         return replace(known, incarnation=member.incarnation, condition=member.condition)
 
-    def _defend_own(self, claimed: Member) -> list[MembershipInstruction]:
-        """Refute a record about this node that is not its own word."""
-        if claimed.version <= self._own.version or self._own.condition is Condition.DEPARTED:
+    def _refute(self, claim: Member) -> list[MembershipInstruction]:
+        """Refute a record about this node that is newer than its own."""
+        if claim.version <= self._own.version or self._own.condition is Condition.DEPARTED:
             return []
-        self._own = replace(self._own, incarnation=claimed.incarnation + 1)
+        self._own = replace(self._own, incarnation=claim.incarnation + 1)
         self._table.offer(self._own.node_id, self._own.version, self._own)
         return self.announce()
 
     # Messages
 
     @staticmethod
-    def _short(member: Member) -> Member:
-        """Leave out a suspect's or dead member's place: who cares about it knows it."""
+    def _compact(member: Member) -> Member:
+        """Omit address, region and zone unless the member is alive: other members know them."""
         if member.condition is Condition.ALIVE:
             return member
         return replace(member, address="", region="", zone="")
@@ -444,7 +446,7 @@
     ) -> SendDatagram:
         count = self._parameters.records_per_datagram
         taken = self._table.take(count, len(self._table))
-        records = [self._short(record) for record in taken]
+        records = [self._compact(record) for record in taken]
         sample = self._sample(self._parameters.sampled_records) if isinstance(body, Ping) else []
         members = (*extra, *records, *sample)
         datagram = Datagram(self._own.node_id, sequence, body, members, self.generation)
--- a/liftrill/coordination/membership_messages.py
+++ b/liftrill/coordination/membership_messages.py
@@ -1,11 +1,11 @@
-"""Messages into, out of and between members."""
+"""Events and instructions of the membership protocol, and its messages between members."""
 
 from dataclasses import dataclass
 from enum import IntEnum
 
 
 class Condition(IntEnum):
-    """What is believed of a member; at equal incarnations the higher one wins."""
+    """The believed condition of a member; at equal incarnations the higher one takes precedence."""
 
     ALIVE = 0
     SUSPECT = 1
@@ -15,12 +15,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Member:
-    """One node.
+    """The membership record of one node.
 
     Attributes:
         address: HOST:PORT for gossip and peer calls.
-        incarnation: grows when the node restarts or refutes a suspicion.
-        capacity_millicores: what its machine can bear; 0 where it isn't told.
+        incarnation: increases when the node restarts or refutes a suspicion.
+        capacity_millicores: the CPU capacity of its machine; 0 if not reported.
     """
 
     node_id: str
@@ -33,37 +33,37 @@
 
     @property
     def version(self) -> tuple[int, int]:
-        """Order of records about one member."""
+        """The version that orders the records of one member."""
         return self.incarnation, int(self.condition)
 
 
 @dataclass(frozen=True, slots=True)
 class Ping:
-    """Asks the receiver to acknowledge."""
+    """A request to acknowledge."""
 
 
 @dataclass(frozen=True, slots=True)
 class PingRequest:
-    """Asks the receiver to ping a target and pass its acknowledgement on."""
+    """A request to ping a target and to forward its acknowledgement."""
 
     target: str
 
 
 @dataclass(frozen=True, slots=True)
 class Acknowledgement:
-    """Says that a subject is alive."""
+    """A confirmation that a subject is alive."""
 
     subject: str
 
 
 @dataclass(frozen=True, slots=True)
 class MemberListRequest:
-    """Asks for all members that the receiver believes alive."""
+    """A request for all members that the receiver believes alive."""
 
 
 @dataclass(frozen=True, slots=True)
 class MemberList:
-    """Says that the datagram's members are a part of the list that was asked for."""
+    """Marks the members in the datagram as a part of the requested list."""
 
 
 Body = Ping | PingRequest | Acknowledgement | MemberListRequest | MemberList
@@ -74,8 +74,9 @@
     """One message between members.
 
     Attributes:
-        sequence: of the probe it belongs to.
-        generation: the configuration generation that the sender has in force.
+        sequence: the number of the probe or request that the message belongs to.
+        members: piggybacked membership records.
+        generation: the configuration generation in force at the sender.
     """
 
     sender: str
@@ -87,12 +88,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Ticked:
-    """Time has passed."""
+    """Event: the time has advanced."""
 
 
 @dataclass(frozen=True, slots=True)
 class DatagramReceived:
-    """A datagram arrived from an address."""
+    """Event: a datagram arrived from an address."""
 
     source_address: str
     datagram: Datagram
@@ -100,7 +101,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SendDatagram:
-    """Send a datagram to an address."""
+    """Instruction to send a datagram to an address."""
 
     address: str
     datagram: Datagram
@@ -108,14 +109,14 @@
 
 @dataclass(frozen=True, slots=True)
 class MemberChanged:
-    """What is believed of a member has changed."""
+    """Notice that the record of a member has changed."""
 
     member: Member
 
 
 @dataclass(frozen=True, slots=True)
 class NewerGenerationHeard:
-    """A member has a newer configuration in force than this node."""
+    """Notice that a member has a newer configuration in force than this node."""
 
     address: str
     generation: int
--- a/liftrill/coordination/permits.py
+++ b/liftrill/coordination/permits.py
@@ -1,14 +1,14 @@
-"""Permits for the use of a resource at a rate that all nodes keep together, sans-IO.
+"""Permits to use a resource at a rate limit that all nodes enforce together, sans-IO.
 
-One node issues the permits of a resource, one for each use, spaced by the rate. A permit is
-good for a short while on the clock of the node that asked for it, so that one which comes late,
-or whose holder froze, allows nothing, and one that is lost costs the others a single use. See
-docs/design/engine-limits.md for what happens while nodes disagree on who issues.
+One node issues the permits for a resource, one per use, spaced by the rate. A permit is valid
+for a short time on the clock of the node that requested it. So a late permit, or one whose holder
+froze, allows nothing, and a lost permit costs the other nodes a single use.
+docs/design/engine-limits.md describes what happens while nodes disagree on the issuer.
 
-A resource names its rate as it is used. While answers name it, permits come at that rate. Each
-answer that does not name it multiplies the rate, and after a few in a row the limit is over: a
-resource that recovers is not met by everything that waited, and one that names its limit in some
-of its answers only is taken at its number.
+The responses of a resource report its rate limit. While they do, permits are issued at that rate.
+Each response without the limit multiplies the rate, and after a few of them in a row the limit
+ends. So a recovering resource does not get all waiting requests at once, and one that reports its
+limit in only some responses still gets requests at that limit.
 """
 
 import math
@@ -16,28 +16,29 @@
 from collections.abc import Hashable
 from dataclasses import dataclass, field
 
-# How far permits may run ahead of the rate: uses do not come evenly spaced.
+# How far permits may be issued ahead of the rate, since uses are not evenly spaced.
 BURST_S = 0.25
-# For how long a permit may be used: what all holders use late is at most what the rate gives in
+# How long a permit is valid. Late uses by all holders together are at most what the rate allows in
 # this time.
 PERMIT_LIFETIME_S = 0.5
-# A node that gets no decision within this time does without the resource for a while.
+# A node that gets no decision within the timeout requests no permit until the backoff, which is
+# counted from the request, is over.
 DECISION_TIMEOUT_S = 0.1
 UNDECIDED_BACKOFF_S = 0.25
-# The least time before a refused node asks again.
-SHORTEST_BACKOFF_S = 0.02
-# The longest: the rate may rise meanwhile.
-LONGEST_BACKOFF_S = 4.0
-# Permits are issued at this rate at least: one that takes nothing, or next to nothing, is
-# asked now and then whether that still holds, since no answer would tell it otherwise.
-LEAST_RATE_PER_S = 0.25
-# By what each answer without the limit multiplies the rate, and after how many the limit ends: a
-# resource with the least rate is in full use again after 4 + 1 + 0.25 s.
-RATE_FACTOR = 4.0
-ANSWERS_TO_END = 3
-# When a node asks again that took another one for the issuer than that one does itself.
+# The minimum backoff of a refused node.
+MIN_BACKOFF_S = 0.02
+# The maximum backoff, since the rate may rise meanwhile.
+MAX_BACKOFF_S = 4.0
+# The minimum rate of permits: a resource with a limit of or near 0 still gets occasional requests,
+# since only their responses can report that the limit has changed.
+MIN_RATE_PER_S = 0.25
+# The factor by which each response without the limit multiplies the rate, and the number of them
+# in a row that ends the limit: a resource at the minimum rate is in full use after 4 + 1 + 0.25 s.
+RECOVERY_FACTOR = 4.0
+RESPONSES_TO_END = 3
+# The backoff of a node whose request went to a node that is not the issuer.
 NOT_ISSUER_BACKOFF_S = 0.25
-RUNS = 1 << 62
+RUN_LIMIT = 1 << 62
 
 
 @dataclass(frozen=True, slots=True)
@@ -45,10 +46,11 @@
     """Allows one use of a resource.
 
     Attributes:
-        issuer: the node that issued it.
-        run: which run of the issuer's process that was.
-        issued_at: on the issuer's clock.
-        usable_from: on the holder's clock, as `usable_until` is.
+        issuer: the node that issued the permit.
+        run: identifies the run of the issuer's process.
+        issued_at: the time of issue, on the issuer's clock.
+        usable_from: the start of validity, on the holder's clock.
+        usable_until: the end of validity, on the holder's clock.
     """
 
     issuer: str
@@ -60,10 +62,10 @@
 
 @dataclass(frozen=True, slots=True)
 class PermitSlot:
-    """Whether a permit is issued.
+    """The outcome of reserving a permit.
 
     Attributes:
-        wait_s: until it may be used; of a refusal, until there may be one.
+        wait_s: seconds until the permit is usable; for a refusal, until one may be available.
     """
 
     granted: bool
@@ -72,13 +74,13 @@
 
 @dataclass(frozen=True, slots=True)
 class PermitDecision:
-    """What an issuer decides on a request.
+    """The issuer's decision on a request.
 
     Attributes:
-        number: of the node's request.
-        wait_s: until the permit may be used; of a refusal, until there may be one.
-        run: which run of the issuer's process decides.
-        issued_at: on the issuer's clock.
+        number: the number of the node's request.
+        wait_s: seconds until the permit is usable; for a refusal, until one may be available.
+        run: identifies the run of the issuer's process.
+        issued_at: the time of the decision, on the issuer's clock.
     """
 
     number: int
@@ -90,12 +92,12 @@
 
 @dataclass(slots=True)
 class RatePacer:
-    """Spaces permits by a rate: the generic cell rate algorithm (ITU-T I.371).
+    """Spaces permits by a rate with the generic cell rate algorithm (ITU-T I.371).
 
-    It begins without any in hand: another node may have issued some just before.
+    A new pacer has no burst available, since another node may have issued permits just before.
 
     Attributes:
-        rate_per_s: permits a second; above 0.
+        rate_per_s: permits per second, above 0.
     """
 
     rate_per_s: float
@@ -103,19 +105,19 @@
 
     @classmethod
     def start(cls, rate_per_s: float, now: float) -> "RatePacer":
-        """Return a pacer whose first permit is due after the time that one takes."""
+        """Return a pacer whose first permit is due after one interval of the rate."""
         return cls(rate_per_s, now + 1.0 / rate_per_s)
 
     def change_rate(self, rate_per_s: float, now: float) -> None:
-        """Space by another rate; what was issued ahead counts as many permits as before."""
+        """Change the rate; the number of permits issued ahead stays the same."""
         ahead_s = max(0.0, self._due_at - now)
         self._due_at = now + ahead_s * self.rate_per_s / rate_per_s
         self.rate_per_s = rate_per_s
 
-    def reserve(self, patience_s: float, now: float) -> PermitSlot:
-        """Issue the next permit if it may be used within a time."""
+    def reserve(self, max_wait_s: float, now: float) -> PermitSlot:
+        """Issue the next permit if it is usable within the maximum wait."""
         wait_s = max(0.0, self._due_at - BURST_S - now)
-        if wait_s > patience_s:
+        if wait_s > max_wait_s:
             return PermitSlot(False, wait_s)
         self._due_at = max(self._due_at, now) + 1.0 / self.rate_per_s
         return PermitSlot(True, wait_s)
@@ -125,17 +127,18 @@
 class _PendingRequest:
     number: int
     user: str
-    asked_at: float
+    requested_at: float
 
 
 @dataclass(slots=True)
 class PermitHolder:
-    """One node's permits for a resource, and its request for the next one.
+    """One node's permits for a resource, and its pending request for the next one.
 
-    At most one request is open; whoever asks waits for the decision, and others do without.
+    At most one request is pending. Its user waits for the decision; other users get no permit
+    meanwhile.
 
     Attributes:
-        backoff_until: no permit is asked for before this time.
+        backoff_until: the time before which no permit is requested.
     """
 
     backoff_until: float = -math.inf
@@ -144,12 +147,12 @@
 
     @property
     def user(self) -> str:
-        """Who asked last, if there is no decision yet; else nobody."""
+        """The user of the pending request, or an empty string if there is none."""
         return self._pending.user if self._pending is not None else ""
 
     def claim(self, user: str, now: float) -> Permit | None:
-        """Take a permit that may be used now, the user's own before others'."""
-        self._drop_late(now)
+        """Take a permit that is usable now, preferably one that was requested for this user."""
+        self._drop_expired(now)
         usable = [row for row in self._permits if row[0].usable_from <= now]
         if not usable:
             return None
@@ -158,131 +161,131 @@
         return chosen[0]
 
     def has_permit(self, now: float) -> bool:
-        """Return whether a permit may be used now."""
-        self._drop_late(now)
+        """Return whether a permit is usable now."""
+        self._drop_expired(now)
         return any(permit.usable_from <= now for permit, _ in self._permits)
 
     def is_pending(self, user: str, now: float) -> bool:
-        """Return whether a user waits for a permit that is asked for, or issued for later."""
-        if self._open_request(now) is not None and self._is_asked_for(user):
+        """Return whether a permit for a user is requested, or issued and not used yet."""
+        if self._undecided_request(now) is not None and self._is_requested(user):
             return True
-        self._drop_late(now)
+        self._drop_expired(now)
         return any(owner == user for _, owner in self._permits)
 
     def wait_s(self, now: float) -> float:
-        """Return in how long a permit may be asked for, or 0."""
+        """Return the seconds until a permit may be requested, or 0."""
         wait_s = max(0.0, self.backoff_until - now)
-        request = self._open_request(now)
+        request = self._undecided_request(now)
         if request is None:
             return wait_s
-        return max(wait_s, request.asked_at + DECISION_TIMEOUT_S - now)
+        return max(wait_s, request.requested_at + DECISION_TIMEOUT_S - now)
 
     def ask(self, number: int, user: str, now: float) -> None:
-        """Note that a permit is asked for."""
+        """Record a request for a permit."""
         self._pending = _PendingRequest(number, user, now)
 
     def decided(self, decision: PermitDecision, issuer: str, now: float) -> bool:
-        """Take in the issuer's decision; return whether it was still waited for."""
+        """Apply the issuer's decision; return whether its request was pending."""
         request = self._pending
         if request is None or request.number != decision.number:
             return False
         self._pending = None
         if decision.granted:
-            # Counted from the request, so that the time on the way shortens the permit.
-            usable_from = request.asked_at + decision.wait_s
+            # Validity starts at the request, so that network delay shortens it.
+            usable_from = request.requested_at + decision.wait_s
             usable_until = usable_from + PERMIT_LIFETIME_S
             permit = Permit(issuer, decision.run, decision.issued_at, usable_from, usable_until)
             self._permits.append((permit, request.user))
         else:
-            backoff_s = min(max(decision.wait_s, SHORTEST_BACKOFF_S), LONGEST_BACKOFF_S)
+            backoff_s = min(max(decision.wait_s, MIN_BACKOFF_S), MAX_BACKOFF_S)
             self.backoff_until = now + backoff_s
         return True
 
-    def _open_request(self, now: float) -> _PendingRequest | None:
-        """Return the request that may still be decided; back off without a decision."""
+    def _undecided_request(self, now: float) -> _PendingRequest | None:
+        """Return the pending request, or back off and return None if it timed out."""
         request = self._pending
-        if request is not None and now - request.asked_at >= DECISION_TIMEOUT_S:
-            self.backoff_until = max(self.backoff_until, request.asked_at + UNDECIDED_BACKOFF_S)
+        if request is not None and now - request.requested_at >= DECISION_TIMEOUT_S:
+            self.backoff_until = max(self.backoff_until, request.requested_at + UNDECIDED_BACKOFF_S)
             return None
         return request
 
-    def _is_asked_for(self, user: str) -> bool:
+    def _is_requested(self, user: str) -> bool:
         return self._pending is not None and self._pending.user == user
 
-    def _drop_late(self, now: float) -> None:
+    def _drop_expired(self, now: float) -> None:
         self._permits = [row for row in self._permits if now <= row[0].usable_until]
 
 
 @dataclass(slots=True)
 class _IssuerState:
-    """What is issued for one resource.
+    """The issuer's state for one resource.
 
     Attributes:
-        unlimited_answers: answers in a row that did not name the limit.
-        named_at: when an answer named it last, on this node's clock.
+        unlimited_responses: the number of successive responses without the limit.
+        limited_at: when a response last reported the limit, on this node's clock.
     """
 
     pacer: RatePacer
-    unlimited_answers: int
-    named_at: float
+    unlimited_responses: int
+    limited_at: float
 
 
 class PermitIssuer:
-    """The permits that one node issues."""
+    """Issues the permits of all resources for which this node is the issuer."""
 
     def __init__(self) -> None:
-        self._run = random.randrange(1, RUNS)
-        self._issued: dict[Hashable, _IssuerState] = {}
+        self._run = random.randrange(1, RUN_LIMIT)
+        self._states: dict[Hashable, _IssuerState] = {}
 
     def decide(
         self,
         resource: Hashable,
-        named_per_s: float | None,
+        limit_per_s: float | None,
         share: float,
         number: int,
-        patience_s: float,
+        max_wait_s: float,
         now: float,
     ) -> PermitDecision:
-        """Decide on a request; `named_per_s` is None where the resource has no limit any more."""
-        if named_per_s is None:
+        """Decide on a request; `limit_per_s` is None if the resource no longer has a limit."""
+        if limit_per_s is None:
             slot = PermitSlot(True, 0.0)
         elif share <= 0.0:
             slot = PermitSlot(False, NOT_ISSUER_BACKOFF_S)
         else:
-            slot = self._reserve(resource, named_per_s, share, patience_s, now)
+            slot = self._reserve(resource, limit_per_s, share, max_wait_s, now)
         return PermitDecision(number, slot.granted, slot.wait_s, self._run, now)
 
     def record_receipt(
-        self, resource: Hashable, run: int, issued_at: float, names_limit: bool, now: float
+        self, resource: Hashable, run: int, issued_at: float, has_limit: bool, now: float
     ) -> bool:
-        """Take in what the answer to a permitted request said; return whether the limit ends.
+        """Record the response to a request with a permit; return whether the limit ends.
 
-        An answer without the limit counts if its permit was issued after the limit was last
-        named: a late answer says nothing of now.
+        A response without the limit counts only if its permit was issued after the limit was last
+        reported, since a late response says nothing about the current state.
         """
-        issued = self._issued.get(resource)
-        if issued is None:
+        state = self._states.get(resource)
+        if state is None:
             return False
-        if names_limit:
-            issued.unlimited_answers = 0
-            issued.named_at = now
-        elif run == self._run and issued_at > issued.named_at:
-            issued.unlimited_answers += 1
-        return issued.unlimited_answers >= ANSWERS_TO_END
+        if has_limit:
+            state.unlimited_responses = 0
+            state.limited_at = now
+        elif run == self._run and issued_at > state.limited_at:
+            state.unlimited_responses += 1
+        return state.unlimited_responses >= RESPONSES_TO_END
 
     def stop(self, resource: Hashable) -> None:
-        """Issue nothing more for a resource."""
-        self._issued.pop(resource, None)
+        """Remove the state for a resource."""
+        self._states.pop(resource, None)
 
     def _reserve(
-        self, resource: Hashable, named_per_s: float, share: float, patience_s: float, now: float
+        self, resource: Hashable, limit_per_s: float, share: float, max_wait_s: float, now: float
     ) -> PermitSlot:
-        issued = self._issued.get(resource)
-        unlimited_answers = issued.unlimited_answers if issued is not None else 0
-        rate_per_s = max(named_per_s, LEAST_RATE_PER_S) * share * RATE_FACTOR**unlimited_answers
-        if issued is None:
-            issued = _IssuerState(RatePacer.start(rate_per_s, now), 0, now)
-            self._issued[resource] = issued
-        elif issued.pacer.rate_per_s != rate_per_s:
-            issued.pacer.change_rate(rate_per_s, now)
-        return issued.pacer.reserve(patience_s, now)
+        state = self._states.get(resource)
+        unlimited_responses = state.unlimited_responses if state is not None else 0
+        rate_per_s = max(limit_per_s, MIN_RATE_PER_S) * share * RECOVERY_FACTOR**unlimited_responses
+        if state is None:
+            state = _IssuerState(RatePacer.start(rate_per_s, now), 0, now)
+            self._states[resource] = state
+        elif state.pacer.rate_per_s != rate_per_s:
+            state.pacer.change_rate(rate_per_s, now)
+        return state.pacer.reserve(max_wait_s, now)
--- a/liftrill/coordination/quota.py
+++ b/liftrill/coordination/quota.py
@@ -38,9 +38,9 @@
 # partitioned node may serve keys plus the 3 s until it declares the others dead.
 FLEET_SHRINK_S = 10.0
 # The maximum retry delay of a refused request: few callers wait longer.
-MAX_WAIT_S = 30.0
+MAX_RETRY_DELAY_S = 30.0
 # The minimum retry delay: a delay of 0 would mean that the request is admitted.
-MIN_WAIT_S = 0.05
+MIN_RETRY_DELAY_S = 0.05
 # Callers without a slot within their maximum wait retry at a random time in at least the last
 # quarter of it, so that they do not all retry together.
 RETRY_START_SHARE = 0.75
@@ -158,7 +158,7 @@
 
     @abstractmethod
     def try_take(
-        self, tenant: str, amount: float, now: float, max_wait_s: float = MAX_WAIT_S
+        self, tenant: str, amount: float, now: float, max_wait_s: float = MAX_RETRY_DELAY_S
     ) -> QuotaVerdict:
         """Take units if the limit allows it; else return when to retry, within the maximum wait."""
 
@@ -284,7 +284,7 @@
         self._buckets = buckets
 
     def try_take(
-        self, tenant: str, amount: float, now: float, max_wait_s: float = MAX_WAIT_S
+        self, tenant: str, amount: float, now: float, max_wait_s: float = MAX_RETRY_DELAY_S
     ) -> QuotaVerdict:
         """Take units if any remain; the last request may make the level negative."""
         bucket = self._buckets.get(tenant)
@@ -292,9 +292,9 @@
             return QuotaVerdict()
         left = self._left(bucket, now)
         if left <= 0.0:
-            max_wait_s = min(max_wait_s, MAX_WAIT_S)
+            max_wait_s = min(max_wait_s, MAX_RETRY_DELAY_S)
             wait_s = self._wait_s(bucket, amount, left, now, max_wait_s)
-            return QuotaVerdict(max(MIN_WAIT_S, wait_s), left=left)
+            return QuotaVerdict(max(MIN_RETRY_DELAY_S, wait_s), left=left)
         return QuotaVerdict(0.0, self._take(bucket, tenant, amount, now), left)
 
     def take_unconditionally(self, tenant: str, amount: float, now: float) -> None:
--- a/liftrill/coordination/store_position.py
+++ b/liftrill/coordination/store_position.py
@@ -1,10 +1,10 @@
-"""Where a store stands: its era and its revision, as one ordered number.
+"""Store positions: the era and the revision of a store, combined in one ordered number.
 
-A store that comes back from an older copy of itself gives out revisions again that stood for
-other changes before, and begins a new era with it. Positions of a later era are higher than all
-of an earlier one, so whatever is compared is compared rightly: copies, conditions, leases. A
-store that tells no era is in era 0, where a position is the bare revision; one that tells N is in
-era N + 1 here, so that what comes from nodes that know of no eras is not taken for its first one.
+A store that is restored from an older copy of itself assigns revisions again that were used for
+other changes before, and starts a new era. All positions of a later era are higher than those of
+an earlier one, so that copies, conditions and leases compare correctly. A store that reports no
+era is in era 0, where a position equals the revision; one that reports era N is in era N + 1 here,
+so that data from nodes without support for eras is not mistaken for data of its first era.
 """
 
 from collections.abc import Callable
@@ -17,25 +17,25 @@
 )
 from liftrill.errors import StoreUnavailableError
 
-# More changes than a store takes in 30 years at 1,000 a second. Positions stay whole in numbers
-# of 53 bits, as many readers of JSON have them, for 8,191 eras.
+# Enough for more than 30 years at 1,000 changes per second. Up to era 8,191, positions fit in 53
+# bits, the exact integer range of many JSON parsers.
 REVISION_BITS = 40
-LARGEST_REVISION = (1 << REVISION_BITS) - 1
-LARGEST_ERA = (1 << 13) - 1
-# Stores draw numbers of leases from up to 64 bits.
+MAX_REVISION = (1 << REVISION_BITS) - 1
+MAX_ERA = (1 << 13) - 1
+# Lease numbers of stores have up to 64 bits.
 LEASE_BITS = 64
-LARGEST_LEASE = (1 << LEASE_BITS) - 1
-MOST_DIGITS = 4
+MAX_LEASE_NUMBER = (1 << LEASE_BITS) - 1
+MAX_ERA_DIGITS = 4
 
 
 def position(era: int, revision: int) -> int:
-    """Return the position of a revision in an era; 0 for no revision in any.
+    """Return the position of a revision in an era; revision 0 gives 0 in every era.
 
     Raises:
-        ValueError: it is no revision that a store comes to.
+        ValueError: the revision is out of range.
     """
-    if not 0 <= revision <= LARGEST_REVISION:
-        raise ValueError(f"revision {revision}")
+    if not 0 <= revision <= MAX_REVISION:
+        raise ValueError(f"revision {revision} is not in the range 0 to {MAX_REVISION}")
     return era << REVISION_BITS | revision if revision else 0
 
 
@@ -45,116 +45,117 @@
 
 
 def revision_of(position: int) -> int:
-    """Return what the store calls a position in its era."""
-    return position & LARGEST_REVISION
+    """Return the store's revision of a position."""
+    return position & MAX_REVISION
 
 
 def lease_id(era: int, number: int) -> int:
-    """Return a name for a lease that no lease of another era has; 0 for none."""
+    """Return a lease identifier that is unique among all eras, or 0 for no lease."""
     return era << LEASE_BITS | number if number else 0
 
 
 def lease_number(lease: int) -> int:
-    """Return what the store calls a lease in its era."""
-    return lease & LARGEST_LEASE
+    """Return the store's number of a lease."""
+    return lease & MAX_LEASE_NUMBER
 
 
 def reported_era(era: int) -> int | None:
-    """Return an era as the store tells it, or None where it tells none."""
+    """Return an era as the store reports it, or None if it reports none."""
     return era - 1 if era else None
 
 
 def relative_position(position: int, base_era: int) -> int:
-    """Return a position in which a base era counts as 0, and earlier ones as well."""
+    """Return a position with its era relative to a base era, and at least 0."""
     return max(0, era_of(position) - base_era) << REVISION_BITS | revision_of(position)
 
 
 class OldEraError(StoreUnavailableError):
-    """An answer is of an era that is over: what it says may have been undone."""
+    """A response is from an earlier era: its content may have been undone."""
 
 
-def _tell_nobody(era: int) -> None:
-    """Leave a turn untold."""
+def _ignore_new_era(era: int) -> None:
+    """Ignore the start of an era."""
 
 
-def _count_nothing(era: int, told: str) -> None:
-    """Leave an answer uncounted."""
+def _ignore_refused_answer(era: int, reported: str) -> None:
+    """Ignore a refused response."""
 
 
 @dataclass(slots=True)
 class StoreEra:
-    """The era of a store, as its answers to this node tell it.
+    """The era of a store, as reported in its responses to this node.
 
     Attributes:
-        era: the latest one heard of, one more than was told; 0 while no answer names one.
-        turns: how often a later one was heard of than was known.
-        began: whom to tell of a later era that an answer names.
-        refused: whom to tell of an answer that names an earlier one, or none, as it was told.
+        era: the latest known era, one more than the store reported; 0 if it reported none.
+        change_count: how often a later era was seen after the first response.
+        on_new_era: called with the new era each time that `change_count` increases.
+        on_refused_answer: called with the known era and the reported one when a response reports
+            an earlier era, or none any more.
     """
 
     era: int = 0
     change_count: int = 0
-    on_new_era: Callable[[int], None] = _tell_nobody
-    on_refused_answer: Callable[[int, str], None] = _count_nothing
-    _heard: bool = False
+    on_new_era: Callable[[int], None] = _ignore_new_era
+    on_refused_answer: Callable[[int, str], None] = _ignore_refused_answer
+    _has_response: bool = False
 
-    def observe(self, told: str) -> int:
-        """Return the era of an answer, from what it tells.
+    def observe(self, reported: str) -> int:
+        """Return the era of a response, from the era that it reports.
 
         Raises:
-            OldEraError: it is of an earlier era than is known, or tells no era any more.
+            OldEraError: the response is from an earlier era, or no longer reports one.
         """
-        era = _parse(told)
+        era = _parse(reported)
         if era < self.era:
-            self.on_refused_answer(self.era, told)
-            raise OldEraError(f"era {told!r} after {self.era}")
+            self.on_refused_answer(self.era, reported)
+            raise OldEraError(f"response reports era {reported!r}, known era is {self.era - 1}")
         if era > self.era:
-            self._turn(era)
-        self._heard = True
+            self._start_era(era)
+        self._has_response = True
         return era
 
-    def _turn(self, era: int) -> None:
+    def _start_era(self, era: int) -> None:
         self.era = era
-        if self._heard:
+        if self._has_response:
             self.change_count += 1
             self.on_new_era(era)
 
     def condition_revision(self, position: int) -> int:
-        """Return what the store calls a position in a condition.
+        """Return the store's revision for a position in a transaction condition.
 
         Raises:
-            ConditionFailedError: it is of an earlier era, whose numbers are given out again.
+            ConditionFailedError: the position is of an earlier era, whose revisions are reused.
         """
-        # A peer may have heard of a later era first.
+        # A peer may have seen a later era first.
         if era_of(position) > self.era:
-            self._turn(era_of(position))
+            self._start_era(era_of(position))
         if position and era_of(position) != self.era:
-            raise ConditionFailedError("a revision of an earlier era")
+            raise ConditionFailedError(f"position {position} is of an era before {self.era}")
         return revision_of(position)
 
     def current_lease_number(self, lease: int) -> int:
-        """Return what the store calls a lease.
+        """Return the store's number of a lease.
 
         Raises:
-            LeaseGoneError: it is of an earlier era: the number may be another one's by now.
+            LeaseGoneError: the lease is of an earlier era, whose numbers are reused.
         """
         if lease and lease >> LEASE_BITS != self.era:
-            raise LeaseGoneError("a lease of an earlier era")
+            raise LeaseGoneError(f"lease {lease} is not of era {self.era}")
         return lease_number(lease)
 
     def watch_revision(self, position: int) -> int:
-        """Return what the store calls the end of a copy, from which a watch is to go on.
+        """Return the store's revision for a mirror's position, after which a watch continues.
 
         Raises:
-            HistoryGoneError: it is of an earlier era, whose history goes on nowhere.
+            HistoryGoneError: the mirror is of an earlier era, which the watch cannot continue.
         """
         if position and era_of(position) != self.era:
-            raise HistoryGoneError("the copy is of an earlier era")
+            raise HistoryGoneError(f"position {position} is not of era {self.era}")
         return revision_of(position)
 
 
-def _parse(told: str) -> int:
-    """Return the era of an answer, by what it tells, or 0 where it tells none that can be."""
-    if not (told.isascii() and told.isdigit()) or len(told) > MOST_DIGITS:
+def _parse(reported: str) -> int:
+    """Return the era for a reported one, or 0 if it is absent or invalid."""
+    if not (reported.isascii() and reported.isdigit()) or len(reported) > MAX_ERA_DIGITS:
         return 0
-    return min(int(told) + 1, LARGEST_ERA)
+    return min(int(reported) + 1, MAX_ERA)
