--- a/liftrill/coordination/quota.py
+++ b/liftrill/coordination/quota.py
@@ -367,7 +367,7 @@
                 total[tenant] = total.get(tenant, 0.0) + amount
         return QuotaReport(nodes, total)
 
-    def heard_nodes(self) -> int:
+    def reporting_nodes(self) -> int:
         """Return the number of nodes whose spending is known, including this node."""
         return 1 + sum(entry.report.nodes for entry in self._reports.values())
 
@@ -390,13 +390,13 @@
         timed_out = [s for s, entry in self._reports.items() if now - entry.at > REPORT_TIMEOUT_S]
         if not timed_out:
             return
-        before = self.heard_nodes()
+        before = self.reporting_nodes()
         for source in timed_out:
             del self._reports[source]
         # Earlier charges are scaled down with the levels, so that their refunds would be too
         # large.
         self._received_notices.clear()
-        kept_share = self.heard_nodes() / before
+        kept_share = self.reporting_nodes() / before
         for bucket in self._buckets.values():
             bucket.credit(self._credit_s)
             bucket.level = min(bucket.level, bucket.level * kept_share)
--- a/liftrill/gateway/admission/quota_gate.py
+++ b/liftrill/gateway/admission/quota_gate.py
@@ -138,7 +138,7 @@
                 burst=limit.burst,
                 left=round(left),
                 nodes=self.buckets.fleet.nodes,
-                nodes_heard=self.buckets.heard_nodes(),
+                nodes_heard=self.buckets.reporting_nodes(),
             )
         spell.last_at = now
         spell.refused += 1
