--- a/liftrill/coordination/quota.py
+++ b/liftrill/coordination/quota.py
@@ -35,7 +35,7 @@
 # notices, and requests that other nodes admit before a notice reaches them.
 USED_SHARE = 0.93
 # The time after which a lower number of nodes takes effect. It exceeds the 5 s for which a
-# partitioned node may serve keys plus the 3 s until it declares the others dead.
+# partitioned node still accepts API keys plus the 3 s until it declares the others dead.
 FLEET_SHRINK_S = 10.0
 # The maximum retry delay of a refused request: few callers wait longer.
 MAX_RETRY_DELAY_S = 30.0
@@ -44,8 +44,8 @@
 # Callers without a slot within their maximum wait retry at a random time in at least the last
 # quarter of it, so that they do not all retry together.
 RETRY_START_SHARE = 0.75
-# The time constant for averaging the units that this node admits: about the wait of a caller that
-# waits for a few seconds.
+# The time constant for averaging the units that this node admits, which determine the length of
+# retry slots. It suits callers that wait for a few seconds.
 ADMITTED_DECAY_S = 2.0
 # The first notice number of a node is random below this, so that the numbers of two runs differ.
 FIRST_NOTICE_NUMBER_LIMIT = 1 << 32
