--- a/liftrill/bench/memory.py
+++ b/liftrill/bench/memory.py
@@ -64,7 +64,7 @@
     directory = PrefixDirectory(ITEMS, ITEMS)
     names = [_name(number) for number in range(ITEMS)]
     for name in names:
-        directory.promote([name], NOW)
+        directory.mark_shared([name], NOW)
     for holder in range(HOLDERS):
         for name in names:
             directory.record_held(f"engine-{holder}", 1, [name], NOW + holder)
--- a/liftrill/bench/simulation/node.py
+++ b/liftrill/bench/simulation/node.py
@@ -131,7 +131,9 @@
         def deliver() -> None:
             answers = home.home.exchange(self.node_id, reports, self._clock.now())
             reporter = self.router.reporter
-            self._clock.call_later(delay, lambda: reporter.take_answers(answers, self._clock.now()))
+            self._clock.call_later(
+                delay, lambda: reporter.apply_answers(answers, self._clock.now())
+            )
 
         self._clock.call_later(delay, deliver)
 
--- a/liftrill/cache/directory.py
+++ b/liftrill/cache/directory.py
@@ -93,7 +93,7 @@
                 depth = position + 1
         return depth
 
-    def promote(self, markers: Sequence[bytes], now: float) -> None:
+    def mark_shared(self, markers: Sequence[bytes], now: float) -> None:
         """Note that markers are shared, since an engine had them cached for somebody else."""
         for name in markers:
             if name not in self._markers:
@@ -186,7 +186,7 @@
             marker.holders.pop(engine_id, None)
         self._survivals.pop(engine_id, None)
 
-    def doubt_engine(self, engine_id: str, now: float) -> None:
+    def halve_survival_time(self, engine_id: str, now: float) -> None:
         """Let beliefs about an engine lapse early after a gap in its events."""
         survival = self._survivals.setdefault(engine_id, _Survival())
         survival.seconds = max(constants.SURVIVAL_SHORTEST_SECONDS, survival.seconds / 2)
--- a/liftrill/cache/event_stream.py
+++ b/liftrill/cache/event_stream.py
@@ -40,7 +40,7 @@
                 continue
             if event.sequence > self.next_sequence:
                 self.gaps += 1
-                self._directory.doubt_engine(self._engine_id, now)
+                self._directory.halve_survival_time(self._engine_id, now)
             self.next_sequence = event.sequence + 1
             self._apply_event(incarnation, event, now)
 
--- a/liftrill/cache/home.py
+++ b/liftrill/cache/home.py
@@ -105,7 +105,7 @@
         self._directory = directory
         self._used: dict[bytes, None] = {}
 
-    def note_used(self, name: bytes) -> None:
+    def record_used(self, name: bytes) -> None:
         """Note that a request used a prefix."""
         if len(self._used) < constants.HOME_REPORTS_PER_EXCHANGE:
             self._used[name] = None
@@ -121,7 +121,7 @@
                 reports.setdefault(home, []).append(report)
         return reports
 
-    def take_answers(self, answers: Iterable[PrefixReport], now: float) -> None:
+    def apply_answers(self, answers: Iterable[PrefixReport], now: float) -> None:
         """Take in a home's answers."""
         for answer in answers:
             holders = [Holder(h.engine_id, h.incarnation, now - h.age) for h in answer.holders]
--- a/liftrill/node/prefix_exchange.py
+++ b/liftrill/node/prefix_exchange.py
@@ -74,7 +74,7 @@
                 answers = reports_from_message(await self._peers.exchange(address, message))
             except PeerError:
                 return
-        self._context.router.reporter.take_answers(answers, clock.now_s())
+        self._context.router.reporter.apply_answers(answers, clock.now_s())
 
     async def _read_events(self) -> None:
         engines = self._context.engines.in_pools(self._context.view.pools_by_name)
--- a/liftrill/routing/router.py
+++ b/liftrill/routing/router.py
@@ -142,7 +142,7 @@
             return None
         now = self._clock()
         cached_depth = min(cached_tokens // marker_tokens(1), len(sent.markers))
-        self._directory.promote(sent.markers[:cached_depth], now)
+        self._directory.mark_shared(sent.markers[:cached_depth], now)
         held = sent.markers[: max(sent.shared_depth, cached_depth)]
         if sent.believed_depth:
             was_right = cached_tokens >= marker_tokens(sent.believed_depth)
@@ -282,7 +282,7 @@
         observe = self._directory.observe
         depth = observe(markers, now) if first_time else self._directory.shared_depth(markers)
         if depth:
-            self.reporter.note_used(markers[depth - 1])
+            self.reporter.record_used(markers[depth - 1])
         return RoutingQuery(
             markers=markers,
             shared_depth=depth,
