--- a/liftrill/cache/__init__.py
+++ b/liftrill/cache/__init__.py
@@ -1,1 +1,1 @@
-"""Prefix blocks: their names, and what is believed to be cached where."""
+"""Names of prefix blocks, and beliefs about which engines have them in their caches."""
--- a/liftrill/cache/blocks.py
+++ b/liftrill/cache/blocks.py
@@ -1,8 +1,8 @@
 """Names of prefix blocks.
 
-A block's name is a keyed hash of its parent's name and its content. The chain starts
-from a salt that is derived from tenant, model, adapter and weight version, so blocks of
-two tenants or of two weight versions never have the same name.
+A block's name is a hash of its parent's name and its content. The key of the hash is a salt
+derived from the tenant, model, adapter and weight version, so that blocks of different tenants or
+weight versions have different names.
 """
 
 import hashlib
@@ -18,7 +18,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CacheScope:
-    """What a cached block belongs to; blocks are shared only inside one scope."""
+    """The scope of a cached block; blocks are shared only within one scope."""
 
     tenant: str
     model: str
@@ -40,7 +40,7 @@
 def block_names(
     text: bytes, salt: bytes, tokenizer: Tokenizer, block_tokens: int = BLOCK_TOKENS
 ) -> list[bytes]:
-    """Return the name of each full block of a prompt, in order (16 bytes each)."""
+    """Return the names of the full blocks of a prompt, in order (16 bytes each)."""
     names: list[bytes] = []
     parent = b""
     for content in tokenizer.blocks(text, block_tokens):
--- a/liftrill/cache/directory.py
+++ b/liftrill/cache/directory.py
@@ -1,12 +1,12 @@
-"""What one node believes to be cached on which engine, for shared prefixes only.
+"""Beliefs of one node about which engines have which shared prefixes in their caches.
 
-Every few blocks of a prompt there is a marker: the name of the block there. A marker is
-remembered once a second request has used it, since a block that one request ever used
-cannot help routing; memory follows the number of shared prefixes, not of blocks.
+A marker is the name of every nth block of a prompt. A marker is stored only once a second request
+uses it, since a block that only one request uses does not help routing. So memory use depends on
+the number of shared prefixes, not on the number of blocks.
 
-Beliefs come from this node's own requests, from home nodes and from cache events, and
-are corrected by the cached-token count in each answer. An engine's survival time, learnt
-from those corrections, says how old a belief may be.
+Beliefs come from this node's own requests, from home nodes and from cache events, and are corrected
+by the cached-token count of each response. The survival time of an engine, learnt from these
+corrections, is the maximum age of a credible belief.
 """
 
 import math
@@ -22,13 +22,13 @@
     """An engine that is believed to hold a marker.
 
     Attributes:
-        incarnation: the engine's life in which it was so; another life holds nothing.
-        at: when it was last known, seconds.
+        incarnation: the incarnation of the engine; a restart clears its cache.
+        known_at: when the engine was last known to hold the marker, in seconds.
     """
 
     engine_id: str
     incarnation: int
-    at: float
+    known_at: float
 
 
 @dataclass(slots=True)
@@ -36,9 +36,9 @@
     """A marker that at least two requests used.
 
     Attributes:
-        rate: local requests per second, decayed, at `rate_at`.
-        remote_rate: requests per second on other nodes, as the home last told.
-        kept_at: when the kept-KV store was last given this prefix, or None.
+        rate: the exponentially decayed rate of local requests per second, as of `rate_at`.
+        remote_rate: requests per second on other nodes, as last reported by the home node.
+        kept_at: when this prefix was last saved to the kept-KV store, or None.
     """
 
     rate: float = 0.0
@@ -63,13 +63,13 @@
 
 @dataclass(slots=True)
 class _Survival:
-    """How long an engine keeps what is not used, in seconds, as learnt."""
+    """The learnt time, in seconds, for which an engine keeps unused blocks."""
 
     seconds: float = constants.SURVIVAL_FIRST_SECONDS
 
 
 class PrefixDirectory:
-    """Beliefs of one node, in bounded memory. Times are seconds on a monotonic clock."""
+    """The beliefs of one node, in bounded memory. Times are seconds on a monotonic clock."""
 
     def __init__(self, capacity: int, candidates: int) -> None:
         self._capacity = capacity
@@ -82,7 +82,7 @@
         return len(self._markers)
 
     def get(self, name: bytes) -> SharedMarker | None:
-        """Return a shared marker."""
+        """Return the shared marker of a name, or None if there is none."""
         return self._markers.get(name)
 
     def observe(self, markers: Sequence[bytes], now: float) -> int:
@@ -94,7 +94,7 @@
         return depth
 
     def mark_shared(self, markers: Sequence[bytes], now: float) -> None:
-        """Note that markers are shared, since an engine had them cached for somebody else."""
+        """Mark markers as shared, because an engine had them cached from another request."""
         for name in markers:
             if name not in self._markers:
                 self._add_marker(name, now)
@@ -112,12 +112,12 @@
         """Return how many leading markers each engine is believed to hold.
 
         Args:
-            markers: of the prompt, in order.
-            incarnations: the engines asked about, with their present incarnations.
-            now: the present time.
+            markers: the markers of the prompt, in order.
+            incarnations: the current incarnations of the engines to consider.
+            now: the current time.
 
         Returns:
-            Depths by engine; engines that are believed to hold nothing are left out.
+            Depths by engine, without engines that are believed to hold no markers.
         """
         depths: dict[str, int] = {}
         for position in range(self.shared_depth(markers) - 1, -1, -1):
@@ -131,7 +131,7 @@
     def record_held(
         self, engine_id: str, incarnation: int, markers: Sequence[bytes], now: float
     ) -> None:
-        """Note that an engine holds these markers now, as it computed or used them."""
+        """Record that an engine holds markers now, because it computed or used them."""
         holder = Holder(engine_id, incarnation, now)
         for name in markers:
             marker = self._markers.get(name)
@@ -140,18 +140,18 @@
             self._set_holder(marker, holder)
 
     def record_removed(self, engine_id: str, name: bytes) -> None:
-        """Note that an engine evicted a marker."""
+        """Record that an engine evicted a marker."""
         marker = self._markers.get(name)
         if marker is not None:
             marker.holders.pop(engine_id, None)
 
     def record_answer(self, engine_id: str, believed_age: float, was_right: bool) -> None:
-        """Learn an engine's survival time from an answer's cached-token count.
+        """Adjust the survival time of an engine by the cached-token count of a response.
 
         Args:
-            engine_id: the engine that answered.
-            believed_age: age of the belief when the request was sent, in seconds.
-            was_right: whether the engine still held what was believed.
+            engine_id: the engine that responded.
+            believed_age: the age of the belief when the request was sent, in seconds.
+            was_right: whether the engine still held the believed markers.
         """
         survival = self._survivals.setdefault(engine_id, _Survival())
         if not was_right:
@@ -162,15 +162,15 @@
             survival.seconds = min(constants.SURVIVAL_LONGEST_SECONDS, longer)
 
     def belief_age(self, engine_id: str, name: bytes, now: float) -> float:
-        """Return how old the belief is that an engine holds a marker; infinite if there is none."""
+        """Return the age of the belief that an engine holds a marker; infinite without a belief."""
         marker = self._markers.get(name)
         holder = marker.holders.get(engine_id) if marker else None
-        return now - holder.at if holder else math.inf
+        return now - holder.known_at if holder else math.inf
 
     def merge_from_home(
         self, name: bytes, remote_rate: float, holders: Sequence[Holder], kept_at: float | None
     ) -> None:
-        """Take in what a home node knows of a marker."""
+        """Merge a home node's information about a marker."""
         marker = self._markers.get(name)
         if marker is None:
             return
@@ -181,13 +181,13 @@
             marker.kept_at = kept_at
 
     def forget_engine(self, engine_id: str) -> None:
-        """Drop all beliefs about an engine that restarted or left."""
+        """Remove all beliefs about an engine that restarted or left."""
         for marker in self._markers.values():
             marker.holders.pop(engine_id, None)
         self._survivals.pop(engine_id, None)
 
     def halve_survival_time(self, engine_id: str, now: float) -> None:
-        """Let beliefs about an engine lapse early after a gap in its events."""
+        """Halve the survival time of an engine, because some of its cache events were lost."""
         survival = self._survivals.setdefault(engine_id, _Survival())
         survival.seconds = max(constants.SURVIVAL_SHORTEST_SECONDS, survival.seconds / 2)
 
@@ -215,25 +215,28 @@
     def _is_credible(self, holder: Holder, incarnation: int, now: float) -> bool:
         survival = self._survivals.get(holder.engine_id)
         seconds = survival.seconds if survival else constants.SURVIVAL_FIRST_SECONDS
-        return holder.incarnation == incarnation and now - holder.at <= seconds
+        return holder.incarnation == incarnation and now - holder.known_at <= seconds
 
     @staticmethod
     def _set_holder(marker: SharedMarker, holder: Holder) -> None:
         known = marker.holders.get(holder.engine_id)
-        newer = known is None or (holder.incarnation, holder.at) > (known.incarnation, known.at)
+        newer = known is None or (holder.incarnation, holder.known_at) > (
+            known.incarnation,
+            known.known_at,
+        )
         if newer:
             marker.holders[holder.engine_id] = holder
         if len(marker.holders) > constants.HOLDERS_PER_MARKER:
-            oldest = min(marker.holders.values(), key=lambda h: h.at)
+            oldest = min(marker.holders.values(), key=lambda h: h.known_at)
             del marker.holders[oldest.engine_id]
 
 
 def markers_of(block_names: Sequence[bytes]) -> list[bytes]:
-    """Return the markers of a prompt: every few blocks, the name of the block there."""
+    """Return the markers of a prompt: the name of every nth block."""
     stride = constants.MARKER_STRIDE_BLOCKS
     return list(block_names[stride - 1 :: stride])
 
 
 def marker_tokens(depth: int) -> int:
-    """Return the tokens that a number of leading markers stand for."""
+    """Return the number of prompt tokens covered by a number of leading markers."""
     return depth * constants.MARKER_STRIDE_BLOCKS * constants.BLOCK_TOKENS
--- a/liftrill/cache/event_stream.py
+++ b/liftrill/cache/event_stream.py
@@ -1,4 +1,4 @@
-"""Reads an engine's cache events, which come late and with gaps, sans-IO."""
+"""Applies the cache events of an engine, which may be late or lost, sans-IO."""
 
 from collections.abc import Sequence
 from dataclasses import dataclass
@@ -8,7 +8,7 @@
 
 @dataclass(frozen=True, slots=True)
 class BlockEvent:
-    """One cache event; sequence numbers grow by one within an incarnation."""
+    """One cache event; sequence numbers increase by one within an incarnation."""
 
     sequence: int
     stored: bool
@@ -16,7 +16,7 @@
 
 
 class EventStream:
-    """The events of one engine."""
+    """The cache events of one engine."""
 
     def __init__(self, engine_id: str, directory: PrefixDirectory) -> None:
         self._engine_id = engine_id
@@ -26,10 +26,10 @@
         self.gaps = 0
 
     def apply(self, incarnation: int, events: Sequence[BlockEvent], now: float) -> None:
-        """Take in the next events of an incarnation.
+        """Apply the next events of an incarnation.
 
-        A new incarnation drops all beliefs at once; a gap makes them doubtful. Events of
-        an earlier incarnation are late and are ignored.
+        A new incarnation drops all beliefs about the engine; a gap shortens their validity. Late
+        events of an earlier incarnation are ignored.
         """
         if self._incarnation is not None and incarnation < self._incarnation:
             return
--- a/liftrill/cache/home.py
+++ b/liftrill/cache/home.py
@@ -1,8 +1,9 @@
-"""Home nodes: each shared prefix has one, which adds up what all nodes know of it.
+"""Home nodes, which aggregate the information of all nodes about shared prefixes.
 
-The home is found by rendezvous over the members. Nodes report the prefixes they use and
-get back the rate over all nodes and the engines that hold them. A home that is lost
-costs a second of coarser choices: its successor learns from the next reports.
+The home node of a prefix is chosen by rendezvous hashing over the members. Nodes report the
+prefixes that they use, and receive the rates of the other nodes and the engines that hold the
+prefixes. Losing a home node makes routing less precise for about a second, until its successor has
+the next reports.
 """
 
 from collections import OrderedDict
@@ -16,9 +17,9 @@
 
 @dataclass(frozen=True, slots=True)
 class AgedHolder:
-    """An engine that holds a prefix, with the age of that belief in seconds.
+    """An engine that holds a prefix, and the age of this belief in seconds.
 
-    Clocks differ between nodes, so that ages are sent and not times.
+    Nodes exchange ages instead of times, because their clocks differ.
     """
 
     engine_id: str
@@ -28,12 +29,12 @@
 
 @dataclass(frozen=True, slots=True)
 class PrefixReport:
-    """What one node knows of a prefix.
+    """The information of one node about a prefix.
 
     Attributes:
-        rate: its own requests per second.
-        holders: engines it believes to hold the prefix.
-        kept_age: seconds since the kept-KV store was given the prefix, or None.
+        rate: requests per second at the reporting node; in an answer, at all other nodes.
+        holders: engines that are believed to hold the prefix.
+        kept_age: seconds since the prefix was saved to the kept-KV store, or None.
     """
 
     name: bytes
@@ -50,7 +51,7 @@
 
 
 class HomeDirectory:
-    """The prefixes that this node is home of, in bounded memory."""
+    """The prefixes whose home node this node is, in bounded memory."""
 
     def __init__(self, capacity: int) -> None:
         self._capacity = capacity
@@ -62,7 +63,7 @@
     def exchange(
         self, node_id: str, reports: Iterable[PrefixReport], now: float
     ) -> list[PrefixReport]:
-        """Take in a node's reports and answer with what the other nodes know."""
+        """Merge the reports of a node, and return the information of the other nodes."""
         return [self._exchange_one(node_id, report, now) for report in reports]
 
     def _exchange_one(self, node_id: str, report: PrefixReport, now: float) -> PrefixReport:
@@ -82,9 +83,9 @@
         limit = now - constants.HOME_REPORT_LIFETIME_SECONDS
         entry.rates = {node: rate for node, rate in entry.rates.items() if rate[1] >= limit}
         others = sum(rate for node, (rate, _) in entry.rates.items() if node != node_id)
-        newest = sorted(entry.holders.values(), key=lambda h: h.at, reverse=True)
+        newest = sorted(entry.holders.values(), key=lambda h: h.known_at, reverse=True)
         holders = [
-            AgedHolder(h.engine_id, h.incarnation, now - h.at)
+            AgedHolder(h.engine_id, h.incarnation, now - h.known_at)
             for h in newest[: constants.HOLDERS_PER_MARKER]
         ]
         kept_age = None if entry.kept_at is None else now - entry.kept_at
@@ -92,26 +93,26 @@
 
     @staticmethod
     def _merge_holder(entry: _HomeEntry, holder: AgedHolder, now: float) -> None:
-        at = now - holder.age
+        known_at = now - holder.age
         known = entry.holders.get(holder.engine_id)
-        if known is None or (holder.incarnation, at) > (known.incarnation, known.at):
-            entry.holders[holder.engine_id] = Holder(holder.engine_id, holder.incarnation, at)
+        if known is None or (holder.incarnation, known_at) > (known.incarnation, known.known_at):
+            entry.holders[holder.engine_id] = Holder(holder.engine_id, holder.incarnation, known_at)
 
 
 class HomeReporter:
-    """Collects the prefixes this node used, for the next exchange."""
+    """Collects the prefixes that this node used, for the next exchange with home nodes."""
 
     def __init__(self, directory: PrefixDirectory) -> None:
         self._directory = directory
         self._used: dict[bytes, None] = {}
 
     def record_used(self, name: bytes) -> None:
-        """Note that a request used a prefix."""
+        """Record that a request used a prefix."""
         if len(self._used) < constants.HOME_REPORTS_PER_EXCHANGE:
             self._used[name] = None
 
     def take_reports(self, members: Sequence[str], now: float) -> dict[str, list[PrefixReport]]:
-        """Return the reports to send to each home."""
+        """Return the reports to send to each home node."""
         used, self._used = list(self._used), {}
         reports: dict[str, list[PrefixReport]] = {}
         for name in used:
@@ -122,7 +123,7 @@
         return reports
 
     def apply_answers(self, answers: Iterable[PrefixReport], now: float) -> None:
-        """Take in a home's answers."""
+        """Apply the answers of a home node."""
         for answer in answers:
             holders = [Holder(h.engine_id, h.incarnation, now - h.age) for h in answer.holders]
             kept_at = None if answer.kept_age is None else now - answer.kept_age
@@ -133,7 +134,8 @@
         if marker is None:
             return None
         holders = tuple(
-            AgedHolder(h.engine_id, h.incarnation, now - h.at) for h in marker.holders.values()
+            AgedHolder(h.engine_id, h.incarnation, now - h.known_at)
+            for h in marker.holders.values()
         )
         kept_age = None if marker.kept_at is None else now - marker.kept_at
         return PrefixReport(name, marker.local_rate(now), holders, kept_age)
--- a/liftrill/cache/tokenizer.py
+++ b/liftrill/cache/tokenizer.py
@@ -1,4 +1,4 @@
-"""Tokenizers. The router only needs token boundaries, to cut prompts into blocks."""
+"""Tokenizers. The router needs only token boundaries, to split prompts into blocks."""
 
 from abc import ABC, abstractmethod
 
@@ -6,7 +6,7 @@
 
 
 class Tokenizer(ABC):
-    """Counts tokens and yields the bytes that identify each block of tokens."""
+    """Counts tokens and returns the bytes that identify each block of tokens."""
 
     @abstractmethod
     def count(self, text: bytes) -> int:
@@ -14,17 +14,17 @@
 
     @abstractmethod
     def blocks(self, text: bytes, block_tokens: int) -> list[bytes]:
-        """Return the content of each full block, in order; a partial last block is left out."""
+        """Return the content of each full block, in order; a partial last block is omitted."""
 
 
 class FixedWidthTokenizer(Tokenizer):
-    """Takes every `width` bytes as one token, which is near the average of real ones."""
+    """Counts every `width` bytes as one token, which is close to the average of real tokenizers."""
 
     def __init__(self, width: int = TOKEN_BYTES) -> None:
         self._width = width
 
     def count(self, text: bytes) -> int:
-        """Return the number of tokens, the last possibly shorter than the width."""
+        """Return the number of tokens; the last one may be shorter than the width."""
         return -(-len(text) // self._width)
 
     def blocks(self, text: bytes, block_tokens: int) -> list[bytes]:
