--- a/liftrill/coordination/crash_evidence.py
+++ b/liftrill/coordination/crash_evidence.py
@@ -23,9 +23,9 @@
 MIN_EARLY_ENDS_EXCLUSIVE = 2
 MIN_EARLY_ENDS = 3
 MIN_EARLY_ENDS_SHARED = 4
-# The same number for early and late ends together; most runs that are lost by accident end late.
-# With four, twice as many requests were quarantined where a third of all workers crashes every 1
-# to 4 s (virtual time).
+# The number of early and late ends together that identify a request where no worker terminates
+# without it. Most runs that are lost by accident end late: with four, twice as many requests are
+# quarantined where a third of all workers crashes every 1 to 4 s (virtual time).
 MIN_ENDS = 5
 # How long evidence is kept. Callers repeat requests within seconds or minutes.
 RETENTION_S = 600.0
--- a/liftrill/coordination/quota.py
+++ b/liftrill/coordination/quota.py
@@ -238,7 +238,7 @@
     """The newest report of a source, and when it was received."""
 
     report: QuotaReport
-    at: float
+    received_at: float
 
 
 class SharedBuckets(QuotaPolicy):
@@ -290,7 +290,7 @@
         bucket = self._buckets.get(tenant)
         if bucket is None:
             return QuotaVerdict()
-        left = self._left(bucket, now)
+        left = self._refilled_level(bucket, now)
         if left <= 0.0:
             max_wait_s = min(max_wait_s, MAX_RETRY_DELAY_S)
             wait_s = self._wait_s(bucket, amount, left, now, max_wait_s)
@@ -331,7 +331,7 @@
         self._drop_timed_out(now)
         before = self._reports.get(source)
         # The first report of a source counts for the time that it covers.
-        elapsed_s = now - before.at if before else REPORT_WINDOW_S
+        elapsed_s = now - before.received_at if before else REPORT_WINDOW_S
         self._reports[source] = _ReceivedReport(report, now)
         self._credit_s += elapsed_s * min(1.0, report.nodes / self.fleet.nodes)
         for tenant, amount in report.spent.items():
@@ -379,7 +379,7 @@
         """
         return limit.burst if self._starts_full or self._buckets else 0.0
 
-    def _left(self, bucket: _Bucket, now: float) -> float:
+    def _refilled_level(self, bucket: _Bucket, now: float) -> float:
         self._drop_timed_out(now)
         self._credit_own(now)
         bucket.credit(self._credit_s)
@@ -387,14 +387,15 @@
 
     def _drop_timed_out(self, now: float) -> None:
         """Drop the sources that timed out, and their share of the remaining units."""
-        timed_out = [s for s, entry in self._reports.items() if now - entry.at > REPORT_TIMEOUT_S]
+        timed_out = [
+            s for s, entry in self._reports.items() if now - entry.received_at > REPORT_TIMEOUT_S
+        ]
         if not timed_out:
             return
         before = self.reporting_nodes()
         for source in timed_out:
             del self._reports[source]
-        # Earlier charges are scaled down with the levels, so that their refunds would be too
-        # large.
+        # Earlier charges shrink with the levels, so that full refunds of them would be too large.
         self._received_notices.clear()
         kept_share = self.reporting_nodes() / before
         for bucket in self._buckets.values():
@@ -421,10 +422,11 @@
     def _wait_s(
         self, bucket: _Bucket, amount: float, left: float, now: float, max_wait_s: float
     ) -> float:
-        """Return when a refused caller should retry: after the callers refused before it.
+        """Return the seconds after which a refused caller should retry.
 
-        Each caller gets a retry slot as long as this node takes to admit its units. A caller whose
-        slot would end after its maximum wait gets none, and retries late within that wait.
+        Each caller gets a retry slot after those of the callers refused before it. A slot is as
+        long as this node takes to admit the caller's units. A caller whose slot would end after its
+        maximum wait gets none, and retries late within that wait.
         """
         rate_per_s = bucket.limit.rate_per_s
         own_share_per_s = rate_per_s / self.fleet.nodes
