--- a/liftrill/gateway/quarantine.py
+++ b/liftrill/gateway/quarantine.py
@@ -69,11 +69,11 @@
 
     def check(self, request: OpaqueRequest) -> AdmissionRefusal | None:
         """Return why a request is refused, if engines end under it."""
-        left_s = self.left_s(request)
-        if not left_s:
+        remaining_s = self.left_s(request)
+        if not remaining_s:
             return None
         why = f"{request.fingerprint.hex()}: engines ended under it"
-        return AdmissionRefusal(ResultCode.REQUEST_QUARANTINED, left_s, why)
+        return AdmissionRefusal(ResultCode.REQUEST_QUARANTINED, remaining_s, why)
 
     def left_s(self, request: OpaqueRequest) -> float:
         """Return for how long a request is sent to no engine, or 0."""
