--- a/features/steps/crash_request_steps.py
+++ b/features/steps/crash_request_steps.py
@@ -16,7 +16,7 @@
 
 from features.standin.deployment import ROOT, Deployment
 from liftrill.errors import ResultCode
-from liftrill.gateway.quarantine_records import QUARANTINE_PREFIX
+from liftrill.gateway.quarantine_records import QUARANTINE_KEY_PREFIX
 
 DEADLY = b"the request under which engines end"
 OTHER_CALLERS = 8
@@ -307,7 +307,7 @@
 
 
 def records_of(play):
-    return [key for key in play.deployment.store.items if key.startswith(QUARANTINE_PREFIX)]
+    return [key for key in play.deployment.store.items if key.startswith(QUARANTINE_KEY_PREFIX)]
 
 
 def run_command(context, *arguments):
@@ -331,7 +331,7 @@
 def step_listed(context):
     (key,) = records_of(context.play)
     code, output = run_command(context, "show", context.deployment.store.address)
-    assert code == 0 and output.startswith(key.removeprefix(QUARANTINE_PREFIX)), output
+    assert code == 0 and output.startswith(key.removeprefix(QUARANTINE_KEY_PREFIX)), output
     engines = context.play.deployment.engines.values()
     ended = {engine.engine_id for engine in engines if engine.ended_under}
     listed = re.findall(r"llm-\d+", output)
@@ -342,7 +342,7 @@
 @when("the command releases it")
 def step_release(context):
     (key,) = records_of(context.play)
-    fingerprint = key.removeprefix(QUARANTINE_PREFIX)
+    fingerprint = key.removeprefix(QUARANTINE_KEY_PREFIX)
     code, output = run_command(context, "release", context.deployment.store.address, fingerprint)
     assert code == 0, output
 
--- a/features/steps/gateway_quarantine_steps.py
+++ b/features/steps/gateway_quarantine_steps.py
@@ -185,7 +185,7 @@
     context.fleet.pass_time(seconds)
     context.fleet.pass_time(0.2)
     for node, quarantine in context.fleet.nodes.items():
-        assert not quarantine.left_s(request_named(name)), node
+        assert not quarantine.remaining_s(request_named(name)), node
 
 
 @when('node {node} sees "{name}" served')
@@ -222,7 +222,7 @@
     context.fleet.pass_time(seconds)
     context.fleet.pass_time(0.2)
     for node, quarantine in context.fleet.nodes.items():
-        left_s = quarantine.left_s(request_named(name))
+        left_s = quarantine.remaining_s(request_named(name))
         assert lasts - 5.0 < left_s <= lasts, (node, left_s)
         refusal = quarantine.check(request_named(name))
         assert refusal.code.number == 2013 and abs(refusal.retry_after_seconds - left_s) < 1.0
@@ -273,7 +273,7 @@
     assert not quarantine.is_decided(request_named(name), now + seconds - 0.01)
     assert quarantine.is_decided(request_named(other), now)
     assert quarantine.is_decided(request_named(name), now + seconds)
-    assert quarantine.left_s(request_named(name)) > 0
+    assert quarantine.remaining_s(request_named(name)) > 0
 
 
 @then('no node was told anything, and no node suspects "{name}"')
@@ -287,7 +287,7 @@
     context.fleet.pass_time(1.0)
     for node, quarantine in context.fleet.nodes.items():
         assert not quarantine.is_suspect(request_named(name)), node
-        assert not quarantine.left_s(request_named(name)), node
+        assert not quarantine.remaining_s(request_named(name)), node
 
 
 @then('all nodes suspect "{name}"')
--- a/liftrill/cli/quarantine.py
+++ b/liftrill/cli/quarantine.py
@@ -17,7 +17,7 @@
 from liftrill.errors import SettingsError, StoreError
 from liftrill.gateway.http_client import new_store_session
 from liftrill.gateway.quarantine_records import (
-    QUARANTINE_PREFIX,
+    QUARANTINE_KEY_PREFIX,
     entry_of,
     fingerprint_of,
     key_of,
@@ -48,7 +48,7 @@
         :param store: address of the platform's store, IP:PORT.
         :param fingerprint: of the request, as listed and as in the nodes' logs.
         """
-        if fingerprint_of(QUARANTINE_PREFIX + fingerprint) is None:
+        if fingerprint_of(QUARANTINE_KEY_PREFIX + fingerprint) is None:
             raise SettingsError(f"{fingerprint!r} is no fingerprint: 32 hexadecimal digits")
 
         async def remove(opened: RangeStore) -> None:
@@ -97,7 +97,7 @@
 async def _show(store: RangeStore) -> None:
     after = ""
     while True:
-        page = await store.read_range(QUARANTINE_PREFIX, after)
+        page = await store.read_range(QUARANTINE_KEY_PREFIX, after)
         for item in page.items:
             print(_line(item))
         if not page.more or not page.items:
--- a/liftrill/gateway/forwarder.py
+++ b/liftrill/gateway/forwarder.py
@@ -105,7 +105,7 @@
             return None
         if not self._quarantine.is_decided(request, now):
             return Unavailable.NONE_READY
-        return Unavailable.QUARANTINED if self._quarantine.left_s(request) else None
+        return Unavailable.QUARANTINED if self._quarantine.remaining_s(request) else None
 
     def continue_at_backup(
         self, request: OpaqueRequest, broken: events.EngineChoice
@@ -114,7 +114,7 @@
         now = clock.now_s()
         if not self.state_is_current(now):
             return None
-        if self._quarantine is not None and self._quarantine.left_s(request):
+        if self._quarantine is not None and self._quarantine.remaining_s(request):
             return None
         return self._selector.continue_at_backup(request, broken, now)
 
@@ -169,7 +169,7 @@
 
     def retry_after_seconds(self, request: OpaqueRequest) -> float:
         """Return when a refused caller should come back."""
-        if self._quarantine is not None and (left_s := self._quarantine.left_s(request)):
+        if self._quarantine is not None and (left_s := self._quarantine.remaining_s(request)):
             return left_s
         now = clock.now_s()
         if self._selector.blocked_s(request.service, now):
--- a/liftrill/gateway/quarantine.py
+++ b/liftrill/gateway/quarantine.py
@@ -69,18 +69,18 @@
 
     def check(self, request: OpaqueRequest) -> AdmissionRefusal | None:
         """Return why a request is refused, if engines end under it."""
-        remaining_s = self.left_s(request)
+        remaining_s = self.remaining_s(request)
         if not remaining_s:
             return None
         why = f"{request.fingerprint.hex()}: engines ended under it"
         return AdmissionRefusal(ResultCode.REQUEST_QUARANTINED, remaining_s, why)
 
-    def left_s(self, request: OpaqueRequest) -> float:
+    def remaining_s(self, request: OpaqueRequest) -> float:
         """Return for how long a request is sent to no engine, or 0."""
         # Nothing is hashed while the list is empty.
         if not len(self.entries):
             return 0.0
-        return self.entries.left_s(request.fingerprint, time.time())
+        return self.entries.remaining_s(request.fingerprint, time.time())
 
     def is_suspect(self, request: OpaqueRequest) -> bool:
         """Return whether an engine ended under a request, or it was in quarantine once."""
@@ -143,7 +143,7 @@
         for run in runs:
             self._note_end(run.worker, node, now)
             known = self.entries.get(run.fingerprint)
-            if known is not None and self.entries.left_s(run.fingerprint, time.time()):
+            if known is not None and self.entries.remaining_s(run.fingerprint, time.time()):
                 self._evidence.explain([run.worker], now)
                 if self._evidence.add(run):
                     # It sent what is kept from engines: it has not heard.
@@ -253,7 +253,7 @@
     def _consider(self, run: LostRun, now: float) -> None:
         """Have a request judged if enough engines ended under it."""
         fingerprint = run.fingerprint
-        if self.entries.left_s(fingerprint, time.time()):
+        if self.entries.remaining_s(fingerprint, time.time()):
             self._settle(fingerprint, now)
         elif self._has_returned(run) or self._evidence.may_condemn(fingerprint):
             self._judged_at[fingerprint] = now + JUDGED_AFTER_S
@@ -304,7 +304,7 @@
 
     def _clear(self, fingerprint: bytes, now: float) -> None:
         was_suspect = self._evidence.clear(fingerprint, now)
-        in_force = self.entries.left_s(fingerprint, time.time()) > 0
+        in_force = self.entries.remaining_s(fingerprint, time.time()) > 0
         was_listed = not in_force and self.entries.remove(fingerprint)
         if was_listed:
             self.storage.delete(fingerprint)
--- a/liftrill/gateway/quarantine_list.py
+++ b/liftrill/gateway/quarantine_list.py
@@ -53,7 +53,7 @@
         """Return the entry of a request, also one that is no longer in force."""
         return self._entries.get(fingerprint)
 
-    def left_s(self, fingerprint: bytes, now_unix_s: float) -> float:
+    def remaining_s(self, fingerprint: bytes, now_unix_s: float) -> float:
         """Return for how long a request is still kept from engines, or 0."""
         entry = self._entries.get(fingerprint)
         return max(0.0, entry.until_unix_s - now_unix_s) if entry else 0.0
--- a/liftrill/gateway/quarantine_records.py
+++ b/liftrill/gateway/quarantine_records.py
@@ -25,7 +25,7 @@
 from liftrill.messages import peer_pb2 as messages
 
 # One key for each request, named by its fingerprint: an operator releases it by removing it.
-QUARANTINE_PREFIX = "liftrill/quarantine/"
+QUARANTINE_KEY_PREFIX = "liftrill/quarantine/"
 # How long to wait after a write that failed (guess).
 OWN_RETRY_S = 1.0
 # A node that judged by what others told leaves the writing to them for about so long: a write
@@ -39,10 +39,10 @@
 
 def fingerprint_of(key: str) -> bytes | None:
     """Return the request whose record a key is, or None."""
-    if not key.startswith(QUARANTINE_PREFIX):
+    if not key.startswith(QUARANTINE_KEY_PREFIX):
         return None
     try:
-        fingerprint = bytes.fromhex(key[len(QUARANTINE_PREFIX) :])
+        fingerprint = bytes.fromhex(key[len(QUARANTINE_KEY_PREFIX) :])
     except ValueError:
         return None
     return fingerprint if len(fingerprint) == FINGERPRINT_BYTES else None
@@ -50,7 +50,7 @@
 
 def key_of(fingerprint: bytes) -> str:
     """Return the key of a request's record."""
-    return QUARANTINE_PREFIX + fingerprint.hex()
+    return QUARANTINE_KEY_PREFIX + fingerprint.hex()
 
 
 def entry_of(item: StoredItem) -> QuarantineEntry | None:
