--- a/liftrill/gateway/forwarder.py
+++ b/liftrill/gateway/forwarder.py
@@ -1,4 +1,4 @@
-"""Delivers requests: what all deliveries of a node share, and what they ask of it."""
+"""Delivers requests to engines: the part that all deliveries of a node share."""
 
 import asyncio
 from collections.abc import Awaitable, Callable
@@ -30,34 +30,34 @@
 from liftrill.gateway.quarantine import Quarantine
 from liftrill.gateway.transport import EngineAttempt, EngineTransport, ResponseSink
 
-# For how long an engine that refused for load or an order gets no new requests.
+# For how long an engine that refused a request, overloaded or at the wrong version, gets no more.
 REFUSAL_BACKOFF_SECONDS = 0.15
 
 
 def _always_current(now: float) -> bool:
-    """Take the beliefs for current."""
+    """Treat the node's state as current."""
     return True
 
 
 def _never_waits(request: OpaqueRequest) -> bool:
-    """Take no place that may be free for someone else's."""
+    """Reserve free capacity for no other request."""
     return False
 
 
 def _zero_wait_s(request: OpaqueRequest, now: float) -> float:
-    """Take nobody to wait before a request."""
+    """Assume that no request waits ahead."""
     return 0.0
 
 
 class ForwardingPorts(DeliveryPorts):
-    """The machine's view of engines and budgets.
+    """Gives the state machine access to engines, budgets and the quarantine.
 
     Attributes:
-        beliefs_hold: whether engines may be chosen by what is believed at a time.
-        speeds: how fast engines work.
-        limits: of engines that get requests with permits only.
-        must_wait: whether a place that may be free is for another request that waits.
-        coming_back: when callers that were refused for want of room are to come back.
+        state_is_current: whether this node's state is recent enough at a time to choose engines.
+        speeds: measured speeds of engines.
+        limits: rate limits that engines announced; their requests need permits.
+        must_wait: whether capacity that may be free is due to another waiting request.
+        retry_after: when callers refused for lack of capacity should retry.
     """
 
     def __init__(
@@ -80,9 +80,9 @@
     def choose(
         self, request: OpaqueRequest, excluded: frozenset[str]
     ) -> events.EngineChoice | Unavailable:
-        """Return an engine outside a set of engines already tried."""
+        """Return an engine whose id is not excluded, or why there is none."""
         now = clock.now_s()
-        # A machine that slept reads this before the request's timer, which stood still, ends it.
+        # After the machine slept, this check runs before the request's timer, which stood still.
         if now >= request.deadline:
             return Unavailable.TOO_LATE
         if not self.state_is_current(now):
@@ -90,7 +90,7 @@
         quarantined = self._quarantine_outcome(request, now)
         if quarantined is not None:
             return quarantined
-        # One that an engine turned away has waited already.
+        # A request that an engine refused has waited already.
         if not excluded and self.must_wait(request):
             return Unavailable.FULL
         is_suspect = self._quarantine is not None and self._quarantine.is_suspect(request)
@@ -100,7 +100,7 @@
         return choice
 
     def _quarantine_outcome(self, request: OpaqueRequest, now: float) -> Unavailable | None:
-        """Return why a request under which engines may end is sent nowhere now, or None."""
+        """Return why a possibly crashing request must not be sent now, or None if it may be."""
         if self._quarantine is None:
             return None
         if not self._quarantine.is_decided(request, now):
@@ -110,7 +110,7 @@
     def continue_at_backup(
         self, request: OpaqueRequest, broken: events.EngineChoice
     ) -> events.EngineChoice | None:
-        """Return the backup's engine as it is now, or None if it takes nothing."""
+        """Return the backup's engine in its present state, or None if it cannot continue."""
         now = clock.now_s()
         if not self.state_is_current(now):
             return None
@@ -119,7 +119,7 @@
         return self._selector.continue_at_backup(request, broken, now)
 
     def begin_by(self, choice: events.EngineChoice, request: OpaqueRequest) -> float:
-        """Return until when a request may begin where it was sent, on the steady clock."""
+        """Return the time by which an attempt must have begun, on the steady clock."""
         return self._selector.begin_by(choice, request)
 
     def on_new_weights(self, listener: Callable[[], None]) -> None:
@@ -131,16 +131,16 @@
         self._selector.guard.turned = listener
 
     def wait_conditions(self, request: OpaqueRequest) -> Outlook:
-        """Return what engines mean for a request that waits."""
+        """Return what a request's queue entry has to take into account about the engines."""
         is_overloaded = self._selector.guard.stands(request.service)
         return Outlook(self._selector.reading_s(request), is_overloaded)
 
     def try_spend_retry(self, request: OpaqueRequest) -> bool:
-        """Spend one repeat of the service's budget."""
+        """Take one retry from the retry budget of the request's service."""
         return self._allowance.try_spend(request.service, clock.now_s())
 
     def record_sent(self, choice: events.EngineChoice, request: OpaqueRequest, first: bool) -> None:
-        """Note that an engine is about to get a request, for the first time or again."""
+        """Record that a request is about to be sent to an engine, first or again."""
         now = clock.now_s()
         self._selector.parts.record_sent(choice, request, now)
         self.retry_after.note_sent(request.service, now)
@@ -149,28 +149,28 @@
             self._quotas.record_repeat(request, now)
 
     def record_not_run(self, request: OpaqueRequest, runs: int) -> None:
-        """Note how many runs that a request was counted for were none."""
+        """Record how many of the runs charged for a request were not executed."""
         if self._quotas is not None:
             self._quotas.record_not_run(request, runs, clock.now_s())
 
     def record_prefill(
         self, choice: events.EngineChoice, request: OpaqueRequest, tokens: int, elapsed_s: float
     ) -> None:
-        """Note that an engine has read a prompt, and some tokens with what waited before."""
+        """Record a prefill, and the tokens processed in it, those queued before included."""
         now = clock.now_s()
         self._selector.parts.record_read(choice, request, now)
-        # More urgent ones are read before what waits there, so they show nothing of its wait.
+        # More urgent prompts overtake the engine's queue, so their times say nothing about it.
         if not self._selector.guard.is_more_urgent(request):
             self.speeds.record_read(choice.engine_id, tokens, elapsed_s, now)
 
     def record_slot_time(self, request: OpaqueRequest, held_s: float) -> None:
-        """Note for how long a request held a slot of its engine."""
+        """Record for how long a request occupied a slot of its engine."""
         self._selector.slot_times.record(request.service, held_s)
 
     def retry_after_seconds(self, request: OpaqueRequest) -> float:
-        """Return when a refused caller should come back."""
-        if self._quarantine is not None and (left_s := self._quarantine.remaining_s(request)):
-            return left_s
+        """Return after how many seconds the caller of a refused request should retry."""
+        if self._quarantine is not None and (remaining_s := self._quarantine.remaining_s(request)):
+            return remaining_s
         now = clock.now_s()
         if self._selector.blocked_s(request.service, now):
             self.retry_after.note_choice(request.service, True)
@@ -181,14 +181,14 @@
 
 
 def _ignore_prefill_start(view: EngineView, tokens: int) -> None:
-    """Leave a reading untold."""
+    """Tell no node that a prefill has started."""
 
 
 class Forwarder(DeliveryOwner):
-    """Delivers requests; one for each node.
+    """Delivers the requests of one node.
 
     Attributes:
-        reading_begun: whom to tell of an engine and the tokens of a long prompt sent to it.
+        prefill_started: called with the engine and the tokens when a long prefill starts.
     """
 
     def __init__(
@@ -219,46 +219,46 @@
         ports.on_new_weights(self._begin_deadlines.refresh)
 
     async def deliver(self, request: OpaqueRequest, sink: ResponseSink) -> None:
-        """Bring a request to its end."""
+        """Deliver a request until it has ended or its caller has gone."""
         machine = DeliveryMachine(request, self._ports)
-        run = DeliveryDriver(self, machine, sink)
-        left = max(0.0, request.deadline - clock.now_s())
+        driver = DeliveryDriver(self, machine, sink)
+        remaining_s = max(0.0, request.deadline - clock.now_s())
         try:
-            async with asyncio.timeout(left):
-                await run.drive(events.Started())
+            async with asyncio.timeout(remaining_s):
+                await driver.drive(events.Started())
         except TimeoutError:
-            await run.drive(events.DeadlinePassed())
+            await driver.drive(events.DeadlinePassed())
         except asyncio.CancelledError:
-            self._record_caller_gone(machine, run)
+            self._record_caller_gone(machine, driver)
             raise
         except ConnectionResetError:
-            # Only the caller's connection can end so: an engine's end is an event.
-            self._record_caller_gone(machine, run)
+            # Raised only by the caller's connection; a lost engine connection is an event.
+            self._record_caller_gone(machine, driver)
         except Exception as error:
             self.log.request_crashed(machine, error)
             self.metrics.count_outcome("crashed")
             raise
         finally:
-            run.close()
+            driver.close()
 
-    def _record_caller_gone(self, machine: DeliveryMachine, run: DeliveryDriver) -> None:
-        run.record_caller_gone()
+    def _record_caller_gone(self, machine: DeliveryMachine, driver: DeliveryDriver) -> None:
+        driver.record_caller_gone()
         self.log.request_abandoned(machine)
         self.metrics.count_outcome("caller_gone")
 
     def new_queue_entry(
         self, request: OpaqueRequest, until: float, for_capacity: bool
     ) -> Place | None:
-        """Return what a request waits with, or None where waiting is in vain."""
+        """Return the queue entry of a waiting request, or None if waiting cannot help."""
         return self._places.place(request, until, for_capacity, clock.now_s())
 
-    def _log_overload(self, turn: OverloadTurn) -> None:
+    def _log_overload(self, change: OverloadTurn) -> None:
         depth, age_s = self.queues.depth_and_age_s(clock.now_s())
         self.log.belief(
-            "overload" if turn.overloaded else "overload_over",
-            service=turn.service,
-            least_wait_ms=round(1000 * turn.least_wait_s),
-            good_wait_ms=round(1000 * turn.good_wait_s),
+            "overload" if change.overloaded else "overload_over",
+            service=change.service,
+            least_wait_ms=round(1000 * change.least_wait_s),
+            good_wait_ms=round(1000 * change.good_wait_s),
             waiting=depth,
             waiting_for_ms=round(1000 * age_s),
         )
@@ -266,7 +266,7 @@
     def begin_attempt(
         self, request: OpaqueRequest, start: events.StartAttempt, first: bool
     ) -> tuple[EngineView | None, EngineAttempt]:
-        """Account for an attempt that is about to be sent."""
+        """Account for an attempt that is about to be sent, and prepare it."""
         now = clock.now_s()
         if first:
             self._allowance.record_request(request.service, now)
@@ -284,30 +284,34 @@
         return view, attempt
 
     def _may_send(self, view: EngineView, choice: events.EngineChoice) -> bool:
-        """Return whether an engine that was chosen before still takes what is sent to it now."""
+        """Return whether an engine chosen earlier may still be sent the request now."""
         now = clock.now_s()
         if not self._ports.state_is_current(now) or view.wants_nothing(now):
             return False
         return self._ports.limits.may_send(view.at, choice.permit, now)
 
     def refresh_begin_deadlines(self) -> None:
-        """Look anew until when each attempt may begin."""
+        """Recompute until when each attempt may begin."""
         self._begin_deadlines.refresh()
 
     async def read_before_overdue(
         self, machine: DeliveryMachine, reading: Awaitable[list[events.DeliveryEvent]]
     ) -> list[events.DeliveryEvent]:
-        """Return what a read tells, or the end of an attempt that may no longer begin."""
+        """Return the events of a read, or an interruption once the attempt must not begin."""
         begin_by = partial(self._ports.begin_by, machine.attempts[-1], machine.request)
         try:
             return await self._begin_deadlines.read_before(begin_by, reading)
         except TimeoutError:
-            return [events.AttemptInterrupted("not begun before its weights went out of use")]
+            return [
+                events.AttemptInterrupted(
+                    "did not begin within the grace period of its weight version"
+                )
+            ]
 
     def record_attempt_event(
         self, view: EngineView, event: events.DeliveryEvent, sent_at: float
     ) -> None:
-        """Learn about an engine from what an attempt told that was sent at a time."""
+        """Update what is known of an engine from an event of an attempt sent at a time."""
         now = clock.now_s()
         if isinstance(event, events.AttemptRefused):
             self._record_refusal(view, event.kind, now)
@@ -320,8 +324,8 @@
     async def run_lost(
         self, machine: DeliveryMachine, view: EngineView, times: AttemptTimes
     ) -> None:
-        """Find out whether the engine of a run that broke has ended, before the next send."""
-        # An engine that leaves may end with runs that take too long: they are not its end's cause.
+        """Check, before the next attempt, whether the engine of an interrupted run has ended."""
+        # A leaving engine may exit while long runs are still on it: they did not crash it.
         if view.leaving:
             return
         self._quarantine.run_lost(machine.request, view, times, clock.now_s())
@@ -331,25 +335,25 @@
     def run_abandoned(
         self, machine: DeliveryMachine, view: EngineView, times: AttemptTimes
     ) -> None:
-        """Note that a run is closed before its end: what it does to its engine is not seen."""
+        """Record that a run is closed early, so that its effect on the engine stays unknown."""
         if not view.leaving:
             self._quarantine.run_lost(machine.request, view, times, clock.now_s())
 
     def record_served(self, request: OpaqueRequest) -> None:
-        """Note that an engine served a request."""
+        """Record that an engine served a request."""
         self._quarantine.served(request, clock.now_s())
 
     def record_prefill(self, machine: DeliveryMachine, tokens: int, elapsed_s: float) -> None:
-        """Note that the newest attempt's engine has read the prompt, and how fast."""
+        """Record the prefill time of the newest attempt, and the tokens processed in it."""
         self._ports.record_prefill(machine.attempts[-1], machine.request, tokens, elapsed_s)
         self.queues.was_read(machine.request.service)
 
     def record_slot_time(self, machine: DeliveryMachine, held_s: float) -> None:
-        """Note for how long a request held a slot of its engine."""
+        """Record for how long a request occupied a slot of its engine."""
         self._ports.record_slot_time(machine.request, held_s)
 
     def record_stream_speed(self, view: EngineView, times: StreamTimes, now: float) -> None:
-        """Note how fast the events of a whole stream came."""
+        """Record the speed at which the events of a complete stream were received."""
         elapsed_s = times.last_event_at - times.first_event_at
         self._ports.speeds.record_stream(
             view, times.events - 1, elapsed_s, times.longest_pause_s, now
@@ -358,11 +362,11 @@
     def record_response_speed(
         self, view: EngineView, sent_at: float, requests: int, now: float
     ) -> None:
-        """Note a whole answer, where so many requests were at the engine with it."""
+        """Record the time of a complete response, and how many requests the engine had then."""
         self._ports.speeds.record_answer(view, now - sent_at, requests, now)
 
     def record_not_run(self, machine: DeliveryMachine) -> None:
-        """Note which runs of a request that ends were none."""
+        """Record how many of the runs charged for an ended request were not executed."""
         self._ports.record_not_run(machine.request, machine.unexecuted_runs)
 
     def _record_refusal(self, view: EngineView, kind: events.RefusalKind, now: float) -> None:
