--- a/liftrill/gateway/gateway.py
+++ b/liftrill/gateway/gateway.py
@@ -1,4 +1,4 @@
-"""Assembles one gateway from its parts."""
+"""Assembles one gateway node from its parts."""
 
 import asyncio
 import random
@@ -70,31 +70,32 @@
 from liftrill.gateway.weight_rollout import WeightRollout
 from liftrill.gateway.weight_targets import WeightTargets
 
-# A lateness that callers feel is seen within three beats.
+# A lag that callers would notice is detected within three intervals.
 HOUSEKEEPING_SECONDS = 0.3
-# Lines of one beat on nodes that are named less: with more of them it is the zone that is busy.
+# Log lines of one interval on nodes whose share of callers changed; more changes than this mean
+# that the whole zone is busy.
 MAX_LOGGED_CHANGES = 3
-# A record lapses three beats after its engine's last one, which came at most one beat before
-# the store went away.
+# An engine's record expires three heartbeat intervals after its last heartbeat, which was sent at
+# most one interval before the store became unreachable.
 LAPSE_HEARTBEATS = 2
-# For how long a node that stood still waits for the store's word before it uses what it believed:
-# by then an outage is likelier than a slow answer (guess).
+# How long a node that stood still waits for current data of the store before it uses what it had:
+# after this time an outage is more likely than a slow response.
 STANDSTILL_STORE_WAIT_S = 2.0
 LEASE_RENEW_INTERVAL_SECONDS = 0.7
 LEASE_TIME_TO_LIVE_SECONDS = 2.0
 LEASE_RETRY_INTERVAL_SECONDS = 0.3
 LEASE_MARGIN_SECONDS = 0.2
 MILLICORES = 1_000
-# How many nodes contend for the right to give orders as soon as it is free.
+# How many nodes contend for the leader's lease as soon as it is free.
 LEADER_CANDIDATES = 3
 LEADER_RANK_KEY = b"leader"
-# A node that starts takes itself for the only one until it knows the others: of 195 that start
-# together one knows 157 after this time (virtual time).
+# A node that starts sees no other members at first; of 195 nodes that start together, a node
+# knows 157 after this time.
 CANDIDACY_DELAY_S = 1.0
 
 
 class Gateway(FollowerOwner, CurrencyOwner):
-    """One node that forwards requests, and shares the work of control with its peers."""
+    """One node that forwards requests and takes part in the control of the fleet."""
 
     def __init__(
         self,
@@ -204,18 +205,18 @@
     def ready(self) -> bool:
         """Whether this node serves callers.
 
-        One that starts while the store is away may have another node's copy, and refuses all
-        callers with a key until it, too, has a proof.
+        A node that starts while the store is unreachable may have copied another node's mirror.
+        It refuses all callers with a key until it has a proof of currency of its own.
         """
         return not self.stopping and self.view.was_proven and len(self._engines) > 0
 
     @property
     def sheds_connections(self) -> bool:
-        """Return whether callers are to close the connections on which they are answered."""
+        """Whether responses ask callers to close their connections."""
         return self.stopping or self._busy_node.closes
 
     async def start(self) -> None:
-        """Begin to follow the store and to talk to peers."""
+        """Start listening to peers, following the store, and the background loops."""
         await self._peers.listen(self.settings.peer_address)
         await self._relay.listen(self.settings.peer_address)
         for loop in (
@@ -237,13 +238,13 @@
         )
 
     def leave(self) -> None:
-        """Take no new callers: peers no longer name this node."""
+        """Leave the fleet: peers no longer name this node to callers."""
         self.stopping = True
         self._peers.depart()
         self.log.belief("stopping")
 
     async def stop(self) -> None:
-        """End; what this node led was handed over before."""
+        """Stop all tasks and close all links; the node must have resigned before."""
         for task in self._tasks:
             task.cancel()
         self._peers.close()
@@ -251,7 +252,7 @@
         self.log.belief("stopped")
 
     async def resign(self) -> None:
-        """Give no more orders; another node takes over."""
+        """Stop giving orders to engines, so that another node takes over."""
         await self._controller.stop()
 
     async def admit(self, incoming: IncomingRequest) -> OpaqueRequest | AdmissionRefusal:
@@ -260,24 +261,24 @@
             come_back_s = self._busy_node.come_back_s(random.random())
             why = f"lag_s={self.capacity.lag_s:.2f}"
             return AdmissionRefusal(ResultCode.NODE_BUSY, come_back_s, why)
-        found = self.admission.admit(incoming, clock.now_s())
-        if isinstance(found, AdmissionRefusal) and found.code is ResultCode.KEY_NOT_PROVEN:
+        admitted = self.admission.admit(incoming, clock.now_s())
+        if isinstance(admitted, AdmissionRefusal) and admitted.code is ResultCode.KEY_NOT_PROVEN:
             await self._currency.prove_within(constants.PROOF_WAIT_S)
-            found = self.admission.admit(incoming, clock.now_s())
-        if isinstance(found, AdmissionRefusal):
-            return found
-        refusal = self._quarantine.check(found) or self._quotas.check(found, clock.now_s())
-        return refusal or found
+            admitted = self.admission.admit(incoming, clock.now_s())
+        if isinstance(admitted, AdmissionRefusal):
+            return admitted
+        refusal = self._quarantine.check(admitted) or self._quotas.check(admitted, clock.now_s())
+        return refusal or admitted
 
     def addresses_for(self, zone: str, caller: str = "") -> list[str]:
-        """Return the front addresses that a caller of a zone, told by its address, should use."""
+        """Return the addresses that a caller at an address in a zone should connect to."""
         now = clock.now_s()
-        named = self._caller_directory.named(self._usable_members(now), zone, caller, now)
-        self.metrics.named_nodes.set(len(named))
-        return [self._front_of(member) for member in named]
+        members = self._caller_directory.named(self._usable_members(now), zone, caller, now)
+        self.metrics.named_nodes.set(len(members))
+        return [self._front_of(member) for member in members]
 
     def _usable_members(self, now: float) -> list[Member]:
-        """Return the members that take callers."""
+        """Return the members that accept callers."""
         members = [m for m in self._membership.members() if m.condition is Condition.ALIVE]
         members = self._peer_silence.speaking(members, now)
         if self.stopping:
@@ -357,12 +358,12 @@
         return self.settings.node in {member.node_id for member in candidates}
 
     def _state_is_current(self, now: float) -> bool:
-        """Return whether what came while this process stood still is known."""
+        """Return whether the node knows what changed while its process stood still."""
         self._check_standstill(now)
         return self._standstill.is_over(now, self._follower.currency.as_of)
 
     def _check_standstill(self, now: float) -> None:
-        """Ask the store at once after a standstill: engines may have left meanwhile."""
+        """Query the store at once after a standstill: engines may have left meanwhile."""
         if self._standstill.beat(now):
             slept_s = clock.slept_s()
             self.metrics.standstills.inc()
@@ -374,14 +375,14 @@
                 mirror_age_s=rounded_age(self._follower.currency.age_s(now)),
             )
             self._total_slept_s = slept_s
-            # Timers stood as long as the machine slept.
+            # Timers do not advance while the machine sleeps.
             self.forwarder.refresh_begin_deadlines()
             self._currency.ask_soon()
 
-    # What others tell
+    # Callbacks from the store, peers and engines
 
     def mirror_changed(self, change: MirrorChange, known_until: float) -> None:
-        """Take in a change of the store's mirror, and pass it on."""
+        """Apply a change of the store's mirror, and relay it to followers."""
         self._relay.publish(change)
         if change.restored:
             self._record_store_restore(era_of(self._follower.mirror.at))
@@ -395,12 +396,12 @@
         self.forwarder.queues.changed()
 
     def store_era_began(self, era: int) -> None:
-        """Note that an answer of the store names a later era: it came back from an older copy."""
+        """Handle a later era in a store's response: the store was restored from an older copy."""
         self._record_store_restore(era)
         self._follower.era_began()
 
     def store_era_refused(self, era: int, told: str) -> None:
-        """Note that an answer of the store is of an earlier era than is known, or tells none."""
+        """Record a store's response that was refused: its era is missing or too early."""
         self.metrics.refused_eras.inc()
         self.log.store_era_refused(told_era(era), told)
 
@@ -420,14 +421,14 @@
         self._currency.store_restored()
 
     def configuration_read(self, item: StoredItem) -> None:
-        """Take in a configuration that the mirror does not have yet."""
+        """Apply a configuration that the mirror does not have yet."""
         self._relay.publish_early(item)
         before = self.view.version
         self._beliefs.apply_item(item, self._follower.currency.as_of)
         self._announce_if_newer(before)
 
     def range_read(self, asked_at: float) -> None:
-        """Take the reading of the whole range as a proof of currency."""
+        """Use a complete read of the store's range as a proof of currency."""
         now = clock.now_s()
         self.log.belief(
             "store_read",
@@ -438,7 +439,7 @@
         self._currency.range_read(asked_at)
 
     def watch_behind(self, revision: int) -> None:
-        """Log that the watch did not bring what a reading named."""
+        """Log that the watch has not delivered a revision that a read returned."""
         self.log.belief("watch_behind", at=self._follower.mirror.at, revision=revision)
 
     def own_name(self) -> str:
@@ -446,15 +447,15 @@
         return self.settings.node
 
     def reads_for_others(self) -> bool:
-        """Return whether this node is to read the store, and not only until it may follow."""
+        """Return whether this node is one of those that should read the store directly."""
         return self._reader_plan.serves_others(self._membership.members())
 
     def store_connection(self, connected: bool) -> None:
-        """Note that the store was lost or regained."""
+        """Log that the connection to the store was lost or restored."""
         self.log.belief("store", connected=connected, at=self._follower.mirror.at)
 
     def relay_answered(self, answer: RelayAnswer, asked_at: float) -> None:
-        """Take the proof of the reader that this node follows."""
+        """Take over the proof of currency that the followed reader sent."""
         self._currency.take_answer(answer, asked_at)
 
     def reader_to_follow(self, store_lost: bool) -> Member | None:
@@ -463,12 +464,12 @@
         return self._reader_plan.reader(members, clock.now_s(), store_lost)
 
     def keeps_reader(self, reader: Member, since: float) -> bool:
-        """Return whether a node that was followed since a time is still one to follow."""
+        """Return whether a node that was followed since a time should still be followed."""
         members = self._membership.members()
         return self._reader_plan.keeps(reader, members, since, clock.now_s())
 
     def reader_followed(self, reader: Member, store_lost: bool) -> None:
-        """Log whom this node follows from now on, and what it knows before."""
+        """Log which node this node follows now, and how old its own data is."""
         now = clock.now_s()
         self.log.belief(
             "reader_followed",
@@ -480,7 +481,7 @@
         )
 
     def reader_lost(self, reader: Member, reason: str) -> None:
-        """Leave a reader alone for a while that serves this node no more."""
+        """Avoid a reader for a while, because it no longer serves this node."""
         self._reader_plan.avoid(reader.node_id, clock.now_s())
         self.log.belief("reader_lost", reader=reader.node_id, reason=reason)
 
@@ -507,7 +508,7 @@
         )
 
     def record_engine_word(self, word: EngineWord) -> None:
-        """Take in what an engine says of itself in an answer to this node."""
+        """Process what an engine reported about itself in a response to this node."""
         self._gossip.hear(word)
 
     def _on_engine_update(self, update: EngineUpdate) -> None:
@@ -536,14 +537,14 @@
             self._node_capacities.take_zone(report.zone, report.node_word, now)
         self._load_board.take_zone(report.zone, report.loads, now)
         members = self._membership.members()
-        words = topology_for(members).relayed(self._membership.own, report, members)
-        self._peers.send_loads(words)
+        relayed_reports = topology_for(members).relayed(self._membership.own, report, members)
+        self._peers.send_loads(relayed_reports)
 
     def _on_speeds(self, report: LoadReport) -> None:
         self._speed_exchange.hear(report, clock.now_s())
         members = self._membership.members()
-        words = topology_for(members).relayed(self._membership.own, report, members)
-        self._peers.send_loads(words)
+        relayed_reports = topology_for(members).relayed(self._membership.own, report, members)
+        self._peers.send_loads(relayed_reports)
 
     def _apply_quarantine(self, change: MirrorChange) -> None:
         now = clock.now_s()
@@ -596,7 +597,7 @@
     # Loops
 
     async def _supervise(self, loop: Callable[[], Coroutine[Any, Any, None]]) -> None:
-        """Run a loop that never ends by itself, and begin it anew should it fail."""
+        """Run an endless loop, and restart it if it fails."""
         while True:
             try:
                 await loop()
@@ -605,7 +606,7 @@
             await asyncio.sleep(constants.BACKGROUND_RESTART_SECONDS)
 
     async def _report_loads(self) -> None:
-        """Tell peers of this node's load while there is any, and once when there is none."""
+        """Send this node's load to peers while there is any, and once when there is none."""
         own = self._membership.own
         had_load = False
         reported_at = 0.0
@@ -614,43 +615,43 @@
             members = self._membership.members()
             topology = topology_for(members)
             kept = self._beliefs.selector.parts.directory.news(now)
-            words = topology.own_word(own, self._load_board, kept, members)
-            has_load = any(word.report.loads or word.report.kept for word in words)
+            messages = topology.own_word(own, self._load_board, kept, members)
+            has_load = any(message.report.loads or message.report.kept for message in messages)
             is_due = now - reported_at >= IDLE_REPORT_S
             if has_load or had_load or is_due:
-                words = [self._quotas.add_to(word, now) for word in words]
-                self._peers.send_loads([self._add_capacity(word, now) for word in words])
+                messages = [self._quotas.add_to(message, now) for message in messages]
+                self._peers.send_loads([self._add_capacity(message, now) for message in messages])
                 reported_at = now
-            self._peers.send_loads(self._speed_exchange.words(words, now))
+            self._peers.send_loads(self._speed_exchange.words(messages, now))
             had_load = has_load
             self._load_board.expire(now)
             await ticks.pause(topology.interval_s(own, members))
 
-    def _add_capacity(self, word: SendLoads, now: float) -> SendLoads:
-        """Return a word of load with what this node, or its zone, can bear and bears."""
-        if word.report.scope is LoadScope.NODE:
-            told = self.capacity.word()
+    def _add_capacity(self, message: SendLoads, now: float) -> SendLoads:
+        """Return a load report with the capacity and usage of this node or its zone."""
+        if message.report.scope is LoadScope.NODE:
+            capacity = self.capacity.word()
         else:
             zone = self.settings.zone
             nodes = [m.node_id for m in self._membership.members() if m.zone == zone]
-            told = self._node_capacities.total(nodes, now)
-        return replace(word, report=replace(word.report, node_word=told))
+            capacity = self._node_capacities.total(nodes, now)
+        return replace(message, report=replace(message.report, node_word=capacity))
 
     def _measure_capacity(self, now: float) -> None:
-        """Note what this node bears, and log which nodes are named less or in full again."""
+        """Measure this node's capacity, and log the nodes whose share of callers changed."""
         used = resource.getrusage(resource.RUSAGE_SELF)
         free_bytes = self.memory.budget.free_bytes if self.memory is not None else 0
         self.capacity.beat(now, used.ru_utime + used.ru_stime, free_bytes)
-        word = self.capacity.word()
-        self._node_capacities.take(self.settings.node, word, now)
-        self.metrics.show_capacity(word, self.capacity.lag_s)
+        capacity = self.capacity.word()
+        self._node_capacities.take(self.settings.node, capacity, now)
+        self.metrics.show_capacity(capacity, self.capacity.lag_s)
         self._update_load_shedding(now)
         changes = self._caller_directory.beat(self._usable_members(now), self.settings.zone, now)
         for change in changes[:MAX_LOGGED_CHANGES]:
             self.log.belief("node_named", of=len(changes), **change.inputs())
 
     def _update_load_shedding(self, now: float) -> None:
-        """Decide what this node sheds, and log where that changed."""
+        """Decide whether this node sheds connections or requests, and log changes of it."""
         own = self.settings
         others = [
             m.node_id
@@ -669,7 +670,7 @@
             )
 
     def _record_held_parts(self, now: float) -> None:
-        """Count, and log where it changed, whether parts can be moved to and from stores."""
+        """Export whether the link to cache stores is too slow to move parts, and log changes."""
         parts = self._beliefs.selector.parts
         is_short = parts.is_link_short(now)
         self.metrics.held_seconds.set(parts.directory.held_s)
@@ -680,7 +681,7 @@
             self.log.belief("store_link", short=is_short, nodes=parts.nodes, held_s=held_s)
 
     def _record_speeds(self, now: float) -> None:
-        """Work out how fast engines are, and tell operators of what changed."""
+        """Recompute the speeds of engines, and log those that became slow or normal again."""
         speeds = self._beliefs.selector.speeds
         for change in speeds.refresh(now):
             self.log.belief(
