--- a/liftrill/gateway/leadership.py
+++ b/liftrill/gateway/leadership.py
@@ -1,10 +1,10 @@
-"""One node at a time may give orders: a lease in the store, with a fencing token.
+"""Leader election: one node at a time may give orders, by a lease in the store.
 
-Besides the leader's key there is one that says whether orders were given lately. The
-leader must write it, on condition that it still has its lease, before its first order; a
-successor takes the lease on condition that this key is as it knows it. So a successor of
-an idle leader may begin at once, and one of a busy leader waits until the leader's
-last orders are long past.
+The leader's key carries the fencing token. A second key, the activity key, tells whether orders
+were given recently. The leader must write it, on condition that it still has its lease, before
+its first order. A successor takes the lease on condition that the activity key is unchanged. So
+the successor of an idle leader may give orders at once, and that of a busy leader waits until the
+last orders cannot be under way any more.
 """
 
 import asyncio
@@ -30,10 +30,10 @@
 
 LEADER_KEY = "liftrill/leader"
 ACTIVITY_KEY = "liftrill/orders"
-# The era in which fences are bare revisions, as those of nodes that know of no eras.
+# The era in which fencing tokens equal bare revisions, as nodes that know no eras use them.
 BASE_ERA_KEY = "liftrill/base-era"
 IDLE = b"idle"
-# How long each try of a renewal may take. A store that is slow answers the last one.
+# Time limits of the attempts to renew the lease; the last one suffices for a slow store.
 RENEWAL_TIMEOUTS_S = (0.35, 0.35, 1.0)
 
 
@@ -43,8 +43,8 @@
 
     Attributes:
         lease: times of the lease itself.
-        quiet: how long no order may come from a busy predecessor before the first one.
-        non_candidate_delay: how long a node that is no candidate leaves the key to the candidates.
+        quiet_period: wait before the first order of a term that follows a busy leader's.
+        non_candidate_delay: how long the key must be free before a non-candidate contends.
     """
 
     lease: LeaseParameters
@@ -53,7 +53,7 @@
 
 
 class Leadership:
-    """One contender for the right to give orders."""
+    """One node's part in the leader election."""
 
     def __init__(
         self,
@@ -78,7 +78,7 @@
         self._quiet_until = 0.0
         self._contend_after = 0.0
         self._may_resume = False
-        # The position of the leader's key that this node knew as the store came back, or 0.
+        # Position of the leader's key that this node knew when the store was restored, or 0.
         self._pre_restore_revision = 0
         self._renewed_at = -math.inf
         self._base_era: int | None = None
@@ -90,20 +90,20 @@
 
     @property
     def fence(self) -> int:
-        """The position of this node's key in the present term, or 0."""
+        """The position of this node's leader key in the current term, or 0."""
         return self._lease.token or 0
 
     @property
     def order_fence(self) -> int:
-        """The fencing token of the present term, or 0: higher than that of any term before.
+        """The fencing token of the current term, or 0; it is higher than that of any earlier term.
 
-        Nodes of builds that know of no eras use bare revisions: as long as the store has not
-        come back from an older copy, theirs and this one follow each other.
+        Nodes of older builds know no eras and use bare revisions. Until the store is restored
+        from an older copy, their tokens and these are ordered with each other.
         """
         return lifted(self.fence, self._base_era or 0)
 
     def _known_base_era(self) -> int:
-        """Return the base era: of the store's record, or the first that this node knew."""
+        """Return the base era: the one recorded in the store, or the first that this node knew."""
         item = self._mirror.get(BASE_ERA_KEY)
         if item is not None and item.value.isdigit():
             self._base_era = int(item.value)
@@ -116,19 +116,19 @@
         return self._active and self._lease.holds(now) and now >= self._quiet_until
 
     def holds(self, now: float) -> bool:
-        """Return whether this node believes that it leads."""
+        """Return whether this node holds the lease, as far as it knows."""
         return self._lease.holds(now)
 
     async def step(self) -> None:
-        """Do what is due with the store: acquire or renew."""
+        """Acquire or renew the lease if that is due."""
         if self._retired:
             return
         if self._mirror.at:
             self._known_base_era()
         now = self._clock()
-        had = self.fence
+        previous_fence = self.fence
         instruction = self._lease.due(now)
-        if had and not self.fence:
+        if previous_fence and not self.fence:
             self._log_loss("expired")
         try:
             if isinstance(instruction, RenewLease):
@@ -141,7 +141,7 @@
             self._log_call_outcome("")
 
     async def mark_active(self) -> None:
-        """Write that orders are about to be given, so that a successor waits."""
+        """Mark the term as active in the store before the first order, so that a successor waits."""
         if self._active:
             return
         try:
@@ -152,26 +152,26 @@
         self._active = True
 
     def record_order(self, now: float) -> None:
-        """Note that an order is being sent."""
+        """Record that an order is sent now."""
         self._last_order_at = now
 
     async def mark_idle(self, now: float) -> None:
-        """Write that no order was given for so long that a successor need not wait."""
+        """Mark the term as idle, once the last order is so old that a successor need not wait."""
         if not self._active or now - self._last_order_at < self._parameters.quiet_period:
             return
         self._activity_revision = await self._write_activity(IDLE)
         self._active = False
 
     async def resign(self) -> None:
-        """Give the lease back, so that another node takes over at once."""
+        """Release the lease, so that another node can take over at once."""
         lease, self._store_lease = self._store_lease, 0
         self._renewed_at = -math.inf
         if self.fence:
             self._log_loss("resigned")
         self._lease.step_down()
         self._active = False
-        # Also after this node stepped down: its key would keep all others from leading until
-        # the lease runs out.
+        # Also after a step-down: this node's key would keep all others from leading until the
+        # lease expires.
         if not lease:
             return
         try:
@@ -180,33 +180,34 @@
             self._log.belief("leader_key_left", lease=lease, reason=type(error).__name__)
 
     async def retire(self) -> None:
-        """Give the lease back and contend no more: this node is about to end."""
+        """Release the lease and stop contending, because this node is about to stop."""
         self._retired = True
         await self.resign()
 
     def step_down(self, reason: str) -> None:
-        """Stop giving orders: something shows that another node leads."""
+        """Stop giving orders, because another node may lead or the lease cannot be used."""
         if self.fence:
             self._log_loss(reason)
         self._lease.step_down()
         self._active = False
 
     def store_restored(self) -> None:
-        """Note that the store came back from an older copy: no lease of before holds there.
+        """Handle a restore of the store from an older copy, where no earlier lease is valid.
 
-        Whoever led until then may not know yet, and the copy may call it idle: others begin only
-        once its last orders are long past, and leave the key to it, which need not wait, for a
-        while. Otherwise loads of weights would stand for seconds after each return.
+        The former leader may not have noticed yet, and the copy may say that it was idle. Other
+        nodes therefore wait the quiet period before their first order, and leave the key to the
+        former leader for a while: it need not wait. Otherwise each restore would stop weight
+        loads for seconds.
         """
         self._store_lease = 0
         self._key_free_since = None
         previous = self._mirror.get(LEADER_KEY)
         self._pre_restore_revision = previous.revision if previous is not None else 0
         now = self._clock()
-        # Within its time to live nobody else can have had the key.
+        # Nobody else can have had the key within the time to live of this node's lease.
         self._may_resume = now - self._renewed_at < self._parameters.lease.time_to_live
         if self._may_resume:
-            self.step_down("the store came back from an older copy")
+            self.step_down("the store was restored from an older copy")
             return
         self._quiet_until = max(self._quiet_until, now + self._parameters.quiet_period)
         self._contend_after = now + self._parameters.non_candidate_delay
@@ -221,10 +222,10 @@
         )
 
     async def _has_written_activity(self) -> bool:
-        """Return whether a write of this term was done though its answer was lost.
+        """Return whether a write of this term succeeded although its response was lost.
 
-        Nobody else writes this node's name, and an earlier term's write is not newer than
-        what this term began with.
+        Only this node writes its own name, and a write of an earlier term is not newer than the
+        revision that this term began with.
         """
         reading = await self._store.read(ACTIVITY_KEY)
         item = reading.item
@@ -240,16 +241,16 @@
             asked_at = await self._renew_store_lease()
         except LeaseGoneError:
             self._store_lease = 0
-            self.step_down("lease over")
+            self.step_down("the lease expired in the store")
             return
         self._lease.renewed(asked_at)
         self._renewed_at = asked_at
 
     async def _renew_store_lease(self) -> float:
-        """Renew the store's lease and return when it was asked.
+        """Renew the lease in the store, and return when the successful request was sent.
 
-        A renewal may be asked for again at once: done twice it does no harm, and a lost
-        answer must not cost as much time as is left of the lease.
+        A failed renewal is retried at once: renewing twice does no harm, and a lost response
+        must not cost the rest of the lease's time.
         """
         for timeout_s in RENEWAL_TIMEOUTS_S[:-1]:
             asked_at = self._clock()
@@ -265,7 +266,7 @@
         leader = self._mirror.get(LEADER_KEY)
         if leader is not None:
             if leader.revision == self._pre_restore_revision:
-                # The key of before the store's return: the copy without it is not read yet.
+                # The key from before the restore: the mirror has not read the copy yet.
                 return
             self._key_free_since = None
             self._may_resume = False
@@ -276,7 +277,7 @@
             return
         if self._key_free_since is None:
             self._key_free_since = now
-        # Calls are paid for, and few nodes are enough; the others stand in for them.
+        # Store calls cost money and few candidates suffice; the other nodes are their reserve.
         if (
             self._may_resume
             or self._is_candidate()
@@ -285,11 +286,10 @@
             await self._acquire()
 
     async def _resume_own_term(self, leader: StoredItem) -> None:
-        """Take the lease up if the key is this node's own, for all that it knows.
+        """Resume the term if the leader's key belongs to this node's lease.
 
-        The answer to writing it, or to a renewal, may have been lost. If the lease can be
-        renewed, the key was held all the time: it goes with the lease, and nobody else
-        can have led since.
+        The response to writing the key, or to a renewal, may have been lost. The key is deleted
+        with its lease, so if the lease can be renewed, nobody else can have led meanwhile.
         """
         if not self._store_lease or leader.lease != self._store_lease:
             return
@@ -310,15 +310,15 @@
         asked_at = self._clock()
         lease = await self._store.grant_lease(self._parameters.lease.time_to_live)
         self._store_lease = lease
-        # Alone in its transaction: a store may count each item as a change, and the revision
-        # that it answers is the key's for sure only where it is the one item written.
+        # The key is the only item of its transaction: a store may count each item as a change,
+        # so that only then the returned revision is certainly the key's.
         fence = await self._store.transact(
             expected, (PutItem(LEADER_KEY, self._node.encode(), lease),)
         )
         self._begin_term(fence, activity, asked_at)
 
     async def _record_base_era(self) -> None:
-        """Write the base era that all fences count from, unless the store has it."""
+        """Record the era from which all fencing tokens count, unless the store has it."""
         base_era = self._known_base_era()
         if base_era and self._mirror.get(BASE_ERA_KEY) is None:
             await self._store.transact(
@@ -333,14 +333,14 @@
         self._activity_revision = activity.revision if activity else 0
         holder = activity.value if activity else IDLE
         now = self._clock()
-        wait = holder not in (IDLE, self._node.encode())
-        # A term that is taken up again still waits for what it had to wait for.
-        quiet_until = now + self._parameters.quiet_period if wait else now
+        must_wait = holder not in (IDLE, self._node.encode())
+        # A resumed term still waits for the end of its quiet period.
+        quiet_until = now + self._parameters.quiet_period if must_wait else now
         self._quiet_until = max(self._quiet_until, quiet_until)
-        self._log.belief("leading", fence=fence, predecessor=holder.decode(), waits=wait)
+        self._log.belief("leading", fence=fence, predecessor=holder.decode(), waits=must_wait)
 
     def _log_call_outcome(self, failure: str) -> None:
-        """Log how the calls about the lease end, where that has changed; the next one is due."""
+        """Log the outcome of a lease call if it differs from the last; calls are repeated."""
         if failure != self._call_failure:
             self._call_failure = failure
             self._log.belief("lease_calls", failure=failure)
--- a/liftrill/gateway/quarantine.py
+++ b/liftrill/gateway/quarantine.py
@@ -1,8 +1,9 @@
-"""Keeps requests under which engines end from further engines, at all nodes.
+"""Keeps requests that crash engines away from further engines, at all nodes.
 
-A node that loses a run asks whether its engine ended. If so it tells all nodes of the runs
-that it had there, and each node judges them alike. Requests that engines end under are
-refused for a time, which the store keeps for nodes that start, slept or were cut off.
+A node that loses a run checks whether the engine has ended. If it has, the node tells all nodes
+which runs it had there, and every node draws the same conclusion from them. Requests that crash
+engines are refused for a time. The store records this for nodes that start, slept or were cut
+off.
 """
 
 import time
@@ -21,17 +22,17 @@
 from liftrill.gateway.quarantine_ports import QuarantinePeers, QuarantineStorage
 from liftrill.gateway.served_requests import ServedRequests
 
-# How long before its engine was found to have ended a run may have been lost: a connection
-# that is refused tells it within milliseconds, one over a slow link later (guess).
+# How long before its engine was found to have ended a run may have been lost: a refused connection
+# shows the end within milliseconds, over a slow link later.
 LOSS_WINDOW_S = 0.5
-# How long a request waits for its judgement once enough engines ended under it: by then all
-# nodes have told what else they lost with the last one (a datagram takes some milliseconds).
+# How long a request is held once enough engines ended during it, until its case is decided: by then
+# all nodes have reported what they lost with the last engine (a datagram takes milliseconds).
 DECISION_DELAY_S = 0.1
 
 
 @dataclass(frozen=True, slots=True)
 class _LocalLoss:
-    """A run that this node lost, and whose it was."""
+    """A run that this node lost, and the route and tenant of its request."""
 
     run: LostRun
     route: str
@@ -40,12 +41,12 @@
 
 @dataclass(slots=True)
 class Quarantine:
-    """What one node knows of requests under which engines end.
+    """What one node knows of requests that crash engines.
 
     Attributes:
-        entries: the requests that are kept from engines, or were.
-        peers: how to tell other nodes.
-        keeper: where entries outlive this process.
+        entries: the requests that are or were in quarantine.
+        peers: reports to other nodes.
+        storage: keeps entries beyond the life of this process.
     """
 
     engines: EngineTable
@@ -56,41 +57,41 @@
     entries: QuarantineList = field(default_factory=QuarantineList)
     _evidence: CrashEvidence = field(default_factory=CrashEvidence)
     _served_requests: ServedRequests = field(default_factory=ServedRequests)
-    # By engine: runs lost or given up there lately, whose engine is not known to have ended.
+    # By engine: runs lost or abandoned there recently, while the engine is not known to have ended.
     _losses: dict[int, list[_LocalLoss]] = field(default_factory=dict)
-    # By engine that ended: its name.
+    # By engine that has ended: its name.
     _ended_engines: dict[int, str] = field(default_factory=dict)
-    # By fingerprint: a run of a suspect that this node lost itself.
+    # By fingerprint: a run of a suspect request that this node itself lost.
     _own_losses: dict[bytes, _LocalLoss] = field(default_factory=dict)
-    # By fingerprint: when a request that may be condemned is judged.
+    # By fingerprint: when it is decided whether a suspect request is put into quarantine.
     _decide_at: dict[bytes, float] = field(default_factory=dict)
 
-    # What requests ask
+    # Queries about requests
 
     def check(self, request: OpaqueRequest) -> AdmissionRefusal | None:
-        """Return why a request is refused, if engines end under it."""
+        """Return the refusal of a request in quarantine, or None."""
         remaining_s = self.remaining_s(request)
         if not remaining_s:
             return None
-        why = f"{request.fingerprint.hex()}: engines ended under it"
+        why = f"{request.fingerprint.hex()}: engines crashed while they ran it"
         return AdmissionRefusal(ResultCode.REQUEST_QUARANTINED, remaining_s, why)
 
     def remaining_s(self, request: OpaqueRequest) -> float:
-        """Return for how long a request is sent to no engine, or 0."""
-        # Nothing is hashed while the list is empty.
+        """Return for how long a request remains in quarantine, or 0."""
+        # Without entries no fingerprint needs to be computed.
         if not len(self.entries):
             return 0.0
         return self.entries.remaining_s(request.fingerprint, time.time())
 
     def is_suspect(self, request: OpaqueRequest) -> bool:
-        """Return whether an engine ended under a request, or it was in quarantine once."""
+        """Return whether an engine ended early in a request, or it ever was in quarantine."""
         if not len(self._evidence) and not len(self.entries):
             return False
         fingerprint = request.fingerprint
         return self._evidence.is_suspect(fingerprint) or self.entries.get(fingerprint) is not None
 
     def is_decided(self, request: OpaqueRequest, now: float) -> bool:
-        """Return whether a request need not wait for a judgement; make it if it is due."""
+        """Return whether no decision on a request is pending; decide it first if that is due."""
         if not self._decide_at:
             return True
         decide_at = self._decide_at.get(request.fingerprint)
@@ -101,12 +102,12 @@
         self._decide(request.fingerprint, now)
         return True
 
-    # What this node sees
+    # Observations of this node
 
     def run_lost(
         self, request: OpaqueRequest, view: EngineView, times: AttemptTimes, now: float
     ) -> None:
-        """Note that a run broke, or was given up: its engine may be found to have ended."""
+        """Record that a run was interrupted or abandoned, in case its engine has ended."""
         first = times.first_event_at
         early = first is None or now - first < EARLY_S
         run = LostRun(request.fingerprint, view.number, early, times.sent_at, now)
@@ -121,69 +122,69 @@
         return self._evidence.knows_end(view.number)
 
     def engine_ended(self, view: EngineView, now: float) -> None:
-        """Note that an engine has ended, and judge what was lost with it here."""
+        """Record that an engine has ended, with the runs that this node lost there."""
         self._record_end(view.number, "refused", now, view.record.incarnation)
 
     def incarnation_ended(self, view: EngineView, now: float) -> None:
-        """Note that an engine has started again, so that its former incarnation has ended."""
+        """Record that an engine has restarted, so that its former incarnation has ended."""
         self._record_end(view.number, "started again", now, view.record.incarnation)
 
     def served(self, request: OpaqueRequest, now: float) -> None:
-        """Note that an engine served a request: it is no suspect any more."""
+        """Record that an engine served a request, which clears it of suspicion."""
         self._served_requests.record(request, now)
         if not self.is_suspect(request):
             return
         self._clear(request.fingerprint, now)
         self.peers.send_served(request.fingerprint)
 
-    # What other nodes and the store tell
+    # Reports of other nodes and of the store
 
     def apply_lost_runs(self, node: str, runs: Iterable[LostRun], now: float) -> None:
-        """Take in runs that another node lost with engines that ended."""
+        """Add runs that another node lost with engines that ended."""
         for run in runs:
             self._record_end(run.worker, node, now)
             known = self.entries.get(run.fingerprint)
             if known is not None and self.entries.remaining_s(run.fingerprint, time.time()):
                 self._evidence.explain([run.worker], now)
                 if self._evidence.add(run):
-                    # It sent what is kept from engines: it has not heard.
+                    # The node sent a quarantined request, so it does not know of the quarantine.
                     self._attribute_ends(run.fingerprint, now)
                     self.peers.send_quarantined(known, node)
             elif self._evidence.add(run) and not self._clear_if_served(run, now):
                 self._schedule_decision(run, now)
 
     def apply_served(self, fingerprint: bytes, now: float) -> None:
-        """Take in that another node saw a suspect served."""
+        """Clear a suspect request that was served, as another node reports."""
         self._clear(fingerprint, now)
 
     def apply_quarantined(self, entry: QuarantineEntry, now: float) -> None:
-        """Take in that another node keeps a request from engines."""
-        own = self._own_losses.pop(entry.fingerprint, None)
-        if own is not None and not entry.route:
-            entry = replace(entry, route=own.route, tenant=own.tenant)
+        """Add an entry for a request that another node put into quarantine."""
+        own_loss = self._own_losses.pop(entry.fingerprint, None)
+        if own_loss is not None and not entry.route:
+            entry = replace(entry, route=own_loss.route, tenant=own_loss.tenant)
         if self._put_if_newer(entry, "peer", now):
-            self.storage.save(entry, at_once=own is not None)
+            self.storage.save(entry, at_once=own_loss is not None)
 
     def apply_record(self, entry: QuarantineEntry, now: float) -> None:
-        """Take in what the store keeps of a request."""
+        """Add an entry that the store has."""
         self._put_if_newer(entry, "store", now)
 
     def record_lost(self, fingerprint: bytes) -> None:
-        """Write an entry again whose record the store has lost."""
+        """Write an entry again after the store lost its record."""
         entry = self.entries.get(fingerprint)
         if entry is not None:
             self.storage.save(entry, at_once=False)
 
     def release(self, fingerprint: bytes, now: float) -> None:
-        """Let a request go whose record an operator, or a node that saw it served, removed."""
+        """Release a request whose record was deleted by an operator or after it was served."""
         if self.entries.remove(fingerprint):
             self._evidence.clear(fingerprint, now)
-            # What other nodes were about to write after this one must not bring it back.
+            # A pending write, here or at another node, must not restore the record.
             self.storage.delete(fingerprint)
             self.log.belief("quarantine_released", fingerprint=fingerprint.hex())
 
     def expire(self, now: float) -> None:
-        """Forget what is old."""
+        """Make due decisions, and remove entries and evidence that are too old."""
         self._evidence.expire(now)
         for fingerprint, decide_at in list(self._decide_at.items()):
             if now >= decide_at:
@@ -203,13 +204,13 @@
             self.storage.delete(entry.fingerprint)
         self.metrics.quarantined.set(self.entries.in_force(time.time()))
 
-    # Judging
+    # Decisions
 
     def _record_end(self, number: int, source: str, now: float, name: str = "") -> None:
-        """Note that an engine ended, and take what was lost with it here for evidence."""
+        """Record that an engine ended, and use this node's losses there as evidence."""
         if number in self._ended_engines:
             return
-        # Its record may be gone when its name is asked for.
+        # The engine's record may be deleted by the time that its name is needed.
         self._ended_engines[number] = name or self._engine_name(number)
         self._evidence.note_end(number, now)
         losses = self._losses.pop(number, [])
@@ -224,9 +225,9 @@
         self._add_losses(losses, now)
 
     def _add_losses(self, losses: list[_LocalLoss], now: float) -> None:
-        """Take runs that this node lost with an engine that ended for evidence, and tell it."""
+        """Add runs that this node lost with an ended engine as evidence, and report them."""
         fresh = [loss for loss in losses if now - loss.run.ended_at <= LOSS_WINDOW_S]
-        # Popular requests would be told by many nodes, and cleared by as many.
+        # Runs of popular requests would be reported by many nodes, and cleared by as many.
         doubtful = [loss for loss in fresh if not self._was_served_recently(loss.run)]
         added = [loss for loss in doubtful if self._evidence.add(loss.run)]
         if added:
@@ -236,14 +237,14 @@
             self._schedule_decision(loss.run, now)
 
     def _was_served_recently(self, run: LostRun) -> bool:
-        """Return whether engines served lately, for this node, what a run asked.
+        """Return whether engines recently served this node the same request as a lost run's.
 
-        What many callers ask is under way at most engines that end, whatever ends them.
+        A request that many callers send is running on most engines that end, whatever the cause.
         """
         return run.early and self._served_requests.has_served(run.fingerprint, run.ended_at)
 
     def _clear_if_served(self, run: LostRun, now: float) -> bool:
-        """Return whether engines serve what another node's run asked; if so clear it at all."""
+        """Clear a request that another node lost if this node had it served; return whether so."""
         if not self._was_served_recently(run):
             return False
         self._clear(run.fingerprint, now)
@@ -251,7 +252,7 @@
         return True
 
     def _schedule_decision(self, run: LostRun, now: float) -> None:
-        """Have a request judged if enough engines ended under it."""
+        """Schedule the decision on a request if enough engines ended during it."""
         fingerprint = run.fingerprint
         if self.entries.remaining_s(fingerprint, time.time()):
             self._attribute_ends(fingerprint, now)
@@ -259,11 +260,11 @@
             self._decide_at[fingerprint] = now + DECISION_DELAY_S
 
     def _ended_engine_again(self, run: LostRun) -> bool:
-        """Return whether an engine ended again under a request whose time was over."""
+        """Return whether an engine ended early in a request that was in quarantine before."""
         return run.early and self.entries.get(run.fingerprint) is not None
 
     def _decide(self, fingerprint: bytes, now: float) -> None:
-        """Put a request into quarantine if engines end under it."""
+        """Put a request into quarantine if the evidence shows that it crashes engines."""
         del self._decide_at[fingerprint]
         runs = self._evidence.runs(fingerprint)
         if not runs:
@@ -277,13 +278,13 @@
         if loss is not None:
             entry = replace(entry, route=loss.route, tenant=loss.tenant)
         self._put_if_newer(entry, "evidence", now)
-        # Nodes that lost it themselves are few: they write and tell at once.
+        # Only few nodes lost it themselves, so these write the record and report it at once.
         self.storage.save(entry, at_once=loss is not None)
         if loss is not None:
             self.peers.send_quarantined(entry)
 
     def _put_if_newer(self, entry: QuarantineEntry, source: str, now: float) -> bool:
-        """Take in an entry, and return whether the request was not known for it."""
+        """Add an entry unless a newer one is known; return whether it is newer than the known."""
         known = self.entries.get(entry.fingerprint)
         if known is not None and known.quarantine_count > entry.quarantine_count:
             return False
@@ -295,7 +296,7 @@
         return is_new
 
     def _attribute_ends(self, fingerprint: bytes, now: float) -> None:
-        """Count the ends under a request in quarantine as its doing, and as told of."""
+        """Attribute the engines that ended during a quarantined request to it."""
         entry = self.entries.get(fingerprint)
         named = (engine_number(name) for name in entry.engines) if entry else ()
         seen = (run.worker for run in self._evidence.runs(fingerprint))
@@ -312,7 +313,7 @@
             self.log.belief("suspect_served", fingerprint=fingerprint.hex())
 
     def _engine_name(self, number: int) -> str:
-        """Return an engine's name, or its number where it is not known here."""
+        """Return an engine's name, or its number if the name is not known here."""
         if number in self._ended_engines:
             return self._ended_engines[number]
         view = self.engines.by_number(number)
--- a/liftrill/gateway/quarantine_codec.py
+++ b/liftrill/gateway/quarantine_codec.py
@@ -1,4 +1,4 @@
-"""Turns what nodes tell of requests under which engines end into messages and back."""
+"""Encodes and decodes messages about requests that crash engines."""
 
 from collections.abc import Sequence
 
@@ -7,12 +7,12 @@
 from liftrill.gateway.quarantine_list import QuarantineEntry
 from liftrill.messages import peer_pb2 as messages
 
-# A run takes 38 bytes at most (worked out from the wire format): a datagram stays under 1,200.
+# An encoded run takes at most 38 bytes, so that a datagram stays below 1,200 bytes.
 RUNS_PER_DATAGRAM = 30
 
 
 def datagrams_from_runs(node: str, runs: Sequence[LostRun], now: float) -> list[messages.Datagram]:
-    """Return datagrams with which a node tells of runs, with ages as of now."""
+    """Return the datagrams that report a node's lost runs, with their ages as of now."""
     batches = [runs[at : at + RUNS_PER_DATAGRAM] for at in range(0, len(runs), RUNS_PER_DATAGRAM)]
     return [
         messages.Datagram(sender=node, lost_runs=[_run_message(run, now) for run in batch])
@@ -21,7 +21,7 @@
 
 
 def runs_from_message(message: messages.Datagram, now: float) -> list[LostRun]:
-    """Return the runs that a datagram tells of, by this node's clock."""
+    """Return the lost runs in a datagram, with times of this node's clock."""
     return [
         LostRun(
             row.fingerprint,
@@ -36,20 +36,20 @@
 
 
 def datagram_from_entry(entry: QuarantineEntry) -> messages.Datagram:
-    """Return a datagram that tells of a request in quarantine."""
+    """Return the datagram that reports a request in quarantine."""
     notice = messages.QuarantineNotice(fingerprint=entry.fingerprint, record=record_of(entry))
     return messages.Datagram(quarantined=notice)
 
 
 def entry_from_notice(notice: messages.QuarantineNotice) -> QuarantineEntry | None:
-    """Return the entry that a notice tells of, or None where it names no request."""
+    """Return the entry in a notice, or None if its fingerprint is invalid."""
     if len(notice.fingerprint) != FINGERPRINT_BYTES:
         return None
     return entry_from_record(notice.fingerprint, notice.record)
 
 
 def record_of(entry: QuarantineEntry) -> messages.QuarantineRecord:
-    """Return an entry as a message, without the request's name."""
+    """Return an entry as a record, which does not contain the fingerprint."""
     return messages.QuarantineRecord(
         until_unix_milliseconds=round(entry.until_unix_s * 1000),
         times=entry.quarantine_count,
@@ -60,7 +60,7 @@
 
 
 def entry_from_record(fingerprint: bytes, record: messages.QuarantineRecord) -> QuarantineEntry:
-    """Return the entry of a request that a message tells of."""
+    """Return the entry of a request that a record describes."""
     return QuarantineEntry(
         fingerprint,
         record.until_unix_milliseconds / 1000,
--- a/liftrill/gateway/quarantine_list.py
+++ b/liftrill/gateway/quarantine_list.py
@@ -1,32 +1,30 @@
-"""The requests that are sent to no engine, and until when, sans-IO.
+"""The requests in quarantine, which are sent to no engine, and until when, sans-IO.
 
-Times are of the day: the list outlives processes, and whatever a steady clock says on one
-machine means nothing on another. Clocks that differ by seconds move an end by seconds.
+Times are wall-clock times, because the list outlives processes and steady clocks of different
+machines cannot be compared. Clock differences of seconds shift the end of a quarantine by seconds.
 """
 
 from collections.abc import Iterator
 from dataclasses import dataclass, field
 
-# For how long a request is kept from engines the first time; each end after that doubles it.
-# Long beside the seconds in which callers repeat, short beside the time in which engines are
-# mended (guess).
+# Duration of a request's first quarantine; each further one doubles it. It is long compared with
+# the seconds within which callers retry, and short compared with the time to repair engines.
 FIRST_QUARANTINE_S = 600.0
 MAX_QUARANTINE_S = 6 * 3600.0
-# For how long it is remembered after that that a request was quarantined: one early end then
-# is enough (guess: a day).
+# How long an ended quarantine is remembered: within a day, one early end is enough for the next.
 RETENTION_S = 24 * 3600.0
-# The most requests in the list; those whose time ends first go first. 0.1 MB.
+# Size limit of the list (0.1 MB); the entries that expire first are removed first.
 MAX_ENTRIES = 256
 
 
 @dataclass(frozen=True, slots=True)
 class QuarantineEntry:
-    """One request that is, or was, kept from engines.
+    """One request that is or was in quarantine.
 
     Attributes:
-        times: how often it has been.
-        route: name of its route, or empty where that is not known here.
-        engines: names of those that ended under it.
+        quarantine_count: how often it was put into quarantine.
+        route: name of its route, or empty if not known here.
+        engines: names of the engines that ended while they ran it.
     """
 
     fingerprint: bytes
@@ -39,7 +37,7 @@
 
 @dataclass(slots=True)
 class QuarantineList:
-    """The entries that one node knows."""
+    """The quarantine entries that one node knows."""
 
     _entries: dict[bytes, QuarantineEntry] = field(default_factory=dict)
 
@@ -50,20 +48,20 @@
         return iter(self._entries.values())
 
     def get(self, fingerprint: bytes) -> QuarantineEntry | None:
-        """Return the entry of a request, also one that is no longer in force."""
+        """Return the entry of a request, in force or not, or None."""
         return self._entries.get(fingerprint)
 
     def remaining_s(self, fingerprint: bytes, now_unix_s: float) -> float:
-        """Return for how long a request is still kept from engines, or 0."""
+        """Return for how long a request remains in quarantine, or 0."""
         entry = self._entries.get(fingerprint)
         return max(0.0, entry.until_unix_s - now_unix_s) if entry else 0.0
 
     def in_force(self, now_unix_s: float) -> int:
-        """Return how many requests are kept from engines."""
+        """Return how many requests are in quarantine now."""
         return sum(entry.until_unix_s > now_unix_s for entry in self)
 
     def next_entry(self, fingerprint: bytes, now_unix_s: float) -> QuarantineEntry:
-        """Return what a request gets under which engines have ended now."""
+        """Return the entry for a request that is put into quarantine now."""
         known = self._entries.get(fingerprint)
         count = known.quarantine_count + 1 if known else 1
         duration_s = min(MAX_QUARANTINE_S, FIRST_QUARANTINE_S * 2.0 ** (count - 1))
@@ -77,9 +75,9 @@
             del self._entries[first.fingerprint]
 
     def remove(self, fingerprint: bytes) -> bool:
-        """Let a request go; return whether it was in the list."""
+        """Remove the entry of a request; return whether there was one."""
         return self._entries.pop(fingerprint, None) is not None
 
     def past_retention(self, now_unix_s: float) -> list[QuarantineEntry]:
-        """Return the entries that are no longer to be remembered."""
+        """Return the entries whose retention time is over."""
         return [entry for entry in self if entry.until_unix_s + RETENTION_S < now_unix_s]
--- a/liftrill/gateway/quarantine_ports.py
+++ b/liftrill/gateway/quarantine_ports.py
@@ -1,4 +1,4 @@
-"""What the quarantine of one node asks of its surroundings; all calls are immediate."""
+"""What the quarantine needs from its node; no call blocks."""
 
 from abc import ABC, abstractmethod
 
@@ -7,28 +7,28 @@
 
 
 class QuarantinePeers(ABC):
-    """Tells all other nodes what this one has seen."""
+    """Sends this node's observations to all other nodes."""
 
     @abstractmethod
     def send_lost_runs(self, runs: list[LostRun]) -> None:
-        """Tell of runs under which engines ended."""
+        """Report runs that were lost with engines that ended."""
 
     @abstractmethod
     def send_served(self, fingerprint: bytes) -> None:
-        """Tell that a suspect was served."""
+        """Report that a suspect request was served."""
 
     @abstractmethod
     def send_quarantined(self, entry: QuarantineEntry, node: str = "") -> None:
-        """Tell one node, or all, of a request that is kept from engines."""
+        """Report a request in quarantine to one node, or to all."""
 
 
 class QuarantineStorage(ABC):
-    """Keeps entries where nodes find them that start, or heard nothing for a while."""
+    """Stores entries for nodes that start or have been cut off."""
 
     @abstractmethod
     def save(self, entry: QuarantineEntry, at_once: bool) -> None:
-        """Keep an entry, at once or if no other node has done so soon."""
+        """Store an entry, at once or unless another node does so soon."""
 
     @abstractmethod
     def delete(self, fingerprint: bytes) -> None:
-        """Keep the entry of a request no longer."""
+        """Delete the stored entry of a request."""
--- a/liftrill/gateway/quarantine_records.py
+++ b/liftrill/gateway/quarantine_records.py
@@ -1,4 +1,4 @@
-"""Keeps the requests in quarantine in the store, one key each."""
+"""Keeps the quarantine's entries in the store, each under a key of its own."""
 
 import asyncio
 import random
@@ -24,21 +24,21 @@
 from liftrill.gateway.quarantine_ports import QuarantineStorage
 from liftrill.messages import peer_pb2 as messages
 
-# One key for each request, named by its fingerprint: an operator releases it by removing it.
+# Prefix of the records' keys; the fingerprint follows. Operators release a request by deleting it.
 QUARANTINE_KEY_PREFIX = "liftrill/quarantine/"
-# How long to wait after a write that failed (guess).
+# Wait after a failed write, if this node itself lost a run of the request.
 OWN_WRITE_RETRY_S = 1.0
-# A node that judged by what others told leaves the writing to them for about so long: a write
-# takes some milliseconds, and is heard by all within a fraction of a second.
+# A node without a loss of its own leaves the write to others for about this time: a write takes
+# milliseconds, and all nodes learn of it within a fraction of a second.
 OTHERS_WRITE_DELAY_S = 1.0
-# Many nodes must not ask a store together that is away (guess).
+# Longer for nodes without a loss of their own, so that not all query an unreachable store at once.
 OTHERS_WRITE_RETRY_S = 4.0
-# Waits differ by this share either way.
+# Waits are randomized by this share in either direction.
 JITTER_SHARE = 0.5
 
 
 def fingerprint_of(key: str) -> bytes | None:
-    """Return the request whose record a key is, or None."""
+    """Return the fingerprint of the request whose record has a key, or None."""
     if not key.startswith(QUARANTINE_KEY_PREFIX):
         return None
     try:
@@ -54,10 +54,10 @@
 
 
 def entry_of(item: StoredItem) -> QuarantineEntry | None:
-    """Return the entry that an item holds, or None if it holds none.
+    """Return the entry that an item holds, or None if its key is not a record's.
 
     Raises:
-        DecodeError: the value is no record.
+        DecodeError: the value is not a valid record.
     """
     fingerprint = fingerprint_of(item.key)
     if fingerprint is None:
@@ -67,7 +67,7 @@
 
 @dataclass(frozen=True, slots=True)
 class _Pending:
-    """A record to write, or with no entry to remove, and when (by `liftrill.clock`)."""
+    """A record to write, or to delete if there is no entry, and when (by `liftrill.clock`)."""
 
     entry: QuarantineEntry | None
     due_at: float
@@ -79,7 +79,7 @@
 
 
 class QuarantineRecords(QuarantineStorage):
-    """Writes records until the store has them."""
+    """Writes and deletes records, and retries until the store has the change."""
 
     def __init__(self, store: RangeStore, mirror: StoreMirror, log: DecisionLog) -> None:
         self._store = store
@@ -89,7 +89,7 @@
         self._write_requested = asyncio.Event()
 
     def save(self, entry: QuarantineEntry, at_once: bool) -> None:
-        """Write an entry, at once or unless another node has done so soon."""
+        """Write an entry, at once or unless another node does so soon."""
         now = clock.now_s()
         if at_once:
             pending = _Pending(entry, now, OWN_WRITE_RETRY_S)
@@ -99,11 +99,11 @@
         self._write_requested.set()
 
     def delete(self, fingerprint: bytes) -> None:
-        """Remove the record of a request."""
+        """Delete the record of a request."""
         self._pending[fingerprint] = _Pending(None, clock.now_s(), OTHERS_WRITE_RETRY_S)
 
     def read(self, item: StoredItem) -> QuarantineEntry | None:
-        """Return the entry that an item of the store holds, or None."""
+        """Return the entry that an item of the store holds, or None if it is invalid."""
         try:
             return entry_of(item)
         except DecodeError as error:
@@ -111,14 +111,14 @@
             return None
 
     async def write_due(self) -> None:
-        """Write what is due, one record after the other."""
+        """Write and delete the records that are due, one after the other."""
         self._write_requested.clear()
         for fingerprint, pending in list(self._pending.items()):
             if pending.due_at <= clock.now_s():
                 await self._write(fingerprint, pending)
 
     async def wait(self, longest_s: float) -> None:
-        """Wait until there is something to keep, or for a time."""
+        """Wait until a write is requested, but no longer than a time."""
         with suppress(TimeoutError):
             async with asyncio.timeout(ticks.until_tick_s(longest_s)):
                 await self._write_requested.wait()
@@ -138,7 +138,7 @@
             await self._store.transact(expected, puts, removed)
         except StoreError as error:
             self._log.belief("quarantine_not_written", key=key, why=repr(error))
-            # Another node was first, or the store is away: look again once the mirror tells.
+            # Another node wrote first, or the store is unreachable: check the mirror again later.
             if self._pending.get(fingerprint) is pending:
                 due_at = clock.now_s() + _jittered(pending.retry_s)
                 self._pending[fingerprint] = replace(pending, due_at=due_at)
@@ -147,7 +147,7 @@
             del self._pending[fingerprint]
 
     def _is_stored(self, known: StoredItem | None, entry: QuarantineEntry | None) -> bool:
-        """Return whether the store has what is to be written, or something later."""
+        """Return whether the store already has the change, or a newer entry."""
         if entry is None:
             return known is None
         recorded = self.read(known) if known else None
