--- a/liftrill/gateway/leadership.py
+++ b/liftrill/gateway/leadership.py
@@ -141,7 +141,7 @@
             self._log_call_outcome("")
 
     async def mark_active(self) -> None:
-        """Mark the term as active in the store before the first order, so that a successor waits."""
+        """Mark the term as active in the store before its first order, so that successors wait."""
         if self._active:
             return
         try:
--- a/liftrill/gateway/weight_controller.py
+++ b/liftrill/gateway/weight_controller.py
@@ -1,4 +1,4 @@
-"""The loop of the node that brings engines to the weights that the operator named."""
+"""The control loop that brings engines to the weight versions that the operator set."""
 
 import asyncio
 import itertools
@@ -27,8 +27,8 @@
 
 _notice_numbers = itertools.count(1)
 
-# Of a notice's sequence: its term's fence takes the bits above its own number's, up to those of
-# the store's returns.
+# Layout of a notice's sequence: the store's era in the high bits, the revision of the term's
+# fencing token below it, and the notice's own number in the low bits.
 NOTICE_NUMBER_BITS = 20
 ERA_SHIFT_BITS = 56
 
@@ -36,16 +36,16 @@
 
 
 def notice_sequence(fence: int, number: int) -> int:
-    """Return the sequence of a notice, which is higher for each later one, in 64 bits.
+    """Return the 64-bit sequence of a notice, which is higher than that of any earlier one.
 
-    Fences rise with terms, and numbers within one.
+    Fencing tokens rise from term to term, and numbers within a term.
     """
     era, revision = era_of(fence), revision_of(fence)
     return (era << ERA_SHIFT_BITS) + (revision << NOTICE_NUMBER_BITS) + number
 
 
 class WeightController:
-    """Leads, if it gets the lease, and gives the orders that the rollout plans."""
+    """Contends for leadership and, as the leader, gives the orders that the rollout plans."""
 
     def __init__(
         self,
@@ -71,20 +71,20 @@
         self._tasks: set[asyncio.Future[object]] = set()
 
     async def run(self) -> None:
-        """Lead or wait to lead for as long as the node runs."""
+        """Contend for leadership and lead for as long as the node runs."""
         while True:
             await self._leadership.step()
             await self._run_round(clock.now_s())
             await ticks.pause(TICK_SECONDS)
 
     async def stop(self) -> None:
-        """Give no more orders, wait for those on their way, and hand over."""
+        """Cancel orders under way and give up leadership, so that another node takes over."""
         for task in list(self._tasks):
             task.cancel()
         await self._leadership.retire()
 
     async def _run_round(self, now: float) -> None:
-        """One round of decisions; each is checked against the lease again when it is sent."""
+        """Make one round of decisions; each order checks the lease again when it is sent."""
         if not self._leadership.holds(now):
             self._end_term()
             return
@@ -126,8 +126,8 @@
         try:
             await self._leadership.mark_active()
         except StoreError as error:
-            # The answer may be lost and the write done; a new term settles which.
-            self._leadership.step_down(f"cannot write: {type(error).__name__}")
+            # The write may have succeeded although its response was lost; a new term finds out.
+            self._leadership.step_down(f"cannot mark the term active: {type(error).__name__}")
             await self._leadership.resign()
             return False
         return True
@@ -136,7 +136,7 @@
         try:
             await self._leadership.mark_idle(now)
         except StoreError as error:
-            self._leadership.step_down(f"cannot write: {type(error).__name__}")
+            self._leadership.step_down(f"cannot mark the term idle: {type(error).__name__}")
             await self._leadership.resign()
 
     async def _send_order(self, view: EngineView, instruction: GiveOrder) -> None:
@@ -181,7 +181,7 @@
             return
         self._rollout.order_refused(view.engine_id, now, REFUSED_ORDER_RETRY_SECONDS)
         if answer is OrderAnswer.STALE_FENCE:
-            self._leadership.step_down("an engine has seen a newer fence")
+            self._leadership.step_down("an engine has seen a newer fencing token")
 
     async def _poll_report(self, view: EngineView) -> None:
         load = self._rollout.loads.get(view.engine_id)
@@ -196,17 +196,17 @@
         self._rollout.record_report(view.engine_id, status.busy, clock.now_s())
 
     def _is_current(self, view: EngineView) -> bool:
-        """Return whether an engine has not started again since it was asked."""
+        """Return whether an engine has not restarted since it was queried."""
         return self._engines.get(view.engine_id) is view
 
     def _finish(self, view: EngineView, model: str, version: int) -> None:
-        """Tell that an engine has loaded; a newer version may be on its way already."""
+        """Announce that an engine has loaded a version; a newer one may be under way already."""
         view.learn_weights(model, version)
         self._announce(view, model, version, loading=False)
         self._log.belief("weights_reached", engine=view.engine_id, model=model, version=version)
 
     async def _read_status(self, view: EngineView) -> bool:
-        """Learn how many orders an engine has taken, if this term does not know."""
+        """Query how many orders an engine has accepted, unless this term knows."""
         if view.number in self._sequences:
             return True
         status = await self._client.report(view)
--- a/liftrill/gateway/weight_rollout.py
+++ b/liftrill/gateway/weight_rollout.py
@@ -1,8 +1,8 @@
 """Plans which engines are ordered to load new weights, and when, sans-IO.
 
-Few engines load at once, so that the others serve on with the older version. The first
-load of a version waits a while: versions named in quick succession are then reached by
-one load. How many load at once follows from the time that is left.
+Few engines load at the same time, so that the others continue to serve the older version. The
+first load of a version may be delayed, so that one load reaches several versions published in
+quick succession. The number of concurrent loads follows from the remaining time.
 """
 
 import math
@@ -22,17 +22,17 @@
     Attributes:
         batching_delay: wait for further versions before the first load.
         load_estimate: how long an engine is expected to be out of use for a load.
-        finish_margin: by which all loads should be over before the grace ends.
-        min_concurrent_loads: loads at once where time is no concern, in a small fleet.
-        concurrent_load_share: the same as a share of the engines, in a larger one.
-        queue_drain: how long before its order an engine gets no new requests, so that what
-            waits there has begun when the order comes.
-        max_queue_drain: how long the order waits for that at the most.
+        finish_margin: how long before the end of the grace period all loads should be done.
+        min_concurrent_loads: concurrent loads in a small fleet when there is enough time.
+        concurrent_load_share: the same for a larger fleet, as a share of its engines.
+        queue_drain: how long before its order an engine gets no new requests, so that queued
+            requests have begun when the order is sent.
+        max_queue_drain: how long the order waits for queued requests at most.
         max_run_drain: how long the order waits for running requests to end: their streams would
-            pause for as long as the load takes.
-        first_check_delay: when an engine is first asked whether it is done.
-        check_interval: between further questions.
-        order_timeout: after which an order without effect is given again.
+            pause during the load.
+        first_check_delay: time from the order to the first report query.
+        check_interval: time between further report queries.
+        order_timeout: time after which an order without effect is given again.
     """
 
     batching_delay: float = 0.0
@@ -49,7 +49,7 @@
 
 
 class LoadState(Enum):
-    """Where a load stands."""
+    """The state of one engine's load."""
 
     DRAINING = auto()
     ORDERED = auto()
@@ -59,12 +59,12 @@
 
 @dataclass(slots=True)
 class Load:
-    """One engine that is to load a version.
+    """One engine's load of a version.
 
     Attributes:
-        since: when it was given its present state.
-        next_at: when it is to be ordered, or asked next.
-        number: the incarnation that is to load: one that starts later knows of no order.
+        since: when the load was announced or, later, ordered.
+        next_at: when the order or the next report query is due.
+        number: the incarnation that is to load; a later one knows nothing of the order.
     """
 
     engine_id: str
@@ -78,7 +78,7 @@
 
 @dataclass(frozen=True, slots=True)
 class AnnounceLoad:
-    """Tell all nodes that an engine is about to load: they send it nothing new."""
+    """Announce to all nodes that an engine is about to load, so that they send it no requests."""
 
     engine_id: str
     model: str
@@ -96,14 +96,14 @@
 
 @dataclass(frozen=True, slots=True)
 class AskReport:
-    """Ask an engine whether it has loaded."""
+    """Query an engine's report of what it has loaded."""
 
     engine_id: str
 
 
 @dataclass(frozen=True, slots=True)
 class AnnounceDone:
-    """Tell all nodes that an engine has loaded."""
+    """Announce to all nodes that an engine has loaded a version."""
 
     engine_id: str
     model: str
@@ -115,7 +115,7 @@
 
 @dataclass(slots=True)
 class WeightRollout:
-    """The loads under way, from the side of the one node that gives orders."""
+    """The state of all loads under way, as the leader sees them."""
 
     targets: WeightTargets
     parameters: RolloutParameters = field(default_factory=RolloutParameters)
@@ -123,7 +123,7 @@
     _retry_at: dict[str, float] = field(default_factory=dict)
 
     def begin_term(self) -> None:
-        """Forget what an earlier term had under way."""
+        """Discard the loads of an earlier term."""
         self.loads.clear()
         self._retry_at.clear()
 
@@ -133,11 +133,11 @@
         return not self.loads
 
     def has_outdated_engine(self, engines: Iterable[EngineView]) -> bool:
-        """Return whether some engine is behind its target."""
+        """Return whether any engine has an older version than the newest published one."""
         return any(self._is_behind(view, m) for view in engines for m in self.targets.models())
 
     def due(self, engines: Iterable[EngineView], now: float) -> list[RolloutInstruction]:
-        """Return the orders and questions that are due now."""
+        """Return the announcements, orders and report queries that are due now."""
         known = {view.engine_id: view for view in engines}
         instructions: list[RolloutInstruction] = self._finish_loads(known)
         instructions.extend(self._due_load_steps(known, now))
@@ -146,20 +146,20 @@
         return instructions
 
     def order_accepted(self, engine_id: str, now: float) -> None:
-        """Note that an engine took an order."""
+        """Record that an engine accepted an order."""
         self._set_state(engine_id, LoadState.ACCEPTED, now)
 
     def order_unanswered(self, engine_id: str, now: float) -> None:
-        """Note that it is not known whether an engine took an order."""
+        """Record that an engine did not answer an order, so that its effect is unknown."""
         self._set_state(engine_id, LoadState.UNANSWERED, now)
 
     def order_refused(self, engine_id: str, now: float, pause: float) -> None:
-        """Note that an engine did not take an order; it is given again after a pause."""
+        """Record that an engine refused an order; it is given again after a pause."""
         self.loads.pop(engine_id, None)
         self._retry_at[engine_id] = now + pause
 
     def record_report(self, engine_id: str, busy: bool, now: float) -> None:
-        """Take in an engine's report that did not show the version yet."""
+        """Process an engine's report that does not show the ordered version yet."""
         load = self.loads.get(engine_id)
         if load is None:
             return
@@ -178,8 +178,8 @@
         done: list[RolloutInstruction] = []
         for engine_id, load in list(self.loads.items()):
             view = known.get(engine_id)
-            # One that has said that it leaves since is not ordered: it wants no new work, and
-            # the room for its load is another engine's.
+            # An engine that has begun to leave is not ordered: it accepts no new work, and
+            # another engine may load in its place.
             if view is None or view.number != load.number or view.leaving:
                 del self.loads[engine_id]
             elif view.weight_version(load.model) >= load.version:
@@ -203,14 +203,14 @@
         return instructions
 
     def _is_drained(self, load: Load, view: EngineView, now: float) -> bool:
-        """Return whether nothing waits there any more, or it was waited for long enough."""
+        """Return whether an engine has drained, or the wait for it has reached its limit."""
         waited = now - load.since
         if view.waiting_tokens > 0:
             return waited >= self.parameters.max_queue_drain
         return view.requests <= 0 or waited >= self.parameters.max_run_drain
 
     def _order(self, load: Load, now: float) -> GiveOrder:
-        # What was named since the announcement is reached by the same load.
+        # The load also reaches versions published since it was announced.
         load.version = self.targets.newest(load.model)
         load.state = LoadState.ORDERED
         load.since = now
@@ -242,7 +242,7 @@
     def _concurrent_loads(
         self, engines: int, versions: list[int], pending: list[PublishedVersion], now: float
     ) -> int:
-        """Return how many engines load at once, so that each version is reached in time."""
+        """Return how many engines may load at once for each version to be reached in time."""
         limit = max(
             self.parameters.min_concurrent_loads,
             math.floor(self.parameters.concurrent_load_share * engines),
--- a/liftrill/gateway/weight_targets.py
+++ b/liftrill/gateway/weight_targets.py
@@ -1,4 +1,4 @@
-"""Which weight versions a request may still begin on."""
+"""The weight versions published for each model, and on which ones a request may still begin."""
 
 import math
 from collections.abc import Callable
@@ -7,22 +7,23 @@
 from liftrill import constants
 from liftrill.gateway.records import WeightTarget
 
-# What a copy of the store lacks without any gap: as old as the last proof. A leader that took
-# each version to be as old would load more engines at once than it must (0.78 instead of 0.91 of
-# the requests' worth on a day on which 6 in 10 orders get no answer; one play each).
+# Without a gap, the mirror of the store lags by at most the age of the last proof. A leader that
+# took each version to be older by this lag would load more engines at once than needed: the value
+# of requests served then was 0.78 instead of 0.91 on a day with 6 in 10 orders unanswered.
 USUAL_STORE_LAG_S = constants.KEY_PROOF_INTERVAL_SECONDS
 
 
 @dataclass(frozen=True, slots=True)
 class PublishedVersion:
-    """A version that the operator named, and when it may have been (steady clock).
+    """A version that the operator published, and when (steady clock).
 
     Attributes:
-        published_at: the earliest time at which it may have been named: requests go by it.
-        learned_at: when it was heard of, or before that if there was a gap: a leader paces loads
+        published_at: the earliest time at which it may have been published; it bounds the use of
+            older versions.
+        learned_at: when this node learned of it, or earlier after a gap; the leader paces loads
             by it.
-        age_known: False where it was found in the first reading of the store: it may have
-            been named long before this process began.
+        age_known: False if the first read of the store returned it, so that it may have been
+            published long before this process started.
     """
 
     version: int
@@ -33,15 +34,15 @@
 
 @dataclass(slots=True)
 class WeightTargets:
-    """The versions named for each model.
+    """The versions published for each model.
 
-    A version may serve until the grace of every newer one has passed, counted from when it
-    may have been named at the earliest, less a margin for the way there.
+    A version may serve until the grace period of a newer version has passed. The period is
+    counted from the earliest time at which the newer version may have been published, and is
+    shortened by a margin for the way to the engine.
 
     Attributes:
-        grace_seconds: how long after the naming a request may still be sent to begin on an
-            older version.
-        begin_seconds: how long after the naming it may still begin there.
+        grace_seconds: how long after a publication a request may be sent to an older version.
+        begin_seconds: how long after a publication a request may begin on an older version.
     """
 
     grace_seconds: float
@@ -50,7 +51,7 @@
     _listeners: list[Callable[[], None]] = field(default_factory=list)
 
     def on_published(self, listener: Callable[[], None]) -> None:
-        """Call a listener whenever a version was named."""
+        """Call a listener whenever a version is published."""
         self._listeners.append(listener)
 
     def add(
@@ -60,7 +61,7 @@
         age_known: bool = True,
         now: float | None = None,
     ) -> bool:
-        """Take note of a target, heard of now, or when it was named; return whether it is news."""
+        """Add a version learned of now, or when it was published; return whether it is new."""
         published = self._published.setdefault(target.model, [])
         if published and published[-1].version >= target.version:
             return False
@@ -73,19 +74,19 @@
         return True
 
     def earliest_publication(self, known_until: float, now: float) -> float:
-        """Return since when a version that is news now may have been named.
+        """Return the earliest time at which a version that is new now may have been published.
 
-        A node that was cut off for long, or that has just started, can't tell. Half of the
-        grace is a guess that makes a leader hurry, and leaves time to bring engines there.
+        A node that was cut off for long, or has just started, cannot know. Half of the grace
+        period makes a leader hurry, and leaves enough time to load engines.
         """
         return max(known_until, now - self.grace_seconds / 2)
 
     def models(self) -> list[str]:
-        """Return the models for which a version was named."""
+        """Return the models for which a version was published."""
         return list(self._published)
 
     def newest(self, model: str) -> int:
-        """Return the newest version named for a model, or 0 if none was."""
+        """Return the newest version published for a model, or 0 if there is none."""
         published = self._published.get(model)
         return published[-1].version if published else 0
 
@@ -97,25 +98,25 @@
         return max(timed, default=0)
 
     def newest_undated(self, model: str) -> int:
-        """Return the newest version that may be older than any grace, or 0.
+        """Return the newest version of unknown age, or 0.
 
-        Where some engine has it, or a version near it, none that is older may be used.
+        If any engine has this version, or one close to it, no older version may be used.
         """
         return max(
             (n.version for n in self._published.get(model, []) if not n.age_known), default=0
         )
 
     def superseded_at(self, model: str, version: int) -> float:
-        """Return when a newer version than one was first named, or infinity."""
+        """Return when the first version newer than a given one was published, or infinity."""
         published = self._published.get(model, [])
         return min((n.published_at for n in published if n.version > version), default=math.inf)
 
     def begin_by(self, model: str, version: int) -> float:
-        """Return until when a request may begin on a version (steady clock)."""
+        """Return the time by which a request must have begun on a version (steady clock)."""
         published = self._published.get(model, [])
         newer = [n.published_at for n in published if n.age_known and n.version > version]
         return min(newer) + self.begin_seconds if newer else math.inf
 
     def newer_versions(self, model: str, reached: int) -> list[PublishedVersion]:
-        """Return the named versions that are newer than one reached, oldest first."""
+        """Return the published versions that are newer than a given one, oldest first."""
         return [n for n in self._published.get(model, []) if n.version > reached]
