--- a/liftrill/gateway/begin_deadlines.py
+++ b/liftrill/gateway/begin_deadlines.py
@@ -1,4 +1,4 @@
-"""Ends attempts that have not begun when they may no longer begin."""
+"""Interrupts attempts that have not begun by the time they must have begun."""
 
 import asyncio
 import math
@@ -9,7 +9,7 @@
 
 
 class BeginDeadlines:
-    """The attempts of one node that have not begun, each with the timer that ends it."""
+    """The attempts of one node that have not begun, each with the timer that interrupts it."""
 
     def __init__(self) -> None:
         self._begin_by: dict[asyncio.Timeout, Callable[[], float]] = {}
@@ -17,7 +17,7 @@
     async def read_before(
         self, begin_by: Callable[[], float], reading: Awaitable[list[events.DeliveryEvent]]
     ) -> list[events.DeliveryEvent]:
-        """Return what a read tells, or raise TimeoutError where the attempt may not begin."""
+        """Return the events of a read, or raise TimeoutError once the attempt must not begin."""
         async with asyncio.timeout_at(_due_at(begin_by())) as timer:
             self._begin_by[timer] = begin_by
             try:
@@ -26,15 +26,15 @@
                 del self._begin_by[timer]
 
     def refresh(self) -> None:
-        """Ask anew until when each attempt may begin."""
+        """Recompute until when each attempt may begin."""
         for timer, begin_by in self._begin_by.items():
-            # asyncio refuses to move a timer that is ending its attempt.
+            # asyncio does not allow an expired timer to be rescheduled.
             if not timer.expired():
                 timer.reschedule(_due_at(begin_by()))
 
 
 def _due_at(begin_by: float) -> float | None:
-    """Return when an attempt ends, on the loop's clock, or None where nothing bounds it."""
+    """Return the event loop's time at which an attempt is interrupted, or None for never."""
     if math.isinf(begin_by):
         return None
     left_s = max(0.0, begin_by - clock.now_s())
--- a/liftrill/gateway/caller_server.py
+++ b/liftrill/gateway/caller_server.py
@@ -1,4 +1,4 @@
-"""The sockets that callers connect to, and how a process ends without cutting requests."""
+"""The sockets that callers connect to, and their shutdown without interrupting requests."""
 
 import asyncio
 import socket
@@ -12,7 +12,7 @@
 
 
 class CallerServer:
-    """The listening sockets of one process, and the requests that are under way on them."""
+    """The listening sockets of one process, and the count of its requests in flight."""
 
     def __init__(self) -> None:
         self._servers: list[asyncio.Server] = []
@@ -22,7 +22,7 @@
         self._idle.set()
 
     async def listen(self, address: str, handle: Handler, receive_bytes: int = 0) -> None:
-        """Open a socket at HOST:PORT; its connections may be given a receive buffer's size."""
+        """Listen at HOST:PORT; if not 0, `receive_bytes` sets the receive buffer of connections."""
         handler = web.Server(
             handle,
             handler_cancellation=True,
@@ -37,7 +37,7 @@
         loop = asyncio.get_running_loop()
         server = await loop.create_server(handler, host, int(port), backlog=512)
         if receive_bytes:
-            # Accepted connections inherit it.
+            # Accepted connections inherit the size.
             for listening in server.sockets:
                 listening.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, receive_bytes)
         self._servers.append(server)
@@ -45,7 +45,7 @@
 
     @contextmanager
     def track_request(self) -> Iterator[None]:
-        """Count a request as under way for as long as the block runs."""
+        """Count a request as in flight while the block runs."""
         self._in_flight += 1
         self._idle.clear()
         try:
@@ -56,17 +56,17 @@
                 self._idle.set()
 
     def close_sockets(self) -> None:
-        """Open no more connections."""
+        """Close the listening sockets, so that no connection is accepted any more."""
         for server in self._servers:
             server.close()
 
     async def wait_until_idle(self, longest_seconds: float) -> None:
-        """Wait until no request is under way, or for a time at the most."""
+        """Wait until no request is in flight, but no longer than a time."""
         with suppress(TimeoutError):
             async with asyncio.timeout(max(0.0, longest_seconds)):
                 await self._idle.wait()
 
     def close_idle(self) -> None:
-        """Close the connections on which nothing is under way."""
+        """Close the connections that have no request in flight."""
         for handler in self._handlers:
             handler.pre_shutdown()
--- a/liftrill/gateway/event_stream.py
+++ b/liftrill/gateway/event_stream.py
@@ -1,4 +1,4 @@
-"""Splits a server-sent event stream into whole events, and orders them by id."""
+"""Splits the bytes of a server-sent event stream into complete events."""
 
 from dataclasses import dataclass
 
@@ -8,11 +8,11 @@
 
 @dataclass(frozen=True, slots=True)
 class StreamEvent:
-    """One whole event.
+    """One complete event.
 
     Attributes:
-        event_id: its id, or None where it carries none.
-        data: its bytes, with the blank line that ends it.
+        event_id: its id, or None if it has none.
+        data: its bytes, including the blank line that ends it.
     """
 
     event_id: int | None
@@ -20,18 +20,18 @@
 
 
 class EventSplitter:
-    """Cuts bytes into whole events; a torn event at the end stays behind."""
+    """Splits bytes into complete events, and keeps a partial event at the end."""
 
     def __init__(self) -> None:
         self._partial = b""
 
     @property
     def has_partial_event(self) -> bool:
-        """Whether bytes of an unfinished event are left."""
+        """Whether bytes of an incomplete event are left."""
         return bool(self._partial)
 
     def feed(self, data: bytes) -> list[StreamEvent]:
-        """Return the events that some bytes complete."""
+        """Add received bytes, and return the events that they complete."""
         *complete, self._partial = (self._partial + data).split(SEPARATOR)
         return [StreamEvent(_event_id(block), block + SEPARATOR) for block in complete]
 
--- a/liftrill/gateway/http_client.py
+++ b/liftrill/gateway/http_client.py
@@ -1,9 +1,9 @@
-"""aiohttp's client, held to at most one send for each call.
+"""aiohttp's client, restricted to at most one send for each call.
 
-aiohttp sends requests with idempotent methods again by itself when a kept connection
-turns out closed; takes bytes that come on an idle connection for the next answer; and
-takes a body without length for complete even when the connection was reset. Each of
-these would break a promise, so they are turned off here.
+By itself, aiohttp sends requests with idempotent methods again when a kept-alive connection turns
+out to be closed, takes bytes that arrive on an idle connection for the next response, and takes a
+body without a length for complete even if the connection was reset. Each of these would break a
+guarantee of the gateway, so they are disabled here.
 """
 
 import asyncio
@@ -25,21 +25,21 @@
 from liftrill.gateway.holding.memory_budget import LARGE_BODY_BYTES
 from liftrill.gateway.transport import allow_send
 
-# A peer behind a cut says nothing: unacknowledged data or probes end the connection.
+# A partitioned peer sends nothing: unacknowledged data or keep-alive probes end the connection.
 USER_TIMEOUT_MILLISECONDS = 2_000
 KEEPALIVE_IDLE_SECONDS = 2
 KEEPALIVE_INTERVAL_SECONDS = 1
 KEEPALIVE_PROBES = 2
 MAX_HEADER_BYTES = 32_768
 FIRST_FINAL_STATUS = 200
-# A connection is left alone after this share of the time that its peer says it keeps it.
+# An idle connection is reused only within this share of the peer's announced keep-alive timeout.
 IDLE_TIMEOUT_SHARE = 0.8
 MAX_IDLE_S = 30.0
 MAX_TIMEOUT_DIGITS = 9
 
 
 class GuardedResponseHandler(ResponseHandler):
-    """A client connection that closes on bytes nobody asked for and notices resets."""
+    """A client connection that closes on unsolicited bytes and detects resets."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop) -> None:
         super().__init__(loop=loop)
@@ -48,12 +48,12 @@
         self._last_data_at = clock.now_s()
 
     def set_response_params(self, **parameters: Any) -> None:
-        """Prepare for the answer to a request that is about to be sent."""
+        """Prepare for the response to a request that is about to be sent."""
         self._response_count = 0
         super().set_response_params(**parameters)
 
     def feed_data(self, data: Any, size: int = 0) -> None:
-        """Count the final answers that were parsed."""
+        """Count the final responses that were parsed."""
         message, _ = data
         if message.code >= FIRST_FINAL_STATUS:
             self._response_count += 1
@@ -61,7 +61,7 @@
         super().feed_data(data, size)
 
     def data_received(self, data: bytes) -> None:
-        """Take in bytes (asyncio callback); close if no answer is due."""
+        """Process received bytes (asyncio callback); close if no response is due."""
         if data and self._is_idle():
             self._should_close = True
             if self.transport is not None:
@@ -71,17 +71,19 @@
         super().data_received(data)
 
     def is_connected(self) -> bool:
-        """Return whether another request may be sent: the peer is not about to close."""
+        """Return whether another request may be sent, because the peer is not about to close."""
         idle_s = clock.now_s() - self._last_data_at
         if self._response_count and idle_s > self._idle_limit_s:
             return False
         return super().is_connected()
 
     def connection_lost(self, exc: BaseException | None) -> None:
-        """Note the end of the connection (asyncio callback)."""
+        """Handle the end of the connection (asyncio callback)."""
         payload = self._payload
         if exc is not None and payload is not None and not payload.is_eof():
-            set_exception(payload, ClientPayloadError("the connection was reset"), exc)
+            set_exception(
+                payload, ClientPayloadError("connection reset before the body ended"), exc
+            )
         super().connection_lost(exc)
 
     def _is_idle(self) -> bool:
@@ -90,52 +92,52 @@
 
 
 class SendWithdrawnError(LiftrillError):
-    """The connection is up, and the request that it was for may no longer be sent."""
+    """A request that must not be sent any more, though its connection was established."""
 
 
-# Asked once the connection for a request is there, before its first byte is written.
+# Called when the connection for a request is ready, before its first byte is written.
 may_send: ContextVar[Callable[[], bool]] = ContextVar("may_send", default=allow_send)
 
 
 class CheckingConnector(aiohttp.TCPConnector):
-    """Connections that are handed out only while what they are for may still be sent.
+    """A connector that returns a connection only if its request may still be sent.
 
-    One may take a second to come up, or be waited for by a machine that slept: what was known
-    when its engine was chosen is old by then.
+    A connection can take a second to establish, or the machine may sleep meanwhile, so that what
+    was known when the engine was chosen is outdated.
     """
 
     async def connect(self, *args: Any, **options: Any) -> Connection:
-        """Return a connection for a request."""
+        """Return a connection for a request, or raise SendWithdrawnError."""
         connection = await super().connect(*args, **options)
         if may_send.get()():
             return connection
         connection.release()
-        raise SendWithdrawnError("not sent")
+        raise SendWithdrawnError("the request may no longer be sent")
 
 
 class LargeBody(aiohttp.BytesPayload):
     """A body that is written in pieces.
 
-    The library joins the first piece with the head: of a whole body, that is a copy which lies
-    there until the engine has read it.
+    aiohttp joins the first piece with the head. For a body in one piece that would be a copy of
+    the whole body, kept until the engine has read it.
     """
 
     async def write_with_length(
         self, writer: AbstractStreamWriter, content_length: int | None
     ) -> None:
-        """Write as much as the engine reads."""
+        """Write the body piece by piece, as fast as the engine reads it."""
         whole = memoryview(self._value)
         for start in range(0, len(whole), LARGE_BODY_BYTES):
             await writer.write(whole[start : start + LARGE_BODY_BYTES])
 
 
 def payload(body: bytes) -> bytes | LargeBody | None:
-    """Return what to write for a body, or None for an empty one."""
+    """Return the payload to write for a body, or None for an empty one."""
     return LargeBody(body) if len(body) >= LARGE_BODY_BYTES else body or None
 
 
 def idle_limit_s(keep_alive: str) -> float:
-    """Return how long a connection is used again after an answer, by its Keep-Alive header."""
+    """Return for how long a connection may be reused, given a response's Keep-Alive header."""
     for parameter in keep_alive.split(","):
         name, _, value = parameter.partition("=")
         value = value.strip()
@@ -157,15 +159,15 @@
 
 
 def new_engine_session(limit_per_host: int = 0) -> aiohttp.ClientSession:
-    """Return a session that sends each request once and changes nothing in an answer."""
+    """Return a session that sends each request once and does not alter responses."""
     return _new_session(limit_per_host=limit_per_host, keepalive_timeout=MAX_IDLE_S)
 
 
 def new_store_session() -> aiohttp.ClientSession:
-    """Return a session that makes each call on a connection of its own.
+    """Return a session that uses a new connection for each call.
 
-    An open connection may go silent for good while new ones work: a call on a kept one would
-    then take until its time-out to tell that, and the next might meet another such connection.
+    An established connection may stop delivering data while new ones work. A call on a kept-alive
+    connection would notice only at its timeout, and the next call could use another such one.
     """
     return _new_session(force_close=True)
 
@@ -178,8 +180,8 @@
         socket_factory=_open_socket,
         **options,
     )
-    # aiohttp has no public way to choose the protocol class, or to forbid the second
-    # send on a kept connection; a feature checks that both still work as meant.
+    # aiohttp has no public way to choose the protocol class, or to forbid the second send on a
+    # kept-alive connection; a feature checks that both overrides still work.
     connector._factory = functools.partial(  # type: ignore[assignment]
         GuardedResponseHandler, loop=asyncio.get_running_loop()
     )
@@ -197,7 +199,7 @@
 
 
 async def refuses_connections(address: str) -> bool:
-    """Return whether connections to HOST:PORT are refused: nobody listens there any more."""
+    """Return whether HOST:PORT refuses connections, so that nothing listens there any more."""
     host, _, port = address.rpartition(":")
     try:
         async with asyncio.timeout(constants.CONNECT_TIMEOUT_SECONDS):
@@ -205,7 +207,7 @@
     except ConnectionRefusedError:
         return True
     except (OSError, TimeoutError):
-        # Silence may be a path that is cut: it says nothing of who listens.
+        # A timeout may be due to a network partition: it does not show whether anything listens.
         return False
     writer.close()
     return False
--- a/liftrill/gateway/http_server.py
+++ b/liftrill/gateway/http_server.py
@@ -1,6 +1,7 @@
 """The parts of aiohttp's server that are used here.
 
-The package aiohttp.web also imports applications, routes and files, none of which a node uses.
+The package aiohttp.web would also import applications, routing and file responses, which no node
+uses.
 """
 
 from aiohttp.web_request import BaseRequest
--- a/liftrill/gateway/opaque_request.py
+++ b/liftrill/gateway/opaque_request.py
@@ -1,4 +1,4 @@
-"""A request whose body the gateway does not read."""
+"""A request whose body the gateway does not parse."""
 
 from dataclasses import dataclass
 from functools import cached_property
@@ -7,14 +7,14 @@
 from liftrill import constants
 from liftrill.gateway.records import RequestKind, RouteRule
 
-# Two requests of a fleet are taken for one by accident with a chance of 2^-128 each; a digest
-# that can't be aimed keeps one caller from naming another one's request.
+# Two requests collide by accident with a probability of 2^-128. The digest is cryptographic, so
+# that no caller can construct a request with the fingerprint of another caller's.
 FINGERPRINT_BYTES = 16
 
 
 @dataclass(frozen=True, slots=True)
 class PromptPart:
-    """A part of a prompt, named by its caller; equal names hold equal tokens."""
+    """A part of a prompt, identified by its caller; equal ids stand for equal tokens."""
 
     part_id: str
     tokens: int
@@ -22,12 +22,12 @@
 
 @dataclass(frozen=True, slots=True)
 class PromptShape:
-    """What the caller tells of a prompt.
+    """What the caller declares about a prompt.
 
     Attributes:
-        parts: in order; the last one belongs to the request or its session alone.
+        parts: in order; the last one belongs only to the request or its session.
         prompt_tokens: tokens of the whole prompt.
-        output_tokens: the most tokens that will be generated.
+        output_tokens: the maximum number of tokens to generate.
     """
 
     model: str
@@ -37,33 +37,33 @@
 
     @property
     def declared_tokens(self) -> int:
-        """The most tokens that an engine holds for the request."""
+        """The maximum number of tokens that an engine holds for the request."""
         return self.prompt_tokens + self.output_tokens
 
     @property
     def shared_parts(self) -> tuple[PromptPart, ...]:
-        """The parts that other requests may have too."""
+        """The parts that other requests may share."""
         return self.parts[:-1]
 
     @property
     def shared_tokens(self) -> int:
-        """The tokens of the parts that other requests may have too."""
+        """The number of tokens in the parts that other requests may share."""
         return sum(part.tokens for part in self.shared_parts)
 
 
 @dataclass(frozen=True)
 class OpaqueRequest:
-    """One request of a caller, read whole and allowed by the configuration.
+    """One request of a caller, completely read and admitted by the configuration.
 
     Attributes:
         request_id: the caller's own id, passed on unchanged.
         target: path and query exactly as received.
-        headers: pairs to pass on, in order, repeated ones kept.
-        service: the service that the route's split chose.
+        headers: pairs to pass on, in order, including repeated ones.
+        service: the service that the route's weighted split chose.
         tenant: name of the tenant, or empty.
         received_at: on the steady clock, seconds.
-        deadline: on the steady clock, seconds; the earlier of caller's and route's.
-        last_event_id: where the caller asks a stream to go on, or None.
+        deadline: on the steady clock, seconds; the earlier of the caller's and the route's.
+        last_event_id: the event after which the caller resumes a stream, or None.
     """
 
     request_id: str
@@ -83,7 +83,7 @@
 
     @cached_property
     def fingerprint(self) -> bytes:
-        """The name of what is asked, by whom: the same whenever it is sent again, unlike the id."""
+        """Hash of the request's content and tenant: unlike the id, the same in each retry."""
         digest = blake2b(digest_size=FINGERPRINT_BYTES)
         words = (self.method, self.route.host, self.target, self.tenant)
         for field in (*(word.encode() for word in words), self.body):
@@ -92,32 +92,32 @@
         return digest.digest()
 
     def max_retry_wait_s(self, now: float) -> float:
-        """Return for how long the caller waits at the most if it is told to come back."""
+        """Return the longest time that the caller would wait before a retry if refused now."""
         return constants.PATIENCE_SHARE * max(0.0, self.deadline - now)
 
     @property
     def wait_deadline(self) -> float:
-        """Until when it may wait for an engine here, on the steady clock."""
+        """The time until which the request may wait for an engine here, on the steady clock."""
         return self.received_at + constants.ENGINE_WAIT_TARGET_SHARE * self.route.target_seconds
 
     def release_body(self) -> None:
-        """Let go of a body that is sent to no engine any more; the request's name stays known."""
+        """Free the body once no engine can need it; the fingerprint is computed before."""
         _ = self.fingerprint
         object.__setattr__(self, "body", b"")
 
     @property
     def may_run_again(self) -> bool:
-        """Whether a second run is allowed after the first may have begun."""
+        """Whether the request may be run again after a run of it may have begun."""
         if self.route.kind is RequestKind.STREAM:
             return self.route.resumable
         return self.route.kind is RequestKind.IDEMPOTENT
 
     @cached_property
     def shared_tokens(self) -> int:
-        """The tokens of the parts that other requests may have too."""
+        """The number of tokens in the parts that other requests may share."""
         return self.prompt.shared_tokens if self.prompt else 0
 
     @property
     def is_stream(self) -> bool:
-        """Whether the answer is a series of events."""
+        """Whether the response is a stream of events."""
         return self.route.kind is RequestKind.STREAM
--- a/liftrill/gateway/route_table.py
+++ b/liftrill/gateway/route_table.py
@@ -1,11 +1,11 @@
-"""Chooses a route by host and longest path prefix, and a service by weight."""
+"""Chooses the route of a request by host and path, and a service of the route by weight."""
 
 import random
 from collections.abc import Callable, Iterable
 
 from liftrill.gateway.records import RouteRule
 
-# A round of whole-number weights that add up to 100 is over by then.
+# Whole-number weights that add up to 100 have rounds of at most this length.
 MAX_ROUND_LENGTH = 100
 
 
@@ -18,7 +18,7 @@
             self._by_host.setdefault(route.host.lower(), {})[route.path_prefix] = route
 
     def find(self, host: str, path: str) -> RouteRule | None:
-        """Return the route with the longest prefix that begins a path, or None."""
+        """Return the route of a host with the longest prefix of a path, or None."""
         by_prefix = self._by_host.get(host.lower())
         if by_prefix is None:
             return None
@@ -34,8 +34,8 @@
 class WeightedSplit:
     """Smooth weighted round robin over the services of each route.
 
-    Each node begins somewhere in the round: if all began alike, the first requests of
-    many nodes would all go to the heaviest part.
+    Each node starts at a random position in the round. If all started at its beginning, the first
+    requests of many nodes would all go to the service with the largest weight.
     """
 
     def __init__(
@@ -63,5 +63,5 @@
         return best.service
 
     def reset(self) -> None:
-        """Begin anew, after a change of the configuration."""
+        """Restart all rounds, after a change of the configuration."""
         self._balances.clear()
--- a/liftrill/gateway/served_requests.py
+++ b/liftrill/gateway/served_requests.py
@@ -1,22 +1,22 @@
-"""Remembers the requests that were served last, to tell later which of them a run repeats."""
+"""Remembers recently served requests, to recognize a lost run of the same request later."""
 
 from collections import deque
 from dataclasses import dataclass, field
 
 from liftrill.gateway.opaque_request import OpaqueRequest
 
-# How many requests are remembered, and how large their bodies may be. 2 MB at the most, 0.2 MB
-# with bodies of 1.5 KB.
+# How many requests are remembered, and up to which body size: 2 MB at most, 0.2 MB with bodies of
+# 1.5 KB.
 MAX_REQUESTS = 128
 MAX_BODY_BYTES = 16 * 1024
-# For how long a request that was served is known not to end engines: what many callers ask is
-# served far more often (guess).
+# For how long a served request counts as harmless to engines; a request that many callers send is
+# served far more often.
 RECENT_S = 10.0
 
 
 @dataclass(slots=True)
 class ServedRequests:
-    """The last requests that engines served for this node; nothing is hashed to remember them."""
+    """The last requests served for this node; their fingerprints are computed only on lookup."""
 
     _served: deque[tuple[float, OpaqueRequest]] = field(
         default_factory=lambda: deque(maxlen=MAX_REQUESTS)
--- a/liftrill/gateway/transport.py
+++ b/liftrill/gateway/transport.py
@@ -1,4 +1,4 @@
-"""What the gateway asks of an adaptor to engines."""
+"""Interfaces of the delivery to engines and to callers."""
 
 from abc import ABC, abstractmethod
 from collections.abc import Callable
@@ -8,30 +8,31 @@
 
 
 def allow_send() -> bool:
-    """Let a request be sent."""
+    """Allow every request to be sent."""
     return True
 
 
 class EngineAttempt(ABC):
-    """One send of a request to an engine.
+    """One attempt to have an engine run a request.
 
     Attributes:
-        may_send: asked before the first byte; if it says no, the attempt is refused as withdrawn.
+        may_send: called before the first byte is sent; if it returns False, the attempt is refused
+            as withdrawn.
     """
 
     may_send: Callable[[], bool] = staticmethod(allow_send)
 
     @abstractmethod
     async def open(self) -> list[events.DeliveryEvent]:
-        """Send the request and return what the head of the answer tells."""
+        """Send the request, and return the events of the response's head."""
 
     @abstractmethod
     async def read(self) -> list[events.DeliveryEvent]:
-        """Return what the next bytes of the answer tell."""
+        """Return the events of the next bytes of the response."""
 
     @abstractmethod
     def close(self) -> None:
-        """End the attempt; an engine that still works on it stops."""
+        """Close the connection, so that the engine stops working on the request."""
 
 
 class EngineTransport(ABC):
@@ -39,49 +40,49 @@
 
     @abstractmethod
     def attempt(self, request: OpaqueRequest, start: events.StartAttempt) -> EngineAttempt:
-        """Prepare to send a request; nothing is sent yet."""
+        """Return a new attempt, which sends nothing before it is opened."""
 
     @abstractmethod
     async def has_ended(self, address: str) -> bool:
-        """Return whether nobody listens at an engine's address; False where that is not known."""
+        """Return whether nothing listens at an engine's address; False if that is unknown."""
 
 
 class ResponseSink(ABC):
-    """Where the answer to a caller goes."""
+    """Sends the response to a caller."""
 
     @property
     def caller_wait_s(self) -> float:
-        """For how long the run stood still for its caller."""
+        """For how long this delivery waited for its caller to read."""
         return 0.0
 
     def body_released(self) -> None:
-        """Note that the body of the caller's request is not held any more."""
+        """Handle that the body of the caller's request was freed."""
         return
 
     @abstractmethod
     async def send_response(self, answer: events.CompleteResponse) -> None:
-        """Send a whole answer."""
+        """Send a complete response."""
 
     @abstractmethod
     async def send_head(self, head: events.SendHead) -> None:
-        """Begin a streamed answer."""
+        """Send the head of a streamed response."""
 
     @abstractmethod
     async def send_bytes(self, data: bytes) -> None:
-        """Send bytes of a streamed answer."""
+        """Send bytes of a streamed response."""
 
     @abstractmethod
     async def finish(self) -> None:
-        """End a streamed answer as complete."""
+        """End a streamed response as complete."""
 
     @abstractmethod
     def abort_stream(self) -> None:
-        """End a streamed answer so that it cannot be taken for complete."""
+        """Abort a streamed response, so that the caller cannot take it for complete."""
 
     @abstractmethod
     async def refuse(self, refusal: events.RefuseRequest) -> None:
-        """Answer that the request was not run."""
+        """Respond that the request was not run."""
 
     @abstractmethod
     async def fail(self, failure: events.FailRequest) -> None:
-        """Answer that the outcome is not known."""
+        """Respond that the outcome of the request is unknown."""
--- a/liftrill/gateway/weight_targets.py
+++ b/liftrill/gateway/weight_targets.py
@@ -8,8 +8,8 @@
 from liftrill.gateway.records import WeightTarget
 
 # Without a gap, the mirror of the store lags by at most the age of the last proof. A leader that
-# took each version to be older by this lag would load more engines at once than needed: the value
-# of requests served then was 0.78 instead of 0.91 on a day with 6 in 10 orders unanswered.
+# took each version to be older by this lag would load more engines at once than needed: it served
+# 0.78 instead of 0.91 of the requests' value on a day on which 6 in 10 orders were unanswered.
 USUAL_STORE_LAG_S = constants.KEY_PROOF_INTERVAL_SECONDS
 
 
@@ -100,7 +100,8 @@
     def newest_undated(self, model: str) -> int:
         """Return the newest version of unknown age, or 0.
 
-        If any engine has this version, or one close to it, no older version may be used.
+        No request may begin on a version older than this one, or than the newest version that any
+        engine has, whichever is older.
         """
         return max(
             (n.version for n in self._published.get(model, []) if not n.age_known), default=0
