--- a/features/steps/gateway_weights_steps.py
+++ b/features/steps/gateway_weights_steps.py
@@ -204,7 +204,7 @@
             return
         self.mirror.begin_reading()
         self.mirror.take_page(await self.store.read_range("", ""))
-        await self.leadership.step()
+        await self.leadership.acquire_or_renew()
 
 
 def run_contenders(context, seconds):
@@ -269,7 +269,7 @@
     for _ in range(8):
         store.advance(TICK_SECONDS)
         for contender in context.contenders:
-            context.run(contender.leadership.step())
+            context.run(contender.leadership.acquire_or_renew())
 
 
 @then("the same one leads again within {seconds:g} s, and may give orders at once")
--- a/features/steps/room_steps.py
+++ b/features/steps/room_steps.py
@@ -369,7 +369,7 @@
 @given("a line that {rate:d} places a second come free for, and {count:d} requests that wait")
 def step_drained_line(context, rate, count):
     context.crowd = Crowd()
-    context.crowd.forwarder._places.log = Mock()
+    context.crowd.forwarder._queue_entries.log = Mock()
     line = context.crowd.forwarder.queues.line(SERVICE)
     now = clock.now_s()
     for number in range(2 * rate):
@@ -387,7 +387,7 @@
 @then("one more that may wait for {seconds:g} s is refused at once, with a line in the log")
 def step_refused_at_once(context, seconds):
     assert try_to_wait(context, 1, seconds) is None
-    context.crowd.forwarder._places.log.not_queued.assert_called_once()
+    context.crowd.forwarder._queue_entries.log.not_queued.assert_called_once()
 
 
 @then("one that is more urgent waits")
@@ -584,7 +584,7 @@
 def step_asked_in_vain(context, at):
     async def play():
         crowd = Crowd()
-        crowd.forwarder._places.returning = context.returning
+        crowd.forwarder._queue_entries.returning = context.returning
         await asyncio.sleep(at)
         request = replace(context.request, received_at=clock.now_s())
         context.standings = []
--- a/liftrill/gateway/begin_deadlines.py
+++ b/liftrill/gateway/begin_deadlines.py
@@ -37,5 +37,5 @@
     """Return the event loop's time at which an attempt is interrupted, or None for never."""
     if math.isinf(begin_by):
         return None
-    left_s = max(0.0, begin_by - clock.now_s())
-    return asyncio.get_running_loop().time() + left_s
+    remaining_s = max(0.0, begin_by - clock.now_s())
+    return asyncio.get_running_loop().time() + remaining_s
--- a/liftrill/gateway/delivery.py
+++ b/liftrill/gateway/delivery.py
@@ -47,7 +47,7 @@
 
     @abstractmethod
     def continue_at_backup(
-        self, request: OpaqueRequest, broken: events.EngineChoice
+        self, request: OpaqueRequest, interrupted: events.EngineChoice
     ) -> events.EngineChoice | None:
         """Return how to continue an interrupted run at its backup, or None if it cannot."""
 
@@ -194,11 +194,11 @@
         return self._retry()
 
     def _on_interrupted(self, _: events.AttemptInterrupted) -> list[events.DeliveryInstruction]:
-        broken = self.attempts[-1]
-        self._excluded.add(broken.engine_id)
+        interrupted = self.attempts[-1]
+        self._excluded.add(interrupted.engine_id)
         self._refusal_code = ResultCode.ENGINE_LOST
         if not self.request.may_run_again:
-            return [events.AbandonAttempt(), self._continue_or_end(broken)]
+            return [events.AbandonAttempt(), self._continue_or_end(interrupted)]
         self.phase = Phase.WAITING
         return [events.AbandonAttempt(), *self._retry()]
 
@@ -265,16 +265,16 @@
             return [self._end(ResultCode.RETRY_BUDGET_EXHAUSTED)]
         return [self._start_attempt(choice)]
 
-    def _continue_or_end(self, broken: events.EngineChoice) -> events.DeliveryInstruction:
+    def _continue_or_end(self, interrupted: events.EngineChoice) -> events.DeliveryInstruction:
         """Continue an interrupted run at its backup; it counts as the same run.
 
         Only a run whose first event was received is continued: before that it is unknown
         whether the backup has anything of it.
         """
         limit_reached = self._continuations >= MAX_CONTINUATIONS
-        if not self._head_sent or limit_reached or broken.backup is None:
+        if not self._head_sent or limit_reached or interrupted.backup is None:
             return self._end(self._engine_loss_code())
-        choice = self._ports.continue_at_backup(self.request, broken)
+        choice = self._ports.continue_at_backup(self.request, interrupted)
         if choice is None or not self._ports.try_spend_retry(self.request):
             return self._end(self._engine_loss_code())
         self._continuations += 1
--- a/liftrill/gateway/draining.py
+++ b/liftrill/gateway/draining.py
@@ -14,8 +14,8 @@
 async def drain(gateway: Gateway, server: CallerServer, refuse_new: Callable[[], None]) -> None:
     """Leave the fleet, finish the requests that callers still send, and stop."""
     loop = asyncio.get_running_loop()
-    began = loop.time()
-    deadline = began + gateway.settings.bounds.stop_seconds - STOP_MARGIN_SECONDS
+    started_at = loop.time()
+    deadline = started_at + gateway.settings.bounds.stop_seconds - STOP_MARGIN_SECONDS
     gateway.leave()
     await gateway.resign()
     # Callers cache the addresses of nodes, and connect to this one until their copy is too old.
--- a/liftrill/gateway/forwarder.py
+++ b/liftrill/gateway/forwarder.py
@@ -108,7 +108,7 @@
         return Unavailable.QUARANTINED if self._quarantine.remaining_s(request) else None
 
     def continue_at_backup(
-        self, request: OpaqueRequest, broken: events.EngineChoice
+        self, request: OpaqueRequest, interrupted: events.EngineChoice
     ) -> events.EngineChoice | None:
         """Return the backup's engine in its present state, or None if it cannot continue."""
         now = clock.now_s()
@@ -116,7 +116,7 @@
             return None
         if self._quarantine is not None and self._quarantine.remaining_s(request):
             return None
-        return self._selector.continue_at_backup(request, broken, now)
+        return self._selector.continue_at_backup(request, interrupted, now)
 
     def begin_by(self, choice: events.EngineChoice, request: OpaqueRequest) -> float:
         """Return the time by which an attempt must have begun, on the steady clock."""
@@ -203,10 +203,10 @@
     ) -> None:
         super().__init__(log, metrics)
         ports.must_wait = self.queues.must_wait
-        self._places = PlacesInLine(
+        self._queue_entries = PlacesInLine(
             self.queues, ports.retry_after.returning, ports.wait_conditions, log
         )
-        ports.retry_after.line_wait_s = self._places.wait_s
+        ports.retry_after.line_wait_s = self._queue_entries.wait_s
         ports.on_overload_change(self._log_overload)
         self._quarantine = quarantine
         self._end_check = EngineEndCheck(transport, quarantine.engine_ended)
@@ -250,7 +250,7 @@
         self, request: OpaqueRequest, until: float, for_capacity: bool
     ) -> Place | None:
         """Return the queue entry of a waiting request, or None if waiting cannot help."""
-        return self._places.place(request, until, for_capacity, clock.now_s())
+        return self._queue_entries.place(request, until, for_capacity, clock.now_s())
 
     def _log_overload(self, change: OverloadTurn) -> None:
         depth, age_s = self.queues.depth_and_age_s(clock.now_s())
--- a/liftrill/gateway/gateway.py
+++ b/liftrill/gateway/gateway.py
@@ -275,7 +275,7 @@
         now = clock.now_s()
         members = self._caller_directory.named(self._usable_members(now), zone, caller, now)
         self.metrics.named_nodes.set(len(members))
-        return [self._front_of(member) for member in members]
+        return [self._front_address(member) for member in members]
 
     def _usable_members(self, now: float) -> list[Member]:
         """Return the members that accept callers."""
@@ -285,7 +285,7 @@
             members = [m for m in members if m.node_id != self.settings.node]
         return members
 
-    def _front_of(self, member: Member) -> str:
+    def _front_address(self, member: Member) -> str:
         host, _, _ = member.address.rpartition(":")
         _, _, port = self.settings.front.rpartition(":")
         return f"{host}:{port}"
@@ -669,7 +669,7 @@
                 others_late_s=round(others_late_s, 3),
             )
 
-    def _record_held_parts(self, now: float) -> None:
+    def _record_store_link(self, now: float) -> None:
         """Export whether the link to cache stores is too slow to move parts, and log changes."""
         parts = self._beliefs.selector.parts
         is_short = parts.is_link_short(now)
@@ -726,7 +726,7 @@
             depth, age_s = self.forwarder.queues.depth_and_age_s(now)
             self.metrics.line_depth.set(depth)
             self.metrics.line_age.set(age_s)
-            self._record_held_parts(now)
+            self._record_store_link(now)
             self._record_speeds(now)
             self._fleet.note(len(self._membership.members()), now)
             self._quotas.expire(now)
--- a/liftrill/gateway/leadership.py
+++ b/liftrill/gateway/leadership.py
@@ -119,7 +119,7 @@
         """Return whether this node holds the lease, as far as it knows."""
         return self._lease.holds(now)
 
-    async def step(self) -> None:
+    async def acquire_or_renew(self) -> None:
         """Acquire or renew the lease if that is due."""
         if self._retired:
             return
--- a/liftrill/gateway/quarantine.py
+++ b/liftrill/gateway/quarantine.py
@@ -192,9 +192,9 @@
         for fingerprint in [name for name in self._own_losses if not self._evidence.runs(name)]:
             del self._own_losses[fingerprint]
         for number, losses in list(self._losses.items()):
-            left = [loss for loss in losses if now - loss.run.ended_at <= LOSS_WINDOW_S]
-            if left:
-                self._losses[number] = left
+            remaining = [loss for loss in losses if now - loss.run.ended_at <= LOSS_WINDOW_S]
+            if remaining:
+                self._losses[number] = remaining
             else:
                 del self._losses[number]
         for number in [n for n in self._ended_engines if not self._evidence.knows_end(n)]:
@@ -226,10 +226,10 @@
 
     def _add_losses(self, losses: list[_LocalLoss], now: float) -> None:
         """Add runs that this node lost with an ended engine as evidence, and report them."""
-        fresh = [loss for loss in losses if now - loss.run.ended_at <= LOSS_WINDOW_S]
+        recent = [loss for loss in losses if now - loss.run.ended_at <= LOSS_WINDOW_S]
         # Runs of popular requests would be reported by many nodes, and cleared by as many.
-        doubtful = [loss for loss in fresh if not self._was_served_recently(loss.run)]
-        added = [loss for loss in doubtful if self._evidence.add(loss.run)]
+        suspicious = [loss for loss in recent if not self._was_served_recently(loss.run)]
+        added = [loss for loss in suspicious if self._evidence.add(loss.run)]
         if added:
             self.peers.send_lost_runs([loss.run for loss in added])
         for loss in added:
--- a/liftrill/gateway/transport.py
+++ b/liftrill/gateway/transport.py
@@ -60,7 +60,7 @@
         return
 
     @abstractmethod
-    async def send_response(self, answer: events.CompleteResponse) -> None:
+    async def send_response(self, response: events.CompleteResponse) -> None:
         """Send a complete response."""
 
     @abstractmethod
--- a/liftrill/gateway/weight_controller.py
+++ b/liftrill/gateway/weight_controller.py
@@ -73,7 +73,7 @@
     async def run(self) -> None:
         """Contend for leadership and lead for as long as the node runs."""
         while True:
-            await self._leadership.step()
+            await self._leadership.acquire_or_renew()
             await self._run_round(clock.now_s())
             await ticks.pause(TICK_SECONDS)
 
--- a/liftrill/gateway/weight_rollout.py
+++ b/liftrill/gateway/weight_rollout.py
@@ -72,7 +72,7 @@
     version: int
     since: float
     next_at: float
-    number: int
+    incarnation_number: int
     state: LoadState = LoadState.DRAINING
 
 
@@ -180,7 +180,7 @@
             view = known.get(engine_id)
             # An engine that has begun to leave is not ordered: it accepts no new work, and
             # another engine may load in its place.
-            if view is None or view.number != load.number or view.leaving:
+            if view is None or view.number != load.incarnation_number or view.leaving:
                 del self.loads[engine_id]
             elif view.weight_version(load.model) >= load.version:
                 del self.loads[engine_id]
