--- a/liftrill/gateway/weight_rollout.py
+++ b/liftrill/gateway/weight_rollout.py
@@ -64,7 +64,7 @@
     Attributes:
         since: when the load was announced or, later, ordered.
         next_at: when the order or the next report query is due.
-        number: the incarnation that is to load; a later one knows nothing of the order.
+        incarnation_number: the incarnation that is to load; a later one knows nothing of the order.
     """
 
     engine_id: str
--- a/liftrill/gateway/weight_targets.py
+++ b/liftrill/gateway/weight_targets.py
@@ -94,7 +94,7 @@
         """Return the lowest version on which a request may begin now."""
         published = self._published.get(model, [])
         limit = now - self.grace_seconds
-        timed = (n.version for n in published if n.age_known and n.published_at <= limit)
+        timed = (p.version for p in published if p.age_known and p.published_at <= limit)
         return max(timed, default=0)
 
     def newest_undated(self, model: str) -> int:
@@ -104,20 +104,20 @@
         engine has, whichever is older.
         """
         return max(
-            (n.version for n in self._published.get(model, []) if not n.age_known), default=0
+            (p.version for p in self._published.get(model, []) if not p.age_known), default=0
         )
 
     def superseded_at(self, model: str, version: int) -> float:
         """Return when the first version newer than a given one was published, or infinity."""
         published = self._published.get(model, [])
-        return min((n.published_at for n in published if n.version > version), default=math.inf)
+        return min((p.published_at for p in published if p.version > version), default=math.inf)
 
     def begin_by(self, model: str, version: int) -> float:
         """Return the time by which a request must have begun on a version (steady clock)."""
         published = self._published.get(model, [])
-        newer = [n.published_at for n in published if n.age_known and n.version > version]
+        newer = [p.published_at for p in published if p.age_known and p.version > version]
         return min(newer) + self.begin_seconds if newer else math.inf
 
     def newer_versions(self, model: str, reached: int) -> list[PublishedVersion]:
         """Return the published versions that are newer than a given one, oldest first."""
-        return [n for n in self._published.get(model, []) if n.version > reached]
+        return [p for p in self._published.get(model, []) if p.version > reached]
