--- a/features/steps/engine_record_steps.py
+++ b/features/steps/engine_record_steps.py
@@ -234,7 +234,7 @@
     assert node.engines.by_number(holder) is None
     node.rollout.due(node.engines, 0.0)
     load = node.rollout.loads.get("a")
-    assert load is None or load.number == view.number
+    assert load is None or load.incarnation_number == view.number
 
 
 @then("the former a has ended, as evidence against what ran there")
