--- a/liftrill/gateway/draining.py
+++ b/liftrill/gateway/draining.py
@@ -7,7 +7,7 @@
 from liftrill.gateway.caller_server import CallerServer
 from liftrill.gateway.gateway import Gateway
 
-# How long before the platform kills the process the remaining requests are given up.
+# The remaining requests are given up this long before the platform kills the process.
 STOP_MARGIN_SECONDS = 0.6
 
 
--- a/liftrill/gateway/forwarder.py
+++ b/liftrill/gateway/forwarder.py
@@ -100,7 +100,7 @@
         return choice
 
     def _quarantine_outcome(self, request: OpaqueRequest, now: float) -> Unavailable | None:
-        """Return why a possibly crashing request must not be sent now, or None if it may be."""
+        """Return why the quarantine forbids sending a request now, or None if it does not."""
         if self._quarantine is None:
             return None
         if not self._quarantine.is_decided(request, now):
--- a/liftrill/gateway/gateway.py
+++ b/liftrill/gateway/gateway.py
@@ -72,8 +72,8 @@
 
 # A lag that callers would notice is detected within three intervals.
 HOUSEKEEPING_SECONDS = 0.3
-# Log lines of one interval on nodes whose share of callers changed; more changes than this mean
-# that the whole zone is busy.
+# How many nodes whose share of callers changed are logged in an interval; with more of them, the
+# whole zone is busy.
 MAX_LOGGED_CHANGES = 3
 # An engine's record expires three heartbeat intervals after its last heartbeat, which was sent at
 # most one interval before the store became unreachable.
@@ -455,7 +455,7 @@
         self.log.belief("store", connected=connected, at=self._follower.mirror.at)
 
     def relay_answered(self, answer: RelayAnswer, asked_at: float) -> None:
-        """Take over the proof of currency that the followed reader sent."""
+        """Apply the proof of currency that the followed reader sent."""
         self._currency.take_answer(answer, asked_at)
 
     def reader_to_follow(self, store_lost: bool) -> Member | None:
--- a/liftrill/gateway/quarantine.py
+++ b/liftrill/gateway/quarantine.py
@@ -84,7 +84,7 @@
         return self.entries.remaining_s(request.fingerprint, time.time())
 
     def is_suspect(self, request: OpaqueRequest) -> bool:
-        """Return whether an engine ended early in a request, or it ever was in quarantine."""
+        """Return whether an engine ended early in a run of a request, or it was in quarantine."""
         if not len(self._evidence) and not len(self.entries):
             return False
         fingerprint = request.fingerprint
@@ -260,7 +260,7 @@
             self._decide_at[fingerprint] = now + DECISION_DELAY_S
 
     def _ended_engine_again(self, run: LostRun) -> bool:
-        """Return whether an engine ended early in a request that was in quarantine before."""
+        """Return whether an engine ended early in a run of a request that was in quarantine."""
         return run.early and self.entries.get(run.fingerprint) is not None
 
     def _decide(self, fingerprint: bytes, now: float) -> None:
