--- a/features/following_node.py
+++ b/features/following_node.py
@@ -13,7 +13,7 @@
 from liftrill.gateway.records import GatewayConfiguration
 from liftrill.gateway.relay_client import ReaderLimits
 from liftrill.gateway.relay_server import RelayServer
-from liftrill.gateway.store_follower import FollowerOwner, StoreFollower
+from liftrill.gateway.store_follower import FollowerDelegate, StoreFollower
 
 LONGEST_MIRROR_AGE_S = 1.7
 # How far a wait in a test may be off, beside a load.
@@ -76,7 +76,7 @@
         return min(self.until, time.monotonic()) - max(self.since, counted_from)
 
 
-class FollowingNode(FollowerOwner):
+class FollowingNode(FollowerDelegate):
     """A follower with a relay server, and one peer that it follows where the store is lost."""
 
     def __init__(self, name, store, beliefs=None, limits=None):
@@ -111,10 +111,10 @@
     def own_name(self):
         return self.name
 
-    def reads_for_others(self):
+    def is_assigned_reader(self):
         return False
 
-    def store_connection(self, connected):
+    def store_connection_changed(self, connected):
         pass
 
     def relay_answered(self, answer, asked_at):
@@ -124,7 +124,7 @@
     def reader_to_follow(self, store_lost):
         return self.peer if store_lost else None
 
-    def keeps_reader(self, reader, since):
+    def is_reader_eligible(self, reader, since):
         return True
 
     def reader_followed(self, reader, store_lost):
--- a/features/steps/build_steps.py
+++ b/features/steps/build_steps.py
@@ -99,7 +99,7 @@
 class StubOwner:
     """Hears nothing."""
 
-    def store_connection(self, connected):
+    def store_connection_changed(self, connected):
         pass
 
 
--- a/features/steps/caller_division_steps.py
+++ b/features/steps/caller_division_steps.py
@@ -21,7 +21,7 @@
     delegates_by_zone,
 )
 from liftrill.gateway.peers.node_capacity import NodeCapacities, NodeCapacity, NodeWord
-from liftrill.gateway.reader_plan import READER_KEY, ReaderPlan
+from liftrill.gateway.reader_selection import READER_KEY, ReaderSelection
 from liftrill.gateway.settings import MachineLimits
 from liftrill.node.membership_codec import member_from_message, member_message
 
@@ -438,7 +438,7 @@
     """Return the delegates, the readers and those who contend for the lead."""
     delegates = list(delegates_by_zone(fleet).values())
     zones = {member.zone: member for member in fleet}
-    readers = [r for own in zones.values() for r in ReaderPlan(own).readers(fleet).values()]
+    readers = [r for own in zones.values() for r in ReaderSelection(own).readers(fleet).values()]
     return [delegates, readers, ranked(LEADER_RANK_KEY, fleet)[:LEADER_CANDIDATES]]
 
 
--- a/features/steps/copy_age_steps.py
+++ b/features/steps/copy_age_steps.py
@@ -10,7 +10,7 @@
 from features.standin.connections import reset
 from liftrill.bench.launcher import free_ports
 from liftrill.coordination.membership_messages import Member
-from liftrill.gateway.relay_client import ReaderLimits, longest_mirror_age_s
+from liftrill.gateway.relay_client import ReaderLimits, max_mirror_age_s
 
 # How long the copy is watched: longer than two readers that are waited for one after the other.
 WATCHED_S = 2.5
@@ -80,7 +80,7 @@
         await context.way.start()
         context.store = ScriptedStore()
         context.store.put("key", b"value")
-        limits = ReaderLimits("node", longest_mirror_age_s(news))
+        limits = ReaderLimits("node", max_mirror_age_s(news))
         readers = [member("reader", context.way.address)]
         context.node = ChoosingNode(context.store, readers, limits)
         context.also_proving = asyncio.ensure_future(prove(context.node, every))
@@ -131,7 +131,7 @@
 
 
 def copy_age_s(node):
-    return node.follower.currency.age_s(time.monotonic())
+    return node.follower.freshness.age_s(time.monotonic())
 
 
 @then("the node's copy is never older than {seconds:g} s")
--- a/features/steps/engine_record_steps.py
+++ b/features/steps/engine_record_steps.py
@@ -12,7 +12,7 @@
 from features.gateway_support import new_quarantine, opaque_request
 from liftrill.coordination.range_store import StoredItem
 from liftrill.coordination.store_mirror import MirrorChange
-from liftrill.gateway.beliefs import Beliefs
+from liftrill.gateway.cluster_state import ClusterState
 from liftrill.gateway.configuration_view import ConfigurationView
 from liftrill.gateway.decision_log import DecisionLog
 from liftrill.gateway.delivery_events import EngineAddress, EngineChoice
@@ -60,7 +60,7 @@
         super().__init__("node-1")
         self.kinds = []
 
-    def belief(self, kind, **inputs):
+    def state_changed(self, kind, **inputs):
         self.kinds.append(kind)
 
 
@@ -77,7 +77,7 @@
         self.log = RecordedLog()
         self.refused = 0
         self.revision = 0
-        self.beliefs = Beliefs(
+        self.beliefs = ClusterState(
             PlatformRecordDecoder(),
             ConfigurationView(5.0),
             self.engines,
--- a/features/steps/gateway_forwarding_steps.py
+++ b/features/steps/gateway_forwarding_steps.py
@@ -18,7 +18,7 @@
 from liftrill.gateway.forwarder import Forwarder, ForwardingPorts
 from liftrill.gateway.gateway_metrics import GatewayMetrics
 from liftrill.gateway.records import WeightTarget
-from liftrill.gateway.standstill import Standstill
+from liftrill.gateway.stall_detector import StallDetector
 from liftrill.gateway.transport import AnswerSink, EngineAttempt, EngineTransport
 from liftrill.gateway.weight_targets import WeightTargets
 
@@ -424,21 +424,21 @@
     "stands still and beats again at {again:g} s"
 )
 def step_beats(context, interval, stop, again):
-    context.standstill = Standstill(longest_wait_s=2.0)
+    context.standstill = StallDetector(max_catch_up_s=2.0)
     beats = [n * interval for n in range(round(stop / interval) + 1)]
-    assert not any(context.standstill.beat(now) for now in beats)
-    assert context.standstill.beat(again)
+    assert not any(context.standstill.tick(now) for now in beats)
+    assert context.standstill.tick(again)
 
 
 @then("at {now:g} s, with all known until {known:g} s, what it believes is from before")
 def step_from_before(context, now, known):
-    assert not context.standstill.is_over(now, known)
+    assert not context.standstill.has_caught_up(now, known)
 
 
 @then("at {now:g} s, with all known until {known:g} s, it is not")
 @then("at {now:g} s, with all known until {known:g} s, it is used again")
 def step_used_again(context, now, known):
-    assert context.standstill.is_over(now, known)
+    assert context.standstill.has_caught_up(now, known)
 
 
 @given(
--- a/features/steps/gateway_placement_steps.py
+++ b/features/steps/gateway_placement_steps.py
@@ -11,7 +11,7 @@
 from liftrill.gateway.engines.engine_table import EngineLoad, EngineTable, engine_number
 from liftrill.gateway.engines.prefix_directory import KeptPart, PartStage, part_number
 from liftrill.gateway.opaque_request import PromptPart, PromptShape
-from liftrill.gateway.records import KeptStoreProfile, ServiceProfile, WeightTarget
+from liftrill.gateway.records import PrefixStoreProfile, ServiceProfile, WeightTarget
 from liftrill.gateway.weight_targets import WeightTargets
 
 
@@ -21,7 +21,7 @@
         table.update(engine_record(f"e{number}", weights={"model": 1}))
     selector = EngineSelector(table, WeightTargets(8.0), "zone-1")
     selector.parts.kept_stores = tuple(
-        KeptStoreProfile(f"10.0.0.{number}:1", f"zone-{number}") for number in range(stores)
+        PrefixStoreProfile(f"10.0.0.{number}:1", f"zone-{number}") for number in range(stores)
     )
     return selector
 
@@ -93,7 +93,7 @@
 
 @given("moving the memory of a token takes {move:g} microseconds")
 def step_move_time(context, move):
-    profile = ServiceProfile("service-1", 0, store_move_s_per_token=move / 1e6)
+    profile = ServiceProfile("service-1", 0, store_transfer_s_per_token=move / 1e6)
     context.selectors[0].parts.services["service-1"] = profile
 
 
@@ -354,7 +354,7 @@
 )
 def step_demand(context, us, count, tokens, seconds):
     selector = context.selectors[0]
-    profile = ServiceProfile("service-1", 0, store_move_s_per_token=us / 1e6)
+    profile = ServiceProfile("service-1", 0, store_transfer_s_per_token=us / 1e6)
     selector.parts.services["service-1"] = profile
     for number in range(count * seconds):
         parts = (PromptPart(f"part-{number}", tokens - 10), PromptPart("own", 10))
--- a/features/steps/gateway_quota_steps.py
+++ b/features/steps/gateway_quota_steps.py
@@ -50,7 +50,7 @@
     def read(self):
         page = asyncio.run(self.store.read_range("", ""))
         self.mirror.take_page(page)
-        self.record.recall(self.now)
+        self.record.load(self.now)
 
     def run(self, seconds, nodes=None):
         until = self.now + seconds
--- a/features/steps/gateway_relay_steps.py
+++ b/features/steps/gateway_relay_steps.py
@@ -24,8 +24,8 @@
 from liftrill.coordination.store_mirror import StoreMirror
 from liftrill.errors import StoreUnavailableError
 from liftrill.gateway.configuration_view import ConfigurationView
-from liftrill.gateway.currency import CurrencyProver
-from liftrill.gateway.reader_plan import ReaderPlan
+from liftrill.gateway.freshness_checker import FreshnessChecker
+from liftrill.gateway.reader_selection import ReaderSelection
 from liftrill.gateway.records import GatewayConfiguration
 from liftrill.gateway.relay_client import (
     ReaderLimits,
@@ -35,7 +35,7 @@
 )
 from liftrill.gateway.relay_codec import RelayAnswer
 from liftrill.gateway.relay_server import RelayServer, RelaySource
-from liftrill.gateway.store_follower import FollowerOwner, StoreFollower
+from liftrill.gateway.store_follower import FollowerDelegate, StoreFollower
 
 LIMITS = ReaderLimits("node", 1.7)
 
@@ -60,7 +60,7 @@
 def step_region(context, count, zones):
     context.count = count
     context.members = region_members(count, zones)
-    context.plans = {m.node_id: ReaderPlan(m) for m in context.members}
+    context.plans = {m.node_id: ReaderSelection(m) for m in context.members}
     context.now = 0.0
 
 
@@ -68,7 +68,7 @@
 def step_zone(context, count):
     context.count = count
     context.members = zone_members(count)
-    context.plans = {m.node_id: ReaderPlan(m) for m in context.members if m.zone == "zone"}
+    context.plans = {m.node_id: ReaderSelection(m) for m in context.members if m.zone == "zone"}
     context.now = 0.0
 
 
@@ -101,7 +101,7 @@
         context.name = next(n for n, reader in followed(context).items() if reader is not None)
     plan = context.plans[context.name]
     context.failed_reader = plan.reader(context.members, context.now, False)
-    plan.avoid(context.failed_reader.node_id, context.now)
+    plan.back_off(context.failed_reader.node_id, context.now)
 
 
 @then("the node follows the other reader")
@@ -128,13 +128,13 @@
 @when("the same reader fails a node {count:d} times, each time as soon as it is followed again")
 def step_fails_often(context, count):
     name, reader = next((n, r) for n, r in followed(context).items() if r is not None)
-    context.plan = ReaderPlan(context.plans[name].own)
+    context.plan = ReaderSelection(context.plans[name].own)
     context.failed_reader = reader
     context.now = 0.0
     for _ in range(count):
-        while context.plan._is_avoided(reader.node_id, context.now):
+        while context.plan._is_backed_off(reader.node_id, context.now):
             context.now += 0.1
-        context.plan.avoid(reader.node_id, context.now)
+        context.plan.back_off(reader.node_id, context.now)
 
 
 @then("that reader is followed again after {seconds:g} s")
@@ -164,12 +164,12 @@
         return WatchBatch((), after_revision)
 
 
-class StartingNode(FollowerOwner):
+class StartingNode(FollowerDelegate):
     """A node that finds out some time after its start whom to follow."""
 
     def __init__(self, knows_after_s):
         self.view = ConfigurationView(4.5)
-        self.prover = CurrencyProver(None, stub_follower(None), None, self.view, None)
+        self.prover = FreshnessChecker(None, stub_follower(None), None, self.view, None)
         self.store = CountedStore()
         self.follower = StoreFollower(self.store, "", self, LIMITS)
         self.knows_at = time.monotonic() + knows_after_s
@@ -183,10 +183,10 @@
     def range_read(self, asked_at):
         self.prover.range_read(asked_at)
 
-    def reads_for_others(self):
+    def is_assigned_reader(self):
         return False
 
-    def store_connection(self, connected):
+    def store_connection_changed(self, connected):
         pass
 
     def relay_answered(self, answer, asked_at):
@@ -196,7 +196,7 @@
         known = time.monotonic() >= self.knows_at
         return Member("reader", "127.0.0.1:9", "region", "zone", 1) if known else None
 
-    def keeps_reader(self, reader, since):
+    def is_reader_eligible(self, reader, since):
         return True
 
     def reader_followed(self, reader, store_lost):
@@ -222,7 +222,7 @@
         until = time.monotonic() + seconds
         while time.monotonic() < until:
             await asyncio.sleep(0.05)
-            node.follower.reconsider()
+            node.follower.reselect_reader()
         task.cancel()
 
     context.run(run())
@@ -264,7 +264,7 @@
     for _ in range(count):
         reader = context.plan.reader(context.members, context.now, True)
         context.followed.append(reader)
-        context.plan.avoid(reader.node_id, context.now)
+        context.plan.back_off(reader.node_id, context.now)
     assert len({m.node_id for m in context.followed} - {context.name}) == count
     assert context.plan.reader(context.members, context.now, True) is None
 
@@ -278,8 +278,8 @@
 @then("one that serves it is left after {seconds:g} s to try the store again")
 def step_left(context, seconds):
     reader = context.followed[0]
-    assert context.plan.keeps(reader, context.members, 0.0, seconds - 0.1)
-    assert not context.plan.keeps(reader, context.members, 0.0, seconds)
+    assert context.plan.is_eligible(reader, context.members, 0.0, seconds - 0.1)
+    assert not context.plan.is_eligible(reader, context.members, 0.0, seconds)
 
 
 @given('a mirror at revision {at:d} from which "{key}" was removed at {removed:d}')
@@ -339,12 +339,12 @@
 def step_in_force(context, version):
     context.view = ConfigurationView(4.5)
     context.view.adopt(GatewayConfiguration(version, (route_rule(),), {}))
-    context.prover = CurrencyProver(None, stub_follower(None), None, context.view, None)
+    context.prover = FreshnessChecker(None, stub_follower(None), None, context.view, None)
 
 
 @when("a peer asked at {asked:g} s answers with version {version:d} and a proof {age:g} s old")
 def step_peer_proof(context, asked, version, age):
-    context.prover.take_answer(RelayAnswer(1, version, age, 10, age, ("reader",)), asked)
+    context.prover.take_reader_proof(RelayAnswer(1, version, age, 10, age, ("reader",)), asked)
 
 
 @then("the proof is {age:g} s old at {now:g} s")
@@ -359,7 +359,7 @@
 
     def __init__(self, count, large=0):
         self.mirror = StoreMirror()
-        self.currency = MirrorCurrency()
+        self.freshness = MirrorCurrency()
         self.view = ConfigurationView(4.5)
         self.view.adopt(GatewayConfiguration(5, (), {}))
         self.prove()
@@ -376,8 +376,8 @@
 
     def prove(self):
         self.view.prove_current(5, time.monotonic())
-        self.currency.note_reading(1, time.monotonic())
-        self.currency.note_mirror(1)
+        self.freshness.note_reading(1, time.monotonic())
+        self.freshness.note_mirror(1)
 
     def learn(self, *changes):
         self.server.publish(self.mirror.take_batch(WatchBatch(changes, changes[-1].revision)))
@@ -409,7 +409,7 @@
         self.snapshots += not update.more
         self.mirror.take_page(RangePage(update.batch.changes, update.batch.at, update.more))
 
-    def reader_patience_s(self):
+    def reader_timeout_s(self):
         return constants.RELAY_SILENCE_SECONDS
 
     def relay_confirmed(self, answer, asked_at):
@@ -601,7 +601,7 @@
     beliefs = SimpleNamespace(
         decoder=SimpleNamespace(configuration_key="config"), configuration_revision=5
     )
-    context.prover = CurrencyProver(store, follower, beliefs, context.view, None)
+    context.prover = FreshnessChecker(store, follower, beliefs, context.view, None)
 
 
 def stub_follower(followed):
@@ -641,7 +641,7 @@
         loop = asyncio.ensure_future(context.prover.run())
         await asyncio.sleep(0.02)
         assert context.store.asked == 0
-        await asyncio.gather(*(context.prover.prove_within(0.08) for _ in range(5)))
+        await asyncio.gather(*(context.prover.wait_for_proof(0.08) for _ in range(5)))
         context.proven = context.view.is_proven(time.monotonic())
         loop.cancel()
 
@@ -683,7 +683,7 @@
 async def ask_often(prover, seconds):
     until = time.monotonic() + seconds
     while time.monotonic() < until:
-        await prover.prove_within(0.08)
+        await prover.wait_for_proof(0.08)
 
 
 @when("requests with keys come for {seconds:g} s")
--- a/features/steps/gateway_rules_steps.py
+++ b/features/steps/gateway_rules_steps.py
@@ -290,7 +290,7 @@
     context.stack.callback(os.close, reader)
     context.stack.callback(os.close, writer)
     context.reader = reader
-    destination = log_lines.write_to(BoundedOutput(writer))
+    destination = log_lines.add_log_output(BoundedOutput(writer))
     context.stack.callback(eliot.remove_destination, destination)
 
 
--- a/features/steps/store_copy_steps.py
+++ b/features/steps/store_copy_steps.py
@@ -15,7 +15,7 @@
 from liftrill.coordination.membership_messages import Member
 from liftrill.coordination.mirror_currency import MirrorCurrency
 from liftrill.errors import StoreUnavailableError
-from liftrill.gateway.beliefs import Beliefs
+from liftrill.gateway.cluster_state import ClusterState
 from liftrill.gateway.configuration_view import ConfigurationView
 from liftrill.gateway.decision_log import DecisionLog
 from liftrill.gateway.engines.engine_table import EngineTable
@@ -243,7 +243,7 @@
     targets = WeightTargets(grace_s)
     view = ConfigurationView(4.5)
     log = DecisionLog("node")
-    return Beliefs(WeightDecoder(), view, EngineTable(), targets, None, None, log, 2.4)
+    return ClusterState(WeightDecoder(), view, EngineTable(), targets, None, None, log, 2.4)
 
 
 @given(
--- a/features/uneven_engines.py
+++ b/features/uneven_engines.py
@@ -15,7 +15,7 @@
 from liftrill.gateway.peers.load_board import LoadBoard
 from liftrill.gateway.peers.load_exchange import LoadReport, LoadScope, SendLoads
 from liftrill.gateway.peers.speed_exchange import SpeedExchange
-from liftrill.gateway.records import KeptStoreProfile, ServiceProfile
+from liftrill.gateway.records import PrefixStoreProfile, ServiceProfile
 from liftrill.gateway.weight_targets import WeightTargets
 
 TOKENS_PER_S = 110_000
@@ -105,7 +105,7 @@
             self.table.update(engine_record(engine.name, weights={"model": 1}, slots=32))
         policy = ShortestQueue() if replay.mode == "queue" else None
         self.selector = EngineSelector(self.table, WeightTargets(8.0), self.zone, policy)
-        self.selector.parts.kept_stores = (KeptStoreProfile("10.0.0.9:1", "zone-0"),)
+        self.selector.parts.kept_stores = (PrefixStoreProfile("10.0.0.9:1", "zone-0"),)
         self.selector.parts.services["service-1"] = ServiceProfile("service-1", 0)
         self.selector.parts.nodes = replay.nodes_count
         self.loads = LoadBoard(self.table)
--- a/liftrill/gateway/admission/coming_back.py
+++ b/liftrill/gateway/admission/coming_back.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass, field
 
 from liftrill.gateway.admission.line import Standing
-from liftrill.gateway.fading_rate import FadingRate
+from liftrill.gateway.decaying_rate import DecayingRate
 from liftrill.gateway.opaque_request import OpaqueRequest
 
 # When a refused caller is to come back; what is missing is mostly there by then.
@@ -39,7 +39,7 @@
     to send a request to an engine.
     """
 
-    _sent: FadingRate = field(default_factory=lambda: FadingRate(SENT_AVERAGE_S))
+    _sent: DecayingRate = field(default_factory=lambda: DecayingRate(SENT_AVERAGE_S))
     _last_at: float = 0.0
 
     def note_sent(self, now: float) -> None:
--- a/liftrill/gateway/admission/quota_gate.py
+++ b/liftrill/gateway/admission/quota_gate.py
@@ -116,7 +116,7 @@
             if now - spell.last_at > LIMITED_FOR_S:
                 del self._spells[tenant]
                 lasted_s = round(spell.last_at - spell.since, 2)
-                self.log.belief(
+                self.log.state_changed(
                     "quota_free", tenant=tenant, lasted_s=lasted_s, refused=spell.refused
                 )
         self.metrics.limited_tenants.set(len(self._spells))
@@ -131,7 +131,7 @@
         if spell is None:
             spell = self._spells[tenant] = _Spell(now, now)
             limit = self._quotas[tenant].limit
-            self.log.belief(
+            self.log.state_changed(
                 "quota_limited",
                 tenant=tenant,
                 rate_per_s=limit.rate_per_s,
--- a/liftrill/gateway/beliefs.py
+++ b/liftrill/gateway/cluster_state.py
@@ -29,7 +29,7 @@
 
 
 @dataclass(slots=True)
-class Beliefs:
+class ClusterState:
     """The configuration, the engines and the named weights, as one node knows them.
 
     Attributes:
@@ -63,7 +63,7 @@
         for engine_id, revision in unknown:
             # It was gone before the store came back: only its own next record is news of it.
             self.engines.withdraw(engine_id, revision)
-            self.log.belief("engine_withheld", engine=engine_id, revision=revision)
+            self.log.state_changed("engine_withheld", engine=engine_id, revision=revision)
         self.store_read = True
         gone = [e for key in change.removed if (e := self.decoder.engine_of(key)) is not None]
         now = clock.now_s()
@@ -73,14 +73,14 @@
             return
         for engine_id in gone:
             self.engines.remove(engine_id)
-            self.log.belief(
+            self.log.state_changed(
                 "engine_gone",
                 engine=engine_id,
                 reason="record removed",
                 news_age_s=_news_age(known_until),
             )
 
-    def is_of_former_version(self, item: StoredItem) -> bool:
+    def is_older_configuration(self, item: StoredItem) -> bool:
         """Return whether a restored store has an older configuration than the one in force.
 
         Nothing newer is written there, so that the one in force is still the newest.
@@ -139,7 +139,7 @@
         # Whoever writes such records may write many: a line for each key and reason.
         if len(self._refused_keys) < REFUSED_KEYS_TOLD:
             self._refused_keys[item.key] = why
-            self.log.belief(
+            self.log.state_changed(
                 "record_refused",
                 key=item.key,
                 revision=item.revision,
@@ -150,7 +150,9 @@
     def expire(self, now: float) -> None:
         """Let time pass for engines whose records vanished."""
         for engine_id in self.engines.expire_vanished(now):
-            self.log.belief("engine_gone", engine=engine_id, reason="no record after an outage")
+            self.log.state_changed(
+                "engine_gone", engine=engine_id, reason="no record after an outage"
+            )
 
     def _adopt(
         self, configuration: GatewayConfiguration, revision: int, known_until: float
@@ -162,14 +164,14 @@
             self.configuration_revision = revision
         if not is_newer:
             return
-        self.selector.parts.kept_stores = configuration.kept_stores
+        self.selector.parts.kept_stores = configuration.prefix_stores
         self.selector.parts.services.clear()
         self.selector.parts.services.update(configuration.services)
         self.engines.services = frozenset(configuration.services)
         self.selector.speeds.pause_targets_s = tightest_pauses(configuration.routes)
         self.split.forget()
         self.log.version = configuration.version
-        self.log.belief(
+        self.log.state_changed(
             "configuration",
             version=configuration.version,
             previous=previous,
@@ -189,7 +191,7 @@
             self.incarnation_ended(known)
         is_new = view is not known
         if is_new or (view.leaving, view.withdrawn) != (was_leaving, was_withdrawn):
-            self.log.belief(
+            self.log.state_changed(
                 "engine",
                 engine=record.engine_id,
                 born_unix_ms=record.born_unix_ms,
@@ -208,7 +210,7 @@
         now = clock.now_s()
         named_at = self.targets.earliest_naming(known_until, now)
         if self.targets.name(target, named_at, age_known=self.store_read, now=now):
-            self.log.belief(
+            self.log.state_changed(
                 "weights_named",
                 model=target.model,
                 version=target.version,
--- a/liftrill/gateway/fading_rate.py
+++ b/liftrill/gateway/decaying_rate.py
@@ -8,7 +8,7 @@
 
 
 @dataclass(slots=True)
-class FadingRate:
+class DecayingRate:
     """How much of something comes in a second; older amounts count less and less.
 
     Attributes:
--- a/liftrill/gateway/decision_log.py
+++ b/liftrill/gateway/decision_log.py
@@ -48,7 +48,7 @@
     )
     _left_out: int = 0
 
-    def belief(self, kind: str, **inputs: object) -> None:
+    def state_changed(self, kind: str, **inputs: object) -> None:
         """Write a change of what this process believes, with the inputs that decided it."""
         eliot.log_message(message_type=MESSAGE_PREFIX + kind, node=self.node, **inputs)
 
@@ -95,7 +95,7 @@
         """Write that an answer of the store is of an earlier era than is known, or tells none."""
         self._write_failure("store_era_refused", era=era, told=told[:20])
 
-    def engine_rests(self, word: EngineWord) -> None:
+    def engine_backoff_requested(self, word: EngineWord) -> None:
         """Write that an engine asked this node for rest."""
         self._write_failure(
             "engine_rests",
--- a/liftrill/gateway/engines/cache_retention.py
+++ b/liftrill/gateway/engines/cache_retention.py
@@ -3,7 +3,7 @@
 from dataclasses import dataclass, field
 
 from liftrill import constants
-from liftrill.gateway.fading_rate import FadingRate
+from liftrill.gateway.decaying_rate import DecayingRate
 
 # Over how long a node's own traffic is averaged: it sees few of a large fleet's requests.
 AVERAGE_S = 10.0
@@ -22,7 +22,7 @@
 
     first_s: float = constants.KEPT_HOLDER_S
     longest_s: float = constants.KEPT_LONGEST_S
-    _tokens: FadingRate = field(default_factory=lambda: FadingRate(AVERAGE_S))
+    _tokens: DecayingRate = field(default_factory=lambda: DecayingRate(AVERAGE_S))
 
     def record(self, tokens: int, now: float) -> None:
         """Note that this node sent a request with some tokens."""
--- a/liftrill/gateway/engines/engine_selector.py
+++ b/liftrill/gateway/engines/engine_selector.py
@@ -364,9 +364,9 @@
         profile = self.parts.profile(view.record.service)
         tokens = request.shared_tokens
         if holder is None:
-            return BETWEEN_ZONES * tokens * profile.store_move_s_per_token
+            return BETWEEN_ZONES * tokens * profile.store_transfer_s_per_token
         factor = 1.0 if holder.record.zone == view.record.zone else BETWEEN_ZONES
-        return factor * tokens * profile.move_s_per_token
+        return factor * tokens * profile.transfer_s_per_token
 
     def _prompt_choice(self, chosen: Candidate, prompt: PromptShape, now: float) -> EngineChoice:
         view = chosen.view
--- a/liftrill/gateway/engines/part_keeping.py
+++ b/liftrill/gateway/engines/part_keeping.py
@@ -8,8 +8,12 @@
 from liftrill.gateway.engines.prefix_directory import PrefixDirectory, part_number
 from liftrill.gateway.engines.shared_parts import SharedParts
 from liftrill.gateway.opaque_request import OpaqueRequest, PromptShape
-from liftrill.gateway.records import KeptStoreProfile, ServiceProfile
-from liftrill.gateway.store_link import StoreLink, is_worth_moving, is_worth_saving
+from liftrill.gateway.prefix_store_link import (
+    PrefixStoreLink,
+    is_worth_saving,
+    is_worth_transferring,
+)
+from liftrill.gateway.records import PrefixStoreProfile, ServiceProfile
 
 # How much longer a move between zones takes than one within a zone.
 BETWEEN_ZONES = 2.0
@@ -28,12 +32,12 @@
     """
 
     def __init__(self, engines: EngineTable) -> None:
-        self.kept_stores: tuple[KeptStoreProfile, ...] = ()
+        self.kept_stores: tuple[PrefixStoreProfile, ...] = ()
         self.services: dict[str, ServiceProfile] = {}
         self.nodes = 1
         self.directory = PrefixDirectory()
         self.retention = CacheRetention()
-        self.store_link = StoreLink()
+        self.store_link = PrefixStoreLink()
         self._engines = engines
 
     def profile(self, service: str) -> ServiceProfile:
@@ -47,13 +51,13 @@
             return "", False
         if not self.is_link_short(now):
             return store, not shared.saved
-        if not is_worth_moving(prompt):
+        if not is_worth_transferring(prompt):
             return "", False
         return store, not shared.saved and is_worth_saving(prompt)
 
     def is_link_short(self, now: float) -> bool:
         """Return whether more is to be moved than the stores' links carry."""
-        return self.store_link.is_short(len(self.kept_stores), self.nodes, now)
+        return self.store_link.is_saturated(len(self.kept_stores), self.nodes, now)
 
     def record_sent(self, choice: EngineChoice, request: OpaqueRequest, now: float) -> None:
         """Note that an engine is about to read what of a prompt is kept nowhere."""
@@ -88,7 +92,7 @@
         view = self._engines.get(choice.engine_id)
         near = view is not None and view.record.zone == zones.get(store)
         factor = 1.0 if near else BETWEEN_ZONES
-        return factor * tokens * self.profile(request.service).store_move_s_per_token
+        return factor * tokens * self.profile(request.service).store_transfer_s_per_token
 
     def _is_known(self, number: int, now: float) -> bool:
         directory = self.directory
--- a/liftrill/gateway/field_reader.py
+++ b/liftrill/gateway/field_reader.py
@@ -50,7 +50,7 @@
             raise self._error(key, "a text")
         return value
 
-    def whole(self, key: str, least: int = 0) -> int:
+    def integer(self, key: str, least: int = 0) -> int:
         """Return a whole number of at most 64 bits."""
         value = self._take(key)
         is_whole = isinstance(value, int) and not isinstance(value, bool)
@@ -58,9 +58,9 @@
             raise self._error(key, f"a whole number, {least} or more")
         return int(value)
 
-    def whole_or(self, key: str, default: int, least: int = 0) -> int:
+    def integer_or(self, key: str, default: int, least: int = 0) -> int:
         """Return a whole number that need not be given."""
-        return self.whole(key, least) if key in self._table else default
+        return self.integer(key, least) if key in self._table else default
 
     def number(self, key: str) -> float:
         """Return a number, 0 or more."""
@@ -86,7 +86,7 @@
             raise self._error(key, f"one of {', '.join(choices)}")
         return choices[value]
 
-    def rows(self, key: str) -> list["FieldReader"]:
+    def tables(self, key: str) -> list["FieldReader"]:
         """Return the tables of a list that need not be given."""
         value = self._table.get(key, [])
         if not isinstance(value, list):
--- a/liftrill/gateway/fleet_record.py
+++ b/liftrill/gateway/fleet_record.py
@@ -41,7 +41,7 @@
         self._seen_at = 0.0
         self._recalled_revision = 0
 
-    def recall(self, now: float) -> None:
+    def load(self, now: float) -> None:
         """Take the fleet to be as large as a record says that was not recalled before."""
         item = self._mirror.get(FLEET_KEY)
         # An old record taken for new would undo that the fleet has shrunk since it was written.
@@ -50,7 +50,7 @@
         self._recalled_revision = item.revision
         self._fleet.assume(self._recorded(), now)
 
-    def skip(self) -> None:
+    def ignore_current(self) -> None:
         """Leave unread what the store has now: it is an older record that came back."""
         item = self._mirror.get(FLEET_KEY)
         self._recalled_revision = item.revision if item else 0
@@ -77,6 +77,6 @@
         try:
             await self._store.transact(expected, (PutItem(FLEET_KEY, str(nodes).encode()),))
         except StoreError as error:
-            self._log.belief("fleet_record_not_written", nodes=nodes, why=repr(error))
+            self._log.state_changed("fleet_record_not_written", nodes=nodes, why=repr(error))
             return
-        self._log.belief("fleet_record", nodes=nodes)
+        self._log.state_changed("fleet_record", nodes=nodes)
--- a/liftrill/gateway/forwarder.py
+++ b/liftrill/gateway/forwarder.py
@@ -250,7 +250,7 @@
 
     def _tell_overload(self, turn: OverloadTurn) -> None:
         depth, age_s = self.lines.depth_and_age_s(clock.now_s())
-        self.log.belief(
+        self.log.state_changed(
             "overload" if turn.overloaded else "overload_over",
             service=turn.service,
             least_wait_ms=round(1000 * turn.least_wait_s),
--- a/liftrill/gateway/currency.py
+++ b/liftrill/gateway/freshness_checker.py
@@ -9,7 +9,7 @@
 from liftrill.coordination.range_store import RangeStore, StoredItem
 from liftrill.coordination.store_position import era_of
 from liftrill.errors import StoreError
-from liftrill.gateway.beliefs import Beliefs
+from liftrill.gateway.cluster_state import ClusterState
 from liftrill.gateway.configuration_view import ConfigurationView
 from liftrill.gateway.relay_codec import RelayAnswer
 from liftrill.gateway.store_follower import WATCH_LAG_S, StoreFollower
@@ -38,7 +38,7 @@
     return min(constants.STORE_CALL_TIMEOUT_SECONDS, PROOF_WAIT_SHARE * news_s)
 
 
-class CurrencyOwner(ABC):
+class FreshnessDelegate(ABC):
     """Whom to tell of what a reading shows."""
 
     @abstractmethod
@@ -50,16 +50,16 @@
         """Note that the watch did not bring the changes up to a revision that was read."""
 
 
-class CurrencyProver:
+class FreshnessChecker:
     """Ask the store, or take the proofs of the reader that this node follows."""
 
     def __init__(
         self,
         store: RangeStore,
         follower: StoreFollower,
-        beliefs: Beliefs,
+        beliefs: ClusterState,
         view: ConfigurationView,
-        owner: CurrencyOwner,
+        owner: FreshnessDelegate,
         news_s: float = math.inf,
     ) -> None:
         self._interval_s = proof_interval_s(news_s)
@@ -79,7 +79,7 @@
         self._copy_at = 0
         self._watch_check: asyncio.Task[None] | None = None
 
-    def hear_version(self, version: int) -> None:
+    def note_peer_version(self, version: int) -> None:
         """Note that a peer has a newer version in force."""
         if version > self._view.version:
             self._heard_version = max(self._heard_version, version)
@@ -104,7 +104,7 @@
     def _may_be_undone(self, asked_at: float) -> bool:
         return asked_at - self._restored_at < WRITTEN_AGAIN_WITHIN_S
 
-    def take_answer(self, answer: RelayAnswer, asked_at: float) -> None:
+    def take_reader_proof(self, answer: RelayAnswer, asked_at: float) -> None:
         """Take the proof of a reader that was asked at a time.
 
         It answered later than it was asked, so its proof is no older than its age
@@ -114,15 +114,15 @@
         if era_of(answer.at) == era_of(self._follower.mirror.at):
             self._prove(answer.version, asked_at - answer.proof_age_s)
 
-    async def prove_within(self, limit_s: float) -> None:
+    async def wait_for_proof(self, limit_s: float) -> None:
         """Ask at once and wait a little for a proof: this process may have stood still."""
-        self.ask_soon()
+        self.request_proof()
         with suppress(TimeoutError):
             async with asyncio.timeout(limit_s):
                 while not self._view.is_proven(clock.now_s()):
                     await self._proved.wait()
 
-    def ask_soon(self) -> None:
+    def request_proof(self) -> None:
         """Ask at once.
 
         While the store does not answer this node, it is asked no more often than usual:
@@ -190,7 +190,7 @@
         if self._may_be_undone(asked_at) and item.revision <= self._copy_at:
             return
         is_known = item.revision == self._beliefs.configuration_revision
-        if is_known or self._beliefs.is_of_former_version(item):
+        if is_known or self._beliefs.is_older_configuration(item):
             self._prove(self._view.version, asked_at)
 
     def _checks_watch(self) -> bool:
@@ -204,4 +204,4 @@
         await asyncio.sleep(self._follower.watch_lag_s())
         if self._follower.mirror.at < revision:
             self._owner.watch_behind(revision)
-            self._follower.read_again()
+            self._follower.reread()
--- a/liftrill/gateway/gateway.py
+++ b/liftrill/gateway/gateway.py
@@ -27,9 +27,8 @@
     RequestAdmission,
 )
 from liftrill.gateway.admission.retry_allowance import RetryAllowance
-from liftrill.gateway.beliefs import Beliefs
+from liftrill.gateway.cluster_state import ClusterState
 from liftrill.gateway.configuration_view import ConfigurationView
-from liftrill.gateway.currency import CurrencyOwner, CurrencyProver
 from liftrill.gateway.decision_log import DecisionLog, rounded_age
 from liftrill.gateway.engines.engine_limits import LimitMessage
 from liftrill.gateway.engines.engine_selector import EngineSelector
@@ -38,6 +37,7 @@
 from liftrill.gateway.engines.engine_update import EngineUpdate
 from liftrill.gateway.fleet_record import FleetRecord
 from liftrill.gateway.forwarder import Forwarder, ForwardingPorts
+from liftrill.gateway.freshness_checker import FreshnessChecker, FreshnessDelegate
 from liftrill.gateway.gateway_metrics import GatewayMetrics
 from liftrill.gateway.holding.node_memory import new_node_memory
 from liftrill.gateway.leadership import Leadership, TermParameters
@@ -56,15 +56,15 @@
 from liftrill.gateway.quarantine import Quarantine
 from liftrill.gateway.quarantine_list import QuarantineEntry
 from liftrill.gateway.quarantine_records import QuarantineRecords, fingerprint_of
-from liftrill.gateway.reader_plan import ReaderPlan
+from liftrill.gateway.reader_selection import ReaderSelection
 from liftrill.gateway.record_decoder import RecordDecoder
-from liftrill.gateway.relay_client import ReaderLimits, longest_mirror_age_s
+from liftrill.gateway.relay_client import ReaderLimits, max_mirror_age_s
 from liftrill.gateway.relay_codec import RelayAnswer
 from liftrill.gateway.relay_server import RelayServer
 from liftrill.gateway.route_table import WeightedSplit
 from liftrill.gateway.settings import GatewaySettings
-from liftrill.gateway.standstill import Standstill
-from liftrill.gateway.store_follower import FollowerOwner, StoreFollower
+from liftrill.gateway.stall_detector import StallDetector
+from liftrill.gateway.store_follower import FollowerDelegate, StoreFollower
 from liftrill.gateway.transport import EngineTransport
 from liftrill.gateway.weight_controller import WeightController
 from liftrill.gateway.weight_rollout import WeightRollout
@@ -93,7 +93,7 @@
 CANDIDATE_AFTER_S = 1.0
 
 
-class Gateway(FollowerOwner, CurrencyOwner):
+class Gateway(FollowerDelegate, FreshnessDelegate):
     """One node that forwards requests, and shares the work of control with its peers."""
 
     def __init__(
@@ -122,7 +122,7 @@
         )
         split = WeightedSplit()
         selector = EngineSelector(engines, targets, settings.zone)
-        self._beliefs = Beliefs(
+        self._beliefs = ClusterState(
             decoder,
             self.view,
             engines,
@@ -139,19 +139,19 @@
         self.admission = RequestAdmission(self.view, split)
         self._fleet = FleetSize()
         self._quotas = self._new_quotas()
-        self._standstill = Standstill(NEWS_WAIT_S)
+        self._standstill = StallDetector(NEWS_WAIT_S)
         self.capacity = NodeCapacity(settings.machine, HOUSEKEEPING_SECONDS)
         self._membership = self._new_membership()
-        self._readers = ReaderPlan(self._membership.own)
-        limits = ReaderLimits(settings.node, longest_mirror_age_s(bounds.news_seconds))
+        self._readers = ReaderSelection(self._membership.own)
+        limits = ReaderLimits(settings.node, max_mirror_age_s(bounds.config_apply_seconds))
         self._follower = StoreFollower(store, "", self, limits)
-        self._currency = CurrencyProver(
+        self._currency = FreshnessChecker(
             store,
             self._follower,
             self._beliefs,
             self.view,
             self,
-            bounds.news_seconds,
+            bounds.config_apply_seconds,
         )
         self._relay = RelayServer(self._follower, self.view, metrics.followers.set)
         self._silence = PeerSilence()
@@ -162,7 +162,7 @@
         self._directory = CallerDirectory(self._capacities)
         callbacks = PeerCallbacks(
             self._on_member,
-            self._currency.hear_version,
+            self._currency.note_peer_version,
             self._on_notice,
             self._on_engine_update,
             self._on_loads,
@@ -229,7 +229,7 @@
             self._tell_loads,
         ):
             self._tasks.append(asyncio.ensure_future(self._supervise(loop)))
-        self.log.belief(
+        self.log.state_changed(
             "started",
             zone=self.settings.zone,
             front=self.settings.front,
@@ -240,7 +240,7 @@
         """Take no new callers: peers no longer name this node."""
         self.stopping = True
         self._peers.depart()
-        self.log.belief("stopping")
+        self.log.state_changed("stopping")
 
     async def stop(self) -> None:
         """End; what this node led was handed over before."""
@@ -248,7 +248,7 @@
             task.cancel()
         self._peers.close()
         self._relay.close()
-        self.log.belief("stopped")
+        self.log.state_changed("stopped")
 
     async def resign(self) -> None:
         """Give no more orders; another node takes over."""
@@ -262,7 +262,7 @@
             return AdmissionRefusal(ResultCode.NODE_BUSY, come_back_s, why)
         found = self.admission.admit(incoming, clock.now_s())
         if isinstance(found, AdmissionRefusal) and found.code is ResultCode.KEY_NOT_PROVEN:
-            await self._currency.prove_within(constants.PROOF_WAIT_S)
+            await self._currency.wait_for_proof(constants.PROOF_WAIT_S)
             found = self.admission.admit(incoming, clock.now_s())
         if isinstance(found, AdmissionRefusal):
             return found
@@ -323,7 +323,7 @@
     def _new_leadership(self) -> Leadership:
         bounds = self.settings.bounds
         lease = LeaseParameters(
-            time_to_live=max(bounds.least_lease_seconds, LEASE_TIME_TO_LIVE_SECONDS),
+            time_to_live=max(bounds.min_lease_seconds, LEASE_TIME_TO_LIVE_SECONDS),
             renew_interval=LEASE_RENEW_INTERVAL_SECONDS,
             retry_interval=LEASE_RETRY_INTERVAL_SECONDS,
             safety_margin=bounds.thaw_seconds + LEASE_MARGIN_SECONDS,
@@ -359,24 +359,24 @@
     def _beliefs_hold(self, now: float) -> bool:
         """Return whether what came while this process stood still is known."""
         self._beat(now)
-        return self._standstill.is_over(now, self._follower.currency.as_of)
+        return self._standstill.has_caught_up(now, self._follower.freshness.as_of)
 
     def _beat(self, now: float) -> None:
         """Ask the store at once after a standstill: engines may have left meanwhile."""
-        if self._standstill.beat(now):
+        if self._standstill.tick(now):
             slept_s = clock.slept_s()
             self.metrics.standstills.inc()
-            self.log.belief(
+            self.log.state_changed(
                 "woken",
-                stood_still_s=round(self._standstill.gap_s, 3),
+                stood_still_s=round(self._standstill.stall_s, 3),
                 slept_s=round(slept_s - self._slept_s, 3),
                 counts_sleep=clock.counts_sleep(),
-                mirror_age_s=rounded_age(self._follower.currency.age_s(now)),
+                mirror_age_s=rounded_age(self._follower.freshness.age_s(now)),
             )
             self._slept_s = slept_s
             # Timers stood as long as the machine slept.
             self.forwarder.renew_limits()
-            self._currency.ask_soon()
+            self._currency.request_proof()
 
     # What others tell
 
@@ -385,9 +385,9 @@
         self._relay.publish(change)
         if change.restored:
             self._note_restored(era_of(self._follower.mirror.at))
-            self._fleet_record.skip()
+            self._fleet_record.ignore_current()
         else:
-            self._fleet_record.recall(clock.now_s())
+            self._fleet_record.load(clock.now_s())
         before = self.view.version
         self._beliefs.apply(change, known_until)
         self._take_quarantine(change)
@@ -410,7 +410,7 @@
         self._store_era = era
         self.metrics.store_era.set(era - 1)
         at = self._follower.mirror.at
-        self.log.belief(
+        self.log.state_changed(
             "store_restored",
             era=told_era(era),
             copy_era=told_era(era_of(at)),
@@ -423,66 +423,66 @@
         """Take in a configuration that the mirror does not have yet."""
         self._relay.publish_early(item)
         before = self.view.version
-        self._beliefs.apply_item(item, self._follower.currency.as_of)
+        self._beliefs.apply_item(item, self._follower.freshness.as_of)
         self._announce_if_newer(before)
 
     def range_read(self, asked_at: float) -> None:
         """Take the reading of the whole range as a proof of currency."""
         now = clock.now_s()
-        self.log.belief(
+        self.log.state_changed(
             "store_read",
             at=self._follower.mirror.at,
             call_s=round(now - asked_at, 3),
-            mirror_age_s=rounded_age(self._follower.currency.age_s(now)),
+            mirror_age_s=rounded_age(self._follower.freshness.age_s(now)),
         )
         self._currency.range_read(asked_at)
 
     def watch_behind(self, revision: int) -> None:
         """Log that the watch did not bring what a reading named."""
-        self.log.belief("watch_behind", at=self._follower.mirror.at, revision=revision)
+        self.log.state_changed("watch_behind", at=self._follower.mirror.at, revision=revision)
 
     def own_name(self) -> str:
         """Return the name of this node."""
         return self.settings.node
 
-    def reads_for_others(self) -> bool:
+    def is_assigned_reader(self) -> bool:
         """Return whether this node is to read the store, and not only until it may follow."""
-        return self._readers.serves_others(self._membership.members())
+        return self._readers.should_read_store(self._membership.members())
 
-    def store_connection(self, connected: bool) -> None:
+    def store_connection_changed(self, connected: bool) -> None:
         """Note that the store was lost or regained."""
-        self.log.belief("store", connected=connected, at=self._follower.mirror.at)
+        self.log.state_changed("store", connected=connected, at=self._follower.mirror.at)
 
     def relay_answered(self, answer: RelayAnswer, asked_at: float) -> None:
         """Take the proof of the reader that this node follows."""
-        self._currency.take_answer(answer, asked_at)
+        self._currency.take_reader_proof(answer, asked_at)
 
     def reader_to_follow(self, store_lost: bool) -> Member | None:
         """Return the node whose mirror to follow, or None to read the store itself."""
         members = self._membership.members()
         return self._readers.reader(members, clock.now_s(), store_lost)
 
-    def keeps_reader(self, reader: Member, since: float) -> bool:
+    def is_reader_eligible(self, reader: Member, since: float) -> bool:
         """Return whether a node that was followed since a time is still one to follow."""
         members = self._membership.members()
-        return self._readers.keeps(reader, members, since, clock.now_s())
+        return self._readers.is_eligible(reader, members, since, clock.now_s())
 
     def reader_followed(self, reader: Member, store_lost: bool) -> None:
         """Log whom this node follows from now on, and what it knows before."""
         now = clock.now_s()
-        self.log.belief(
+        self.log.state_changed(
             "reader_followed",
             reader=reader.node_id,
             store_lost=store_lost,
             at=self._follower.mirror.at,
-            mirror_age_s=rounded_age(self._follower.currency.age_s(now)),
+            mirror_age_s=rounded_age(self._follower.freshness.age_s(now)),
             proof_age_s=rounded_age(self.view.proof_age(now)),
         )
 
     def reader_lost(self, reader: Member, reason: str) -> None:
         """Leave a reader alone for a while that serves this node no more."""
-        self._readers.avoid(reader.node_id, clock.now_s())
-        self.log.belief("reader_lost", reader=reader.node_id, reason=reason)
+        self._readers.back_off(reader.node_id, clock.now_s())
+        self.log.state_changed("reader_lost", reader=reader.node_id, reason=reason)
 
     def _announce_if_newer(self, before: int) -> None:
         if self.view.version != before:
@@ -499,7 +499,7 @@
             self._silence.forget(member.node_id)
             self._capacities.forget(member.node_id)
         self._beliefs.selector.parts.nodes = alive
-        self.log.belief(
+        self.log.state_changed(
             "peer",
             peer=member.node_id,
             condition=member.condition.name.lower(),
@@ -601,7 +601,7 @@
             try:
                 await loop()
             except Exception as error:
-                self.log.belief("task_failed", task=loop.__qualname__, error=repr(error))
+                self.log.state_changed("task_failed", task=loop.__qualname__, error=repr(error))
             await asyncio.sleep(constants.BACKGROUND_RESTART_SECONDS)
 
     async def _tell_loads(self) -> None:
@@ -643,11 +643,11 @@
         self.capacity.beat(now, used.ru_utime + used.ru_stime, free_bytes)
         word = self.capacity.word()
         self._capacities.take(self.settings.node, word, now)
-        self.metrics.show_capacity(word, self.capacity.lag_s)
+        self.metrics.set_capacity(word, self.capacity.lag_s)
         self._shed(now)
         changes = self._directory.beat(self._usable_members(now), self.settings.zone, now)
         for change in changes[:MOST_CHANGES_TOLD]:
-            self.log.belief("node_named", of=len(changes), **change.inputs())
+            self.log.state_changed("node_named", of=len(changes), **change.inputs())
 
     def _shed(self, now: float) -> None:
         """Decide what this node sheds, and log where that changed."""
@@ -660,7 +660,7 @@
         lag_s = self.capacity.lag_s
         others_late_s = self._capacities.total(others, now).late_s
         if self._busy.beat(lag_s, self.capacity.late_beats, others_late_s):
-            self.log.belief(
+            self.log.state_changed(
                 "node_busy",
                 closes=self._busy.closes,
                 refuses=self._busy.refuses,
@@ -677,13 +677,13 @@
         if is_short != self._link_was_short:
             self._link_was_short = is_short
             held_s = round(parts.directory.held_s, 2)
-            self.log.belief("store_link", short=is_short, nodes=parts.nodes, held_s=held_s)
+            self.log.state_changed("store_link", short=is_short, nodes=parts.nodes, held_s=held_s)
 
     def _note_speeds(self, now: float) -> None:
         """Work out how fast engines are, and tell operators of what changed."""
         speeds = self._beliefs.selector.speeds
         for change in speeds.refresh(now):
-            self.log.belief(
+            self.log.state_changed(
                 "engine_slow" if change.slowness > 1.0 else "engine_well",
                 engine=change.view.engine_id,
                 service=change.view.record.service,
@@ -715,12 +715,12 @@
             self._engines.standings.expire((view.standing for view in self._engines), now)
             self.metrics.limited_engines.set(len(self._limits.in_force()))
             self._limits.expire((view.at for view in self._engines), now)
-            self._follower.reconsider()
+            self._follower.reselect_reader()
             self.metrics.version.set(self.view.version)
             self.metrics.engines.set(len(self._engines))
             self.metrics.reads_store.set(self._follower.followed is None)
             self.metrics.proof_age.set(self.view.proof_age(now))
-            self.metrics.mirror_age.set(self._follower.currency.age_s(now))
+            self.metrics.mirror_age.set(self._follower.freshness.age_s(now))
             self.metrics.peers.set(len(self._membership.members()))
             depth, age_s = self.forwarder.lines.depth_and_age_s(now)
             self.metrics.line_depth.set(depth)
--- a/liftrill/gateway/gateway_metrics.py
+++ b/liftrill/gateway/gateway_metrics.py
@@ -106,7 +106,7 @@
         self.permits = self._counter(
             "liftrill_engine_permits", "Permits that this node asked for, by answer.", "answer"
         )
-        self.engine_words = self._counter(
+        self.engine_signals = self._counter(
             "liftrill_engine_words",
             "Answers in which engines leave, want rest or name a limit.",
             "says",
@@ -156,16 +156,16 @@
         """Count a request by how it ended."""
         self.outcomes.labels(outcome).inc()
 
-    def count_word(self, word: EngineWord) -> None:
+    def count_engine_signal(self, word: EngineWord) -> None:
         """Count an answer in which an engine says that it leaves, wants rest or names a limit."""
         if word.leaving:
-            self.engine_words.labels("leaving").inc()
+            self.engine_signals.labels("leaving").inc()
         if word.rest_s:
-            self.engine_words.labels("rest").inc()
+            self.engine_signals.labels("rest").inc()
         if word.limit_per_s is not None:
-            self.engine_words.labels("limit").inc()
+            self.engine_signals.labels("limit").inc()
 
-    def show_capacity(self, word: NodeWord, lag_s: float) -> None:
+    def set_capacity(self, word: NodeWord, lag_s: float) -> None:
         """Show what this node can bear and bears."""
         self.capacity.set(word.capacity_cores)
         self.capacity_used.set(word.used_cores)
--- a/liftrill/gateway/holding/node_memory.py
+++ b/liftrill/gateway/holding/node_memory.py
@@ -60,7 +60,7 @@
     def _tell_change(self, state: BudgetState) -> None:
         kind = "memory_nearly_spent" if state.nearly_spent else "memory_well_again"
         by_purpose = {purpose.value: self.budget.held_for(purpose) for purpose in Purpose}
-        self._log.belief(kind, capacity_bytes=state.capacity_bytes, **by_purpose)
+        self._log.state_changed(kind, capacity_bytes=state.capacity_bytes, **by_purpose)
 
 
 def new_node_memory(
--- a/liftrill/gateway/leadership.py
+++ b/liftrill/gateway/leadership.py
@@ -177,7 +177,7 @@
         try:
             await self._store.end_lease(lease)
         except StoreError as error:
-            self._log.belief("leader_key_left", lease=lease, reason=type(error).__name__)
+            self._log.state_changed("leader_key_left", lease=lease, reason=type(error).__name__)
 
     async def retire(self) -> None:
         """Give the lease back and contend no more: this node is about to end."""
@@ -337,13 +337,13 @@
         # A term that is taken up again still waits for what it had to wait for.
         quiet_until = now + self._parameters.quiet if wait else now
         self._quiet_until = max(self._quiet_until, quiet_until)
-        self._log.belief("leading", fence=fence, predecessor=holder.decode(), waits=wait)
+        self._log.state_changed("leading", fence=fence, predecessor=holder.decode(), waits=wait)
 
     def _note_call(self, failure: str) -> None:
         """Log how the calls about the lease end, where that has changed; the next one is due."""
         if failure != self._call_failure:
             self._call_failure = failure
-            self._log.belief("lease_calls", failure=failure)
+            self._log.state_changed("lease_calls", failure=failure)
 
     def _note_lost(self, reason: str) -> None:
-        self._log.belief("not_leading", fence=self.fence, reason=reason)
+        self._log.state_changed("not_leading", fence=self.fence, reason=reason)
--- a/liftrill/gateway/log_lines.py
+++ b/liftrill/gateway/log_lines.py
@@ -13,7 +13,7 @@
 Destination = Callable[[Message], None]
 
 
-def write_to(output: BoundedOutput) -> Destination:
+def add_log_output(output: BoundedOutput) -> Destination:
     """Write each message from now on as a line to an output."""
 
     def write(message: Message) -> None:
--- a/liftrill/gateway/peers/engine_gossip.py
+++ b/liftrill/gateway/peers/engine_gossip.py
@@ -54,9 +54,9 @@
 
     def hear(self, word: EngineWord) -> None:
         """Take in what an engine says of itself in an answer to this node."""
-        self._metrics.count_word(word)
+        self._metrics.count_engine_signal(word)
         if word.rest_s:
-            self._log.engine_rests(word)
+            self._log.engine_backoff_requested(word)
         if word.limit_per_s is not None:
             self._log.engine_limit_named(word)
         now = clock.now_s()
@@ -76,7 +76,9 @@
         for limit in update.limits:
             self._limits.merge(limit, now)
         for record in self._engines.learn_unwritten(update, now):
-            self._log.belief("engine_withheld", engine=record.engine_id, revision=record.revision)
+            self._log.state_changed(
+                "engine_withheld", engine=record.engine_id, revision=record.revision
+            )
 
     def tell_joiner(self, joiner: Member) -> None:
         """Tell a node that joins what it can't read in the store.
@@ -106,7 +108,7 @@
 
     def _note_leaving(self, engine: EngineAddress, source: str) -> None:
         view = self._engines.get(engine.engine_id)
-        self._log.belief(
+        self._log.state_changed(
             "engine_leaves",
             engine=engine.engine_id,
             address=engine.address,
@@ -177,7 +179,7 @@
 
     def limit_changed(self, limit: EngineLimit, source: str) -> None:
         """Log a limit that began, changed or ended."""
-        self._log.belief(
+        self._log.state_changed(
             "engine_limit",
             engine=limit.engine.engine_id,
             address=limit.engine.address,
--- a/liftrill/gateway/store_link.py
+++ b/liftrill/gateway/prefix_store_link.py
@@ -7,7 +7,7 @@
 
 from dataclasses import dataclass, field
 
-from liftrill.gateway.fading_rate import FadingRate
+from liftrill.gateway.decaying_rate import DecayingRate
 from liftrill.gateway.opaque_request import PromptShape
 
 # Over how long a node's own demand is averaged: it sees few of a large fleet's requests.
@@ -21,16 +21,16 @@
 
 
 @dataclass(slots=True)
-class StoreLink:
+class PrefixStoreLink:
     """What one node would have moved over the stores' links if they carried all."""
 
-    _seconds: FadingRate = field(default_factory=lambda: FadingRate(AVERAGE_S))
+    _seconds: DecayingRate = field(default_factory=lambda: DecayingRate(AVERAGE_S))
 
     def record_demand(self, move_s: float, now: float) -> None:
         """Note that a request would take the links for some time."""
         self._seconds.record(move_s, now)
 
-    def is_short(self, stores: int, nodes: int, now: float) -> bool:
+    def is_saturated(self, stores: int, nodes: int, now: float) -> bool:
         """Return whether all nodes together ask for more than the links carry."""
         own_rate = self._seconds.per_s(now)
         if own_rate is None or not stores:
@@ -38,7 +38,7 @@
         return own_rate * nodes > SHORT_SHARE * stores
 
 
-def is_worth_moving(prompt: PromptShape) -> bool:
+def is_worth_transferring(prompt: PromptShape) -> bool:
     """Return whether anything of a prompt is to be moved over a short link."""
     return prompt.shared_tokens >= LEAST_MOVED_TOKENS
 
--- a/liftrill/gateway/quarantine.py
+++ b/liftrill/gateway/quarantine.py
@@ -180,7 +180,7 @@
             self._evidence.clear(fingerprint, now)
             # What other nodes were about to write after this one must not bring it back.
             self.keeper.drop(fingerprint)
-            self.log.belief("quarantine_released", fingerprint=fingerprint.hex())
+            self.log.state_changed("quarantine_released", fingerprint=fingerprint.hex())
 
     def expire(self, now: float) -> None:
         """Forget what is old."""
@@ -214,7 +214,7 @@
         self._evidence.note_end(number, now)
         losses = self._losses.pop(number, [])
         self.metrics.engine_ends.inc()
-        self.log.belief(
+        self.log.state_changed(
             "engine_ended",
             engine=self._engine_name(number),
             source=source,
@@ -309,7 +309,7 @@
         if was_listed:
             self.keeper.drop(fingerprint)
         if was_suspect or was_listed:
-            self.log.belief("suspect_served", fingerprint=fingerprint.hex())
+            self.log.state_changed("suspect_served", fingerprint=fingerprint.hex())
 
     def _engine_name(self, number: int) -> str:
         """Return an engine's name, or its number where it is not known here."""
@@ -319,7 +319,7 @@
         return view.record.incarnation if view else f"{number:016x}"
 
     def _log_entry(self, entry: QuarantineEntry, source: str) -> None:
-        self.log.belief(
+        self.log.state_changed(
             "request_quarantined",
             fingerprint=entry.fingerprint.hex(),
             source=source,
--- a/liftrill/gateway/quarantine_records.py
+++ b/liftrill/gateway/quarantine_records.py
@@ -107,7 +107,7 @@
         try:
             return entry_of(item)
         except DecodeError as error:
-            self._log.belief("record_refused", key=item.key, why=repr(error))
+            self._log.state_changed("record_refused", key=item.key, why=repr(error))
             return None
 
     async def write_due(self) -> None:
@@ -137,7 +137,7 @@
         try:
             await self._store.transact(expected, puts, removed)
         except StoreError as error:
-            self._log.belief("quarantine_not_written", key=key, why=repr(error))
+            self._log.state_changed("quarantine_not_written", key=key, why=repr(error))
             # Another node was first, or the store is away: look again once the mirror tells.
             if self._pending.get(fingerprint) is pending:
                 due_at = clock.now_s() + _spread(pending.retry_s)
--- a/liftrill/gateway/reader_plan.py
+++ b/liftrill/gateway/reader_selection.py
@@ -25,7 +25,7 @@
 
 
 @dataclass(slots=True)
-class ReaderPlan:
+class ReaderSelection:
     """The choice of one node.
 
     Attributes:
@@ -59,7 +59,9 @@
             chosen = self._first_usable(self._stand_ins(known), now)
         return chosen
 
-    def keeps(self, reader: Member, members: Iterable[Member], since: float, now: float) -> bool:
+    def is_eligible(
+        self, reader: Member, members: Iterable[Member], since: float, now: float
+    ) -> bool:
         """Return whether a node that was followed since a time is still one to follow."""
         known = list(members)
         readers = self.readers(known)
@@ -70,9 +72,9 @@
 
     def _first_usable(self, candidates: list[Member], now: float) -> Member | None:
         """Return the first candidate that did not fail this node lately."""
-        return next((m for m in candidates if not self._is_avoided(m.node_id, now)), None)
+        return next((m for m in candidates if not self._is_backed_off(m.node_id, now)), None)
 
-    def _is_avoided(self, node_id: str, now: float) -> bool:
+    def _is_backed_off(self, node_id: str, now: float) -> bool:
         avoidance = self._avoided.get(node_id)
         return avoidance is not None and now < avoidance.until
 
@@ -99,7 +101,7 @@
         readers = ranked(READER_KEY, local.values())[: self.readers_per_zone]
         return {member.node_id: member for member in readers}
 
-    def avoid(self, node_id: str, now: float) -> None:
+    def back_off(self, node_id: str, now: float) -> None:
         """Leave a reader alone for a while, for longer if it failed shortly before."""
         forgotten_at = now - self.avoid_longest_s
         self._avoided = {n: a for n, a in self._avoided.items() if a.until > forgotten_at}
@@ -107,7 +109,7 @@
         pause_s = min(self.avoid_longest_s, 2 * last.pause_s) if last else self.avoid_s
         self._avoided[node_id] = _Avoidance(now + pause_s, pause_s)
 
-    def serves_others(self, members: Iterable[Member]) -> bool:
+    def should_read_store(self, members: Iterable[Member]) -> bool:
         """Return whether this node is to read the store, as a reader or since all do."""
         readers = self.readers(members)
         return not readers or self.own.node_id in readers
--- a/liftrill/gateway/records.py
+++ b/liftrill/gateway/records.py
@@ -61,24 +61,24 @@
         maximum_connections: connections that one engine accepts from all nodes together.
         cache_tokens: tokens that one model engine keeps, running and cached; 0 for others.
         models: names of the models that its engines run.
-        steps_per_event: tokens that one event of a stream holds.
+        tokens_per_event: tokens that one event of a stream holds.
         backups: whether its engines send copies of runs to each other.
-        move_s_per_token: time to move the memory of one token between engines.
-        store_move_s_per_token: the same from a kept store.
+        transfer_s_per_token: time to move the memory of one token between engines.
+        store_transfer_s_per_token: the same from a kept store.
     """
 
     name: str
     maximum_connections: int
     cache_tokens: int = 0
     models: tuple[str, ...] = ()
-    steps_per_event: int = 1
+    tokens_per_event: int = 1
     backups: bool = False
-    move_s_per_token: float = 0.0
-    store_move_s_per_token: float = 0.0
+    transfer_s_per_token: float = 0.0
+    store_transfer_s_per_token: float = 0.0
 
 
 @dataclass(frozen=True, slots=True)
-class KeptStoreProfile:
+class PrefixStoreProfile:
     """A store of kept prefixes that engines save to and fetch from."""
 
     address: str
@@ -136,7 +136,7 @@
     version: int
     routes: tuple[RouteRule, ...]
     services: Mapping[str, ServiceProfile]
-    kept_stores: tuple[KeptStoreProfile, ...] = ()
+    prefix_stores: tuple[PrefixStoreProfile, ...] = ()
     tenants_by_key: Mapping[str, Tenant] | None = None
     limits: TrafficLimits = field(default_factory=TrafficLimits)
 
--- a/liftrill/gateway/relay_client.py
+++ b/liftrill/gateway/relay_client.py
@@ -30,7 +30,7 @@
 LEAVING_S = 0.2
 
 
-def longest_mirror_age_s(news_s: float) -> float:
+def max_mirror_age_s(news_s: float) -> float:
     """Return how old the copy of a followed reader may be, by the bound on news."""
     left_s = news_s - constants.RELAY_QUESTION_SECONDS - LEAVING_S
     return min(constants.RELAY_PROOF_AGE_SECONDS, left_s)
@@ -52,7 +52,7 @@
         """Take in how current the reader was some time after a question."""
 
     @abstractmethod
-    def reader_patience_s(self) -> float:
+    def reader_timeout_s(self) -> float:
         """Return for how long a reader may be silent from now on."""
 
 
@@ -62,16 +62,16 @@
 
     Attributes:
         own_name: the node that follows.
-        longest_mirror_age_s: how old the reader's copy of the store may be.
+        max_mirror_age_s: how old the reader's copy of the store may be.
     """
 
     own_name: str
-    longest_mirror_age_s: float
+    max_mirror_age_s: float
 
     @property
-    def longest_copy_age_s(self) -> float:
+    def max_copy_age_s(self) -> float:
         """How old the follower's own copy may grow: until the answer after its last one is due."""
-        return self.longest_mirror_age_s + constants.RELAY_QUESTION_SECONDS
+        return self.max_mirror_age_s + constants.RELAY_QUESTION_SECONDS
 
     def check(self, answer: RelayAnswer) -> None:
         """Check a reader's answer.
@@ -81,7 +81,7 @@
         """
         if answer.proof_age_s > constants.RELAY_PROOF_AGE_SECONDS:
             raise RelayLostError(f"its proof is {answer.proof_age_s:.1f} s old")
-        if answer.mirror_age_s > self.longest_mirror_age_s:
+        if answer.mirror_age_s > self.max_mirror_age_s:
             raise RelayLostError(f"its copy is {answer.mirror_age_s:.1f} s old")
         if not answer.path:
             raise RelayLostError("nobody reads the store for it")
@@ -110,7 +110,7 @@
         try:
             async with (
                 aiohttp.ClientSession(connector=connector, timeout=timeout) as session,
-                asyncio.timeout(self._listener.reader_patience_s()) as opening,
+                asyncio.timeout(self._listener.reader_timeout_s()) as opening,
                 session.ws_connect(url, max_msg_size=0) as socket,
             ):
                 opening.reschedule(None)
@@ -123,7 +123,7 @@
         asking = asyncio.ensure_future(self._ask(socket))
         try:
             while True:
-                async with asyncio.timeout(self._listener.reader_patience_s()):
+                async with asyncio.timeout(self._listener.reader_timeout_s()):
                     message = await socket.receive()
                 if message.type is not aiohttp.WSMsgType.BINARY:
                     raise RelayLostError("closed by the reader")
--- a/liftrill/gateway/relay_server.py
+++ b/liftrill/gateway/relay_server.py
@@ -70,7 +70,7 @@
     """
 
     mirror: StoreMirror
-    currency: MirrorCurrency
+    freshness: MirrorCurrency
 
     @property
     @abstractmethod
@@ -197,7 +197,7 @@
             self._view.version,
             self._view.proof_age(now),
             self._mirror.at,
-            self._source.currency.age_s(now),
+            self._source.freshness.age_s(now),
             self._source.path,
         )
 
--- a/liftrill/gateway/standstill.py
+++ b/liftrill/gateway/stall_detector.py
@@ -8,30 +8,30 @@
 
 
 @dataclass(slots=True)
-class Standstill:
+class StallDetector:
     """The gaps in which this process did not run.
 
     Attributes:
-        longest_wait_s: after this time what is believed is used again, though nothing came.
+        max_catch_up_s: after this time what is believed is used again, though nothing came.
         woke_at: the end of the last gap.
         gap_s: how long it was.
     """
 
-    longest_wait_s: float
+    max_catch_up_s: float
     woke_at: float = -math.inf
-    gap_s: float = 0.0
+    stall_s: float = 0.0
     _beat_at: float = math.inf
 
-    def beat(self, now: float) -> bool:
+    def tick(self, now: float) -> bool:
         """Note that the process runs; return whether it has just woken."""
-        gap_s = now - self._beat_at
+        stall_s = now - self._beat_at
         self._beat_at = now
         if gap_s < STANDSTILL_S:
             return False
         self.woke_at = now
-        self.gap_s = gap_s
+        self.stall_s = gap_s
         return True
 
-    def is_over(self, now: float, known_until: float) -> bool:
+    def has_caught_up(self, now: float, known_until: float) -> bool:
         """Return whether what was acknowledged until a time tells of the last gap too."""
-        return known_until >= self.woke_at or now - self.woke_at >= self.longest_wait_s
+        return known_until >= self.woke_at or now - self.woke_at >= self.max_catch_up_s
--- a/liftrill/gateway/store_follower.py
+++ b/liftrill/gateway/store_follower.py
@@ -40,7 +40,7 @@
 LEAST_PATIENCE_S = 0.3
 
 
-class FollowerOwner(ABC):
+class FollowerDelegate(ABC):
     """Whom a follower tells of changes, and asks whom to follow."""
 
     @abstractmethod
@@ -56,11 +56,11 @@
         """Return the name of this node."""
 
     @abstractmethod
-    def reads_for_others(self) -> bool:
+    def is_assigned_reader(self) -> bool:
         """Return whether this node is to read the store, and not only until it may follow."""
 
     @abstractmethod
-    def store_connection(self, connected: bool) -> None:
+    def store_connection_changed(self, connected: bool) -> None:
         """Note that the store was lost or regained."""
 
     @abstractmethod
@@ -72,7 +72,7 @@
         """Return the node to follow, or None to read the store itself."""
 
     @abstractmethod
-    def keeps_reader(self, reader: Member, since: float) -> bool:
+    def is_reader_eligible(self, reader: Member, since: float) -> bool:
         """Return whether a node that was followed since a time is still one to follow."""
 
     @abstractmethod
@@ -95,10 +95,10 @@
     """
 
     def __init__(
-        self, store: RangeStore, prefix: str, owner: FollowerOwner, limits: ReaderLimits
+        self, store: RangeStore, prefix: str, owner: FollowerDelegate, limits: ReaderLimits
     ) -> None:
         self.mirror = StoreMirror()
-        self.currency = MirrorCurrency()
+        self.freshness = MirrorCurrency()
         self.connected = False
         self.followed: Member | None = None
         self._store = store
@@ -126,7 +126,7 @@
                 self._note_connection(False)
                 await self._interruptible(asyncio.sleep(self._outage.next_pause_s()))
 
-    def read_again(self) -> None:
+    def reread(self) -> None:
         """Read the whole range soon: something shows that the copy lacks changes."""
         self._reread = True
         self._interrupt()
@@ -143,10 +143,10 @@
         """Return how much later than a reading the watch may bring what the reading named."""
         return WATCH_LAG_S + self._spacing_s()
 
-    def reconsider(self) -> None:
+    def reselect_reader(self) -> None:
         """Choose anew whom to follow, if the members call for it."""
         if self.followed is not None:
-            if not self._owner.keeps_reader(self.followed, self._followed_since):
+            if not self._owner.is_reader_eligible(self.followed, self._followed_since):
                 self._interrupt()
         elif self._reader_to_follow() is not None:
             self._interrupt()
@@ -157,13 +157,13 @@
         A reading under way, which may have had that answer, is of one era or begun anew.
         """
         if self.followed is None and not self._reading:
-            self.read_again()
+            self.reread()
 
     def store_failed(self) -> None:
         """Note that the store did not answer a reading of this node, asked on a new connection."""
         if self.followed is None:
             self._outage.note_unread()
-            self.read_again()
+            self.reread()
 
     def store_answered(self, revision: int, asked_at: float) -> None:
         """Note that the store was at a revision some time after another call of this node."""
@@ -172,11 +172,11 @@
             # The store is back: the pause before the next try would only make the copy older.
             self._outage.note_answered()
             if not self._reading:
-                self.read_again()
+                self.reread()
 
     def _note_reading(self, revision: int, asked_at: float) -> None:
-        self.currency.note_reading(revision, asked_at)
-        self.currency.note_mirror(self.mirror.at)
+        self.freshness.note_reading(revision, asked_at)
+        self.freshness.note_mirror(self.mirror.at)
 
     def _reader_to_follow(self) -> Member | None:
         if self._reread and (self._try_store or not self._outage.lost):
@@ -199,7 +199,7 @@
             change = self.mirror.take_batch(update.batch)
             if change.written or change.removed:
                 self._tell(change)
-            self.currency.note_mirror(self.mirror.at)
+            self.freshness.note_mirror(self.mirror.at)
             return
         items = tuple(item for item in update.batch.changes if isinstance(item, StoredItem))
         whole = self.mirror.take_page(RangePage(items, update.batch.at, update.more))
@@ -212,7 +212,7 @@
         self._note_reading(answer.at, asked_at - answer.mirror_age_s)
         self._owner.relay_answered(answer, asked_at)
 
-    def reader_patience_s(self) -> float:
+    def reader_timeout_s(self) -> float:
         """Return for how long the followed reader may be silent.
 
         Until the copy is as old as news may be, if that comes first: the store may answer this
@@ -222,7 +222,7 @@
         """
         if self._outage.lost:
             return constants.RELAY_SILENCE_SECONDS
-        left_s = self._limits.longest_copy_age_s - self.currency.age_s(clock.now_s())
+        left_s = self._limits.max_copy_age_s - self.freshness.age_s(clock.now_s())
         return min(constants.RELAY_SILENCE_SECONDS, max(0.0, left_s))
 
     async def _follow(self, reader: Member) -> None:
@@ -238,7 +238,7 @@
         except RelayLostError as error:
             self._owner.reader_lost(reader, str(error))
             # Too little time for another reader to be reached and answer.
-            if self.reader_patience_s() < LEAST_PATIENCE_S:
+            if self.reader_timeout_s() < LEAST_PATIENCE_S:
                 self._reread = True
         finally:
             self.followed = None
@@ -261,7 +261,7 @@
         await self._interruptible(self._watch_once())
 
     async def _interruptible(self, work: Awaitable[None]) -> None:
-        """Do work, or wait, until `read_again` or `reconsider` ends that alone."""
+        """Do work, or wait, until `reread` or `reconsider` ends that alone."""
         self._waiting = asyncio.ensure_future(work)
         try:
             await asyncio.wait({self._waiting})
@@ -320,12 +320,12 @@
             await self._pace(started_at)
         else:
             self.mirror.take_batch(batch)
-            self.currency.note_mirror(self.mirror.at)
+            self.freshness.note_mirror(self.mirror.at)
 
     def _tell(self, change: MirrorChange) -> None:
         """Tell of a change, and until when the mirror was whole before it."""
-        self._owner.mirror_changed(change, self.currency.as_of)
-        self.currency.note_mirror(self.mirror.at)
+        self._owner.mirror_changed(change, self.freshness.as_of)
+        self.freshness.note_mirror(self.mirror.at)
 
     async def _pace(self, started_at: float) -> None:
         """Let changes gather after one that came quickly: each call is paid for."""
@@ -335,11 +335,11 @@
 
     def _spacing_s(self) -> float:
         """Return the time between two watches."""
-        if self._owner.reads_for_others():
+        if self._owner.is_assigned_reader():
             return constants.STORE_WATCH_SPACING_SECONDS
         return STAND_IN_SPACING_S
 
     def _note_connection(self, connected: bool) -> None:
         if connected != self.connected:
             self.connected = connected
-            self._owner.store_connection(connected)
+            self._owner.store_connection_changed(connected)
--- a/liftrill/gateway/weight_controller.py
+++ b/liftrill/gateway/weight_controller.py
@@ -157,7 +157,7 @@
     def _note_answer(self, view: EngineView, order: WeightOrder, answer: OrderAnswer) -> None:
         now = clock.now_s()
         self._metrics.orders.labels(answer.value).inc()
-        self._log.belief(
+        self._log.state_changed(
             "order",
             engine=view.engine_id,
             model=order.model,
@@ -203,7 +203,9 @@
         """Tell that an engine has loaded; a newer version may be on its way already."""
         view.learn_weights(model, version)
         self._tell(view, model, version, loading=False)
-        self._log.belief("weights_reached", engine=view.engine_id, model=model, version=version)
+        self._log.state_changed(
+            "weights_reached", engine=view.engine_id, model=model, version=version
+        )
 
     async def _read_status(self, view: EngineView) -> bool:
         """Learn how many orders an engine has taken, if this term does not know."""
