--- a/liftrill/gateway/stall_detector.py
+++ b/liftrill/gateway/stall_detector.py
@@ -1,37 +1,38 @@
-"""Notes that this process stood still, and how long its beliefs are from before that, sans-IO."""
+"""Detects that this process was suspended, and when its state is current again, sans-IO."""
 
 import math
 from dataclasses import dataclass
 
-# A gap between two beats that is no slow turn of the loop: beats come three times a second (guess).
-STANDSTILL_S = 0.75
+# Longer than a slow iteration of the event loop: `tick` is called about three times a second.
+STALL_THRESHOLD_S = 0.75
 
 
 @dataclass(slots=True)
 class StallDetector:
-    """The gaps in which this process did not run.
+    """Detect the intervals in which this process did not run.
 
     Attributes:
-        max_catch_up_s: after this time what is believed is used again, though nothing came.
-        woke_at: the end of the last gap.
-        gap_s: how long it was.
+        max_catch_up_s: time after a stall at which the node uses its state again, even if no
+            update has arrived.
+        resumed_at: end of the last stall.
+        stall_s: duration of the last stall.
     """
 
     max_catch_up_s: float
-    woke_at: float = -math.inf
+    resumed_at: float = -math.inf
     stall_s: float = 0.0
-    _beat_at: float = math.inf
+    _ticked_at: float = math.inf
 
     def tick(self, now: float) -> bool:
-        """Note that the process runs; return whether it has just woken."""
-        stall_s = now - self._beat_at
-        self._beat_at = now
-        if gap_s < STANDSTILL_S:
+        """Record that the process is running; return whether a stall has just ended."""
+        elapsed_s = now - self._ticked_at
+        self._ticked_at = now
+        if elapsed_s < STALL_THRESHOLD_S:
             return False
-        self.woke_at = now
-        self.stall_s = gap_s
+        self.resumed_at = now
+        self.stall_s = elapsed_s
         return True
 
     def has_caught_up(self, now: float, known_until: float) -> bool:
-        """Return whether what was acknowledged until a time tells of the last gap too."""
-        return known_until >= self.woke_at or now - self.woke_at >= self.max_catch_up_s
+        """Return whether state that is complete until `known_until` covers the last stall."""
+        return known_until >= self.resumed_at or now - self.resumed_at >= self.max_catch_up_s
--- a/liftrill/gateway/store_outage.py
+++ b/liftrill/gateway/store_outage.py
@@ -1,37 +1,37 @@
-"""Whether the store answers this node, sans-IO."""
+"""Tracks whether the store answers this node, and the backoff between retries, sans-IO."""
 
 import random
 from dataclasses import dataclass
 
 from liftrill import constants
 
-# Failures after which the pause between two tries grows no further.
-MOST_DOUBLINGS = 4
+# Consecutive failures after which the retry delay grows no further.
+MAX_DOUBLINGS = 4
 
 
 @dataclass(slots=True)
 class StoreOutage:
-    """What the store's failures tell one node.
+    """Track failed reads of the store and compute the retry delay.
 
     Attributes:
-        lost: whether the last reading failed: the store does not answer this node. A watch
-            that is cut says nothing of that.
+        unreachable: whether the last read failed. A watch that was cut does not set it: the
+            store may still answer reads.
     """
 
-    lost: bool = False
+    unreachable: bool = False
     _failures: int = 0
 
-    def note_unread(self) -> None:
-        """Note that a reading failed."""
-        self.lost = True
+    def record_read_failure(self) -> None:
+        """Record that a read failed."""
+        self.unreachable = True
 
-    def note_answered(self) -> None:
-        """Note that the store answered this node."""
-        self.lost = False
+    def record_success(self) -> None:
+        """Record that the store answered this node."""
+        self.unreachable = False
         self._failures = 0
 
-    def next_pause_s(self) -> float:
-        """Return how long to wait before the next try; longer after each failure in a row."""
+    def next_retry_delay_s(self) -> float:
+        """Return the jittered delay before the next attempt; grows with consecutive failures."""
         self._failures += 1
-        longest_s = constants.STORE_RETRY_FIRST_SECONDS * 2 ** min(self._failures, MOST_DOUBLINGS)
-        return random.uniform(constants.STORE_RETRY_FIRST_SECONDS, longest_s)
+        max_delay_s = constants.STORE_RETRY_FIRST_SECONDS * 2 ** min(self._failures, MAX_DOUBLINGS)
+        return random.uniform(constants.STORE_RETRY_FIRST_SECONDS, max_delay_s)
