--- a/liftrill/gateway/gateway.py
+++ b/liftrill/gateway/gateway.py
@@ -143,7 +143,7 @@
         self.capacity = NodeCapacity(settings.machine, HOUSEKEEPING_SECONDS)
         self._membership = self._new_membership()
         self._readers = ReaderSelection(self._membership.own)
-        limits = ReaderLimits(settings.node, max_mirror_age_s(bounds.config_apply_seconds))
+        limits = ReaderLimits(settings.node, max_mirror_age_s(bounds.propagation_seconds))
         self._follower = StoreFollower(store, "", self, limits)
         self._currency = FreshnessChecker(
             store,
@@ -151,7 +151,7 @@
             self._beliefs,
             self.view,
             self,
-            bounds.config_apply_seconds,
+            bounds.propagation_seconds,
         )
         self._relay = RelayServer(self._follower, self.view, metrics.followers.set)
         self._silence = PeerSilence()
--- a/liftrill/gateway/settings.py
+++ b/liftrill/gateway/settings.py
@@ -16,7 +16,7 @@
         version_grace_seconds: how long requests may begin on older weights.
         lease_seconds: how long orders of one leader must be past before those of another.
         quota_tolerance: how the use of tenants' limits is judged.
-        config_apply_seconds: within which what the store acknowledged must be in force.
+        propagation_seconds: within which what the store acknowledged must be in force.
         heartbeat_seconds: the time between two signs of life of an engine in the store.
         stop_seconds: the time between the signal to stop and being killed.
     """
@@ -30,7 +30,7 @@
     thaw_seconds: float = 0.3
     min_lease_seconds: float = 1.0
     quota_tolerance: QuotaTolerance = field(default_factory=QuotaTolerance)
-    config_apply_seconds: float = 10.0
+    propagation_seconds: float = 10.0
     heartbeat_seconds: float = 1.2
     stop_seconds: float = 8.0
     max_resolve_seconds: float = 5.0
