--- a/liftrill/gateway/cluster_state.py
+++ b/liftrill/gateway/cluster_state.py
@@ -1,4 +1,4 @@
-"""Applies what the store tells to what this node believes."""
+"""Applies changes of the store to this node's view of the configuration, engines and weights."""
 
 from collections.abc import Callable, Iterable
 from dataclasses import dataclass, field
@@ -16,28 +16,30 @@
 from liftrill.gateway.route_table import WeightedSplit
 from liftrill.gateway.weight_targets import WeightTargets
 
-# How many keys whose records are refused have a line each: more than engines start in a minute.
-REFUSED_KEYS_TOLD = 256
+# Number of keys whose refused records are logged: more than the engines that start in a minute.
+MAX_LOGGED_REFUSALS = 256
 
 
 def _count_nothing() -> None:
-    """Leave a record uncounted."""
+    """Ignore a refused record."""
 
 
-def _tell_nobody(view: EngineView) -> None:
-    """Leave the end of an incarnation untold."""
+def _ignore_ended_incarnation(view: EngineView) -> None:
+    """Ignore the end of an incarnation."""
 
 
 @dataclass(slots=True)
 class ClusterState:
-    """The configuration, the engines and the named weights, as one node knows them.
+    """The configuration, the engines and the weight targets, as known to one node.
 
     Attributes:
         configuration_revision: the store's revision of the configuration in force.
-        shortest_lapse_s: in a shorter gap of what is known no record of a living engine lapses.
-        store_read: whether the store was read once: what is news later came since.
-        count_refused: called for each record that could not be understood.
-        incarnation_ended: whom to tell of an engine that has started again under its id.
+        min_lapse_s: the shortest gap in this node's updates in which the record of a live engine
+            can expire.
+        store_read: whether the store was read once, so that later changes are known to be new.
+        count_refused: called for each record that cannot be decoded.
+        incarnation_ended: called with the previous incarnation of an engine that restarted under
+            its id.
     """
 
     decoder: RecordDecoder
@@ -47,28 +49,29 @@
     selector: EngineSelector
     split: WeightedSplit
     log: DecisionLog
-    shortest_lapse_s: float
+    min_lapse_s: float
     configuration_revision: int = 0
     store_read: bool = False
     count_refused: Callable[[], None] = _count_nothing
-    incarnation_ended: Callable[[EngineView], None] = _tell_nobody
+    incarnation_ended: Callable[[EngineView], None] = _ignore_ended_incarnation
     _refused_keys: dict[str, str] = field(default_factory=dict)
 
     def apply(self, change: MirrorChange, known_until: float) -> None:
-        """Take in a change of the mirror, which held all there was until a time."""
+        """Apply a change of the mirror, which was complete until `known_until`."""
         unknown = self._unknown_engines(change) if change.restored else []
-        written = self._without_former_lives(change.written) if change.restored else change.written
+        written = self._without_ended(change.written) if change.restored else change.written
         for item in written:
             self.apply_item(item, known_until)
         for engine_id, revision in unknown:
-            # It was gone before the store came back: only its own next record is news of it.
+            # The engine was removed after the backup that the store was restored from: it counts
+            # as live only once it writes its next record.
             self.engines.withdraw(engine_id, revision)
             self.log.state_changed("engine_withheld", engine=engine_id, revision=revision)
         self.store_read = True
         gone = [e for key in change.removed if (e := self.decoder.engine_of(key)) is not None]
         now = clock.now_s()
-        if change.restored or (change.gap and now - known_until >= self.shortest_lapse_s):
-            # Records may lapse while the store is away though their engines live on.
+        if change.restored or (change.gap and now - known_until >= self.min_lapse_s):
+            # During an outage of the store the records of live engines can expire.
             self.engines.mark_vanished(gone, now)
             return
         for engine_id in gone:
@@ -81,9 +84,9 @@
             )
 
     def is_older_configuration(self, item: StoredItem) -> bool:
-        """Return whether a restored store has an older configuration than the one in force.
+        """Return whether a restored store holds an older configuration than the one in force.
 
-        Nothing newer is written there, so that the one in force is still the newest.
+        The store then holds none that is newer, so the one in force is still the newest.
         """
         if era_of(item.revision) == era_of(self.configuration_revision):
             return False
@@ -91,17 +94,17 @@
         return isinstance(record, GatewayConfiguration) and record.version < self.view.version
 
     def _decoded(self, item: StoredItem) -> StoreRecord | None:
-        """Return what an item holds, or None; who takes it in tells of one that is refused."""
+        """Return the record of an item, or None; `apply_item` logs a record that is refused."""
         try:
             return self.decoder.decode(item)
         except RecordError:
             return None
 
-    def _without_former_lives(self, items: tuple[StoredItem, ...]) -> list[StoredItem]:
-        """Leave out records of incarnations that have ended, as this node knows."""
-        return [item for item in items if not self._is_former_life(item)]
+    def _without_ended(self, items: tuple[StoredItem, ...]) -> list[StoredItem]:
+        """Return items without the records of incarnations known to have ended."""
+        return [item for item in items if not self._is_of_ended_incarnation(item)]
 
-    def _is_former_life(self, item: StoredItem) -> bool:
+    def _is_of_ended_incarnation(self, item: StoredItem) -> bool:
         engine_id = self.decoder.engine_of(item.key)
         view = self.engines.get(engine_id) if engine_id is not None else None
         if view is None:
@@ -110,12 +113,12 @@
         return isinstance(record, EngineRecord) and record.born_unix_ms < view.record.born_unix_ms
 
     def _unknown_engines(self, change: MirrorChange) -> list[tuple[str, int]]:
-        """Return the engines, with revisions, that a restored store has and this node has not."""
+        """Return the engines, with revisions, in a restored store that this node does not know."""
         found = [(self.decoder.engine_of(item.key), item.revision) for item in change.written]
         return [(e, at) for e, at in found if e is not None and self.engines.get(e) is None]
 
     def apply_item(self, item: StoredItem, known_until: float) -> None:
-        """Take in one item, which may have been written at any time since another one."""
+        """Apply one item, which may have been written at any time since `known_until`."""
         try:
             record = self.decoder.decode(item)
         except RecordError as error:
@@ -123,21 +126,24 @@
             return
         self._refused_keys.pop(item.key, None)
         if isinstance(record, GatewayConfiguration):
-            self._adopt(record, item.revision, known_until)
+            self._apply_configuration(record, item.revision, known_until)
         elif isinstance(record, EngineRecord):
-            self._update_engine(record, known_until)
+            self._apply_engine(record, known_until)
         elif isinstance(record, WeightTarget):
-            self._name_target(record, known_until)
+            self._apply_target(record, known_until)
 
     def _refuse(self, item: StoredItem, why: str) -> None:
-        """Use nothing of a record that cannot be understood, nor what it replaced."""
+        """Count and log a record that cannot be decoded, and withdraw its engine.
+
+        The record that it replaced is not used either.
+        """
         self.count_refused()
         engine_id = self.decoder.engine_of(item.key)
         withdrawn = engine_id is not None and self.engines.withdraw(engine_id, item.revision)
         if self._refused_keys.get(item.key) == why:
             return
-        # Whoever writes such records may write many: a line for each key and reason.
-        if len(self._refused_keys) < REFUSED_KEYS_TOLD:
+        # A faulty writer may write many such records: each key is logged once per reason.
+        if len(self._refused_keys) < MAX_LOGGED_REFUSALS:
             self._refused_keys[item.key] = why
             self.log.state_changed(
                 "record_refused",
@@ -148,19 +154,19 @@
             )
 
     def expire(self, now: float) -> None:
-        """Let time pass for engines whose records vanished."""
+        """Remove engines whose records stayed missing for too long after an outage."""
         for engine_id in self.engines.expire_vanished(now):
             self.log.state_changed(
                 "engine_gone", engine=engine_id, reason="no record after an outage"
             )
 
-    def _adopt(
+    def _apply_configuration(
         self, configuration: GatewayConfiguration, revision: int, known_until: float
     ) -> None:
         previous = self.view.version
         is_newer = self.view.adopt(configuration)
         if configuration.version == self.view.version:
-            # Also where a restored store has the same version at another position.
+            # A restored store may hold the same version at another position.
             self.configuration_revision = revision
         if not is_newer:
             return
@@ -168,7 +174,7 @@
         self.selector.parts.services.clear()
         self.selector.parts.services.update(configuration.services)
         self.engines.services = frozenset(configuration.services)
-        self.selector.speeds.pause_targets_s = tightest_pauses(configuration.routes)
+        self.selector.speeds.pause_targets_s = min_pause_targets(configuration.routes)
         self.split.forget()
         self.log.version = configuration.version
         self.log.state_changed(
@@ -180,7 +186,7 @@
             news_age_s=_news_age(known_until),
         )
 
-    def _update_engine(self, record: EngineRecord, known_until: float) -> None:
+    def _apply_engine(self, record: EngineRecord, known_until: float) -> None:
         known = self.engines.get(record.engine_id)
         was_leaving = known.leaving if known else False
         was_withdrawn = known.withdrawn if known else False
@@ -204,9 +210,9 @@
                 news_age_s=_news_age(known_until),
             )
 
-    def _name_target(self, target: WeightTarget, known_until: float) -> None:
-        # When it was heard says little: a node that heard nothing for a while would go on with
-        # replaced weights for as much longer.
+    def _apply_target(self, target: WeightTarget, known_until: float) -> None:
+        # The time of receipt is not the naming time: after a gap in updates it would extend the
+        # use of replaced weights by the length of the gap.
         now = clock.now_s()
         named_at = self.targets.earliest_naming(known_until, now)
         if self.targets.name(target, named_at, age_known=self.store_read, now=now):
@@ -220,8 +226,8 @@
             )
 
 
-def tightest_pauses(routes: Iterable[RouteRule]) -> dict[str, float]:
-    """Return the tightest pause that routes of each service declare."""
+def min_pause_targets(routes: Iterable[RouteRule]) -> dict[str, float]:
+    """Return the smallest pause target of the routes to each service."""
     found: dict[str, float] = {}
     for route in routes:
         if not route.pause_target_s:
@@ -233,5 +239,5 @@
 
 
 def _news_age(known_until: float) -> float | None:
-    """Return how old news may be, for a line."""
+    """Return the upper bound of a change's age, for the log."""
     return rounded_age(clock.now_s() - known_until)
