--- a/liftrill/gateway/relay_client.py
+++ b/liftrill/gateway/relay_client.py
@@ -1,4 +1,4 @@
-"""Follows another node's mirror of the store."""
+"""Follows another node's mirror of the store over a web socket."""
 
 import asyncio
 import itertools
@@ -25,44 +25,44 @@
 _nonces = itertools.count(1)
 
 
-# What is left of the bound on news, besides the time to the next answer, for following another
-# node or reading the store, and for a request on its way.
-LEAVING_S = 0.2
+# Part of the propagation bound that is reserved, besides the time until the next answer, for
+# switching to another reader or to the store, and for a request in transit.
+SWITCH_MARGIN_S = 0.2
 
 
-def max_mirror_age_s(news_s: float) -> float:
-    """Return how old the copy of a followed reader may be, by the bound on news."""
-    left_s = news_s - constants.RELAY_QUESTION_SECONDS - LEAVING_S
-    return min(constants.RELAY_PROOF_AGE_SECONDS, left_s)
+def max_mirror_age_s(propagation_s: float) -> float:
+    """Return the maximum age of a followed reader's mirror for a propagation bound."""
+    remaining_s = propagation_s - constants.RELAY_QUESTION_SECONDS - SWITCH_MARGIN_S
+    return min(constants.RELAY_PROOF_AGE_SECONDS, remaining_s)
 
 
 class RelayLostError(LiftrillError):
-    """The reader that this node follows serves it no more."""
+    """The reader that this node follows no longer serves it."""
 
 
 class RelayListener(ABC):
-    """Whom to tell of what a reader sends."""
+    """Receives the messages of the followed reader."""
 
     @abstractmethod
     def relay_updated(self, update: RelayUpdate) -> None:
-        """Take in changes, or a part of a snapshot."""
+        """Apply changes, or a part of a snapshot."""
 
     @abstractmethod
     def relay_confirmed(self, answer: RelayAnswer, asked_at: float) -> None:
-        """Take in how current the reader was some time after a question."""
+        """Record how current the reader was when it answered a question sent at `asked_at`."""
 
     @abstractmethod
     def reader_timeout_s(self) -> float:
-        """Return for how long a reader may be silent from now on."""
+        """Return how long the reader may be silent from now on."""
 
 
 @dataclass(frozen=True, slots=True)
 class ReaderLimits:
-    """What makes a reader unfit to be followed.
+    """The limits beyond which a reader is not followed.
 
     Attributes:
-        own_name: the node that follows.
-        max_mirror_age_s: how old the reader's copy of the store may be.
+        own_name: the name of the following node.
+        max_mirror_age_s: the maximum age of the reader's mirror of the store.
     """
 
     own_name: str
@@ -70,27 +70,27 @@
 
     @property
     def max_copy_age_s(self) -> float:
-        """How old the follower's own copy may grow: until the answer after its last one is due."""
+        """The maximum age of the follower's own mirror, which grows until the next answer."""
         return self.max_mirror_age_s + constants.RELAY_QUESTION_SECONDS
 
     def check(self, answer: RelayAnswer) -> None:
-        """Check a reader's answer.
+        """Check a reader's answer against the limits.
 
         Raises:
-            RelayLostError: the reader is not to be followed, with the reason.
+            RelayLostError: the reader must not be followed, with the reason.
         """
         if answer.proof_age_s > constants.RELAY_PROOF_AGE_SECONDS:
-            raise RelayLostError(f"its proof is {answer.proof_age_s:.1f} s old")
+            raise RelayLostError(f"the reader's proof is {answer.proof_age_s:.1f} s old")
         if answer.mirror_age_s > self.max_mirror_age_s:
-            raise RelayLostError(f"its copy is {answer.mirror_age_s:.1f} s old")
+            raise RelayLostError(f"the reader's mirror is {answer.mirror_age_s:.1f} s old")
         if not answer.path:
-            raise RelayLostError("nobody reads the store for it")
+            raise RelayLostError("the reader has no path to the store")
         if self.own_name in answer.path:
-            raise RelayLostError("it follows this node")
+            raise RelayLostError("the reader follows this node")
 
 
 class RelayClient:
-    """Follow one reader at a time."""
+    """Follows one reader at a time."""
 
     def __init__(self, listener: RelayListener, limits: ReaderLimits) -> None:
         self._listener = listener
@@ -98,7 +98,7 @@
         self._asked_at: dict[int, float] = {}
 
     async def follow(self, address: str, after: int) -> None:
-        """Follow a reader from a revision until it serves no more.
+        """Follow a reader from a position of the mirror until the connection or the reader fails.
 
         Raises:
             RelayLostError: always, with the reason.
@@ -126,8 +126,8 @@
                 async with asyncio.timeout(self._listener.reader_timeout_s()):
                     message = await socket.receive()
                 if message.type is not aiohttp.WSMsgType.BINARY:
-                    raise RelayLostError("closed by the reader")
-                self._take(message.data)
+                    raise RelayLostError("the reader closed the connection")
+                self._handle_message(message.data)
         finally:
             asking.cancel()
 
@@ -139,7 +139,7 @@
                 await socket.send_bytes(encode_question(nonce))
                 await ticks.pause(constants.RELAY_QUESTION_SECONDS)
 
-    def _take(self, data: bytes) -> None:
+    def _handle_message(self, data: bytes) -> None:
         message = decode_message(data)
         if isinstance(message, RelayUpdate):
             self._listener.relay_updated(message)
--- a/liftrill/gateway/relay_codec.py
+++ b/liftrill/gateway/relay_codec.py
@@ -1,4 +1,4 @@
-"""What a reader of the store sends to its followers, as bytes."""
+"""Encodes and decodes the messages between a reader of the store and its followers."""
 
 import math
 import zlib
@@ -18,16 +18,16 @@
 from liftrill.errors import LiftrillError
 from liftrill.messages import peer_pb2 as messages
 
-# Below this size compression gains nothing.
-DEFLATE_FROM_BYTES = 1_024
+# Compression gains nothing below this size.
+MIN_DEFLATED_BYTES = 1_024
 DEFLATE_LEVEL = 1
-LARGEST_VALUE_BYTES = 64 * 1024 * 1024
+MAX_VALUE_BYTES = 64 * 1024 * 1024
 SNAPSHOT_ITEMS_PER_MESSAGE = 128
-LONGEST_AGE_MS = 0xFFFFFFFF
+MAX_AGE_MS = 0xFFFFFFFF
 
 
 class RelayDecodeError(LiftrillError):
-    """Bytes of a peer are not a message of the relay."""
+    """The data received from a peer is not a valid relay message."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -35,6 +35,7 @@
     """Changes, or a part of a snapshot.
 
     Attributes:
+        snapshot: whether the batch is a part of a snapshot.
         more: whether further parts of the snapshot follow.
     """
 
@@ -48,12 +49,13 @@
     """How current the reader was when it answered a question.
 
     Attributes:
-        version: the configuration version in force there.
-        proof_age_s: since it asked the store which version is the newest.
-        at: the revision of its mirror; all changes up to it were sent before.
-        mirror_age_s: since when its mirror may lack changes.
-        path: the nodes that changes pass, from itself to the one that reads the store; empty
-            where nobody does.
+        nonce: the nonce of the question.
+        version: the configuration version in force at the reader.
+        proof_age_s: time since the reader's last proof that this version is the newest.
+        at: the position of the reader's mirror; all changes up to it were sent before.
+        mirror_age_s: time for which the reader's mirror may lack changes.
+        path: the relay path of changes, from the reader to the node that reads the store; empty
+            if no node reads it.
     """
 
     nonce: int
@@ -65,7 +67,7 @@
 
 
 def encode_question(nonce: int) -> bytes:
-    """Return a question."""
+    """Encode a question."""
     return messages.RelayQuestion(nonce=nonce).SerializeToString()
 
 
@@ -74,18 +76,18 @@
     try:
         return messages.RelayQuestion.FromString(data).nonce
     except DecodeError as error:
-        raise RelayDecodeError("not a question") from error
+        raise RelayDecodeError(f"not a relay question: {error}") from error
 
 
 def encode_batch(batch: WatchBatch) -> bytes:
-    """Return a batch of changes; all of them are of one era."""
+    """Encode a batch of changes, all of which are of one era."""
     items = [_encode_change(change) for change in batch.changes]
     era = era_of(max(batch.at, *(change.revision for change in batch.changes), 0))
     return messages.RelayMessage(items=items, at=revision_of(batch.at), era=era).SerializeToString()
 
 
 def encode_snapshot(items: Iterable[StoredItem], at: int) -> Iterator[bytes]:
-    """Return all items, in parts."""
+    """Yield the messages of a snapshot of all items."""
     rows = [_encode_change(item) for item in items]
     step = SNAPSHOT_ITEMS_PER_MESSAGE
     for start in range(0, max(1, len(rows)), step):
@@ -98,7 +100,7 @@
 
 
 def encode_answer(answer: RelayAnswer) -> bytes:
-    """Return an answer."""
+    """Encode an answer."""
     row = messages.RelayAnswer(
         nonce=answer.nonce,
         version=answer.version,
@@ -111,12 +113,12 @@
 
 
 def _milliseconds(age_s: float) -> int:
-    """Return an age, rounded up; one that is not known is as old as can be told."""
-    return LONGEST_AGE_MS if math.isinf(age_s) else min(int(age_s * 1000) + 1, LONGEST_AGE_MS)
+    """Return an age in milliseconds, rounded up; an infinite age becomes the largest value."""
+    return MAX_AGE_MS if math.isinf(age_s) else min(int(age_s * 1000) + 1, MAX_AGE_MS)
 
 
 def decode_message(data: bytes) -> RelayUpdate | RelayAnswer:
-    """Return what a reader sent."""
+    """Decode a message of a reader."""
     try:
         message = messages.RelayMessage.FromString(data)
         if message.HasField("answer"):
@@ -129,7 +131,7 @@
         batch = WatchBatch(changes, position(message.era, message.at))
         return RelayUpdate(batch, message.snapshot, message.more)
     except (DecodeError, ValueError, zlib.error) as error:
-        raise RelayDecodeError(f"not a message of a reader: {error}") from error
+        raise RelayDecodeError(f"not a relay message: {error}") from error
 
 
 def _encode_change(change: StoredItem | RemovedItem) -> messages.RelayItem:
@@ -137,7 +139,7 @@
         revision = revision_of(change.revision)
         return messages.RelayItem(key=change.key, revision=revision, removed=True)
     value = change.value
-    deflated = len(value) >= DEFLATE_FROM_BYTES
+    deflated = len(value) >= MIN_DEFLATED_BYTES
     return messages.RelayItem(
         key=change.key,
         value=zlib.compress(value, DEFLATE_LEVEL) if deflated else value,
@@ -157,7 +159,9 @@
 
 def _inflate(data: bytes) -> bytes:
     inflater = zlib.decompressobj()
-    value = inflater.decompress(data, LARGEST_VALUE_BYTES)
+    value = inflater.decompress(data, MAX_VALUE_BYTES)
     if inflater.unconsumed_tail or not inflater.eof:
-        raise RelayDecodeError("a value that is too large or cut short")
+        raise RelayDecodeError(
+            f"a compressed value is truncated or larger than {MAX_VALUE_BYTES} bytes"
+        )
     return value
--- a/liftrill/gateway/relay_server.py
+++ b/liftrill/gateway/relay_server.py
@@ -1,4 +1,4 @@
-"""Lets other nodes follow this node's mirror of the store."""
+"""Serves this node's mirror of the store to the nodes that follow it."""
 
 import asyncio
 from abc import ABC, abstractmethod
@@ -27,46 +27,46 @@
 
 AFTER_PARAMETER = "after"
 ERA_PARAMETER = "era"
-# A follower that is further behind than this is cut off, and may come back.
-QUEUED_BYTES = 8 * 1024 * 1024
-LARGEST_QUESTION_BYTES = 1_024
-ENDED = b""
+# A follower with more queued data than this is disconnected, and may reconnect.
+MAX_QUEUED_BYTES = 8 * 1024 * 1024
+MAX_QUESTION_BYTES = 1_024
+END_OF_STREAM = b""
 
 
 @dataclass(eq=False, slots=True)
 class _Subscriber:
-    """One follower: what it is still to be sent.
+    """The send queue of one follower.
 
     Attributes:
-        cut_off: ends its connection at once.
-        held_bytes: the size of what is queued.
+        abort: closes the follower's connection at once.
+        held_bytes: the size of the data in the queue.
     """
 
-    cut_off: Callable[[], None]
+    abort: Callable[[], None]
     queue: asyncio.Queue[bytes] = field(default_factory=asyncio.Queue)
     held_bytes: int = 0
 
     def put(self, data: bytes) -> None:
-        """Send data later, or cut the follower off if it does not take what it has."""
-        if self.held_bytes + len(data) > QUEUED_BYTES:
-            self.cut_off()
+        """Queue data, or disconnect a follower that reads too slowly."""
+        if self.held_bytes + len(data) > MAX_QUEUED_BYTES:
+            self.abort()
             return
         self.held_bytes += len(data)
         self.queue.put_nowait(data)
 
     async def take(self) -> bytes:
-        """Return what to send next, or `ENDED`."""
+        """Return the next data to send, or `END_OF_STREAM`."""
         data = await self.queue.get()
         self.held_bytes -= len(data)
         return data
 
 
 class RelaySource(ABC):
-    """What a node knows of the store, for those that follow it.
+    """The mirror of a node, as served to its followers.
 
     Attributes:
-        mirror: the copy.
-        currency: until when the copy is known to be whole.
+        mirror: the node's copy of the store's range.
+        freshness: until when the mirror is known to be complete.
     """
 
     mirror: StoreMirror
@@ -75,47 +75,47 @@
     @property
     @abstractmethod
     def path(self) -> tuple[str, ...]:
-        """Return the nodes that changes pass, from this one to the one that reads the store.
+        """Return the relay path of changes, from this node to the node that reads the store.
 
-        Naming the last one alone would not do: two nodes that follow each other may go on
-        telling each other of a third that reads no more.
+        The last node alone would not be enough: two nodes that follow each other could keep
+        naming a third node that no longer reads the store.
         """
 
 
 class RelayServer:
-    """Serve the mirror to followers over web sockets."""
+    """Serves the mirror to followers over web sockets."""
 
     def __init__(
         self,
         source: RelaySource,
         view: ConfigurationView,
-        count: Callable[[int], None],
+        report_followers: Callable[[int], None],
     ) -> None:
         self._source = source
         self._mirror = source.mirror
         self._view = view
-        self._count = count
+        self._report_followers = report_followers
         self._log = ChangeLog()
         self._published_at = 0
         self._subscribers: set[_Subscriber] = set()
         self._server: asyncio.Server | None = None
 
     async def listen(self, address: str) -> None:
-        """Open the socket that followers connect to."""
+        """Open the server socket for followers."""
         host, _, port = address.rpartition(":")
         loop = asyncio.get_running_loop()
         handler = web.Server(self._on_request, access_log=None)
         self._server = await loop.create_server(handler, host, int(port))
 
     def close(self) -> None:
-        """Take no more followers, and let those there are go."""
+        """Stop accepting followers, and disconnect the current ones after their queues."""
         if self._server is not None:
             self._server.close()
         for subscriber in self._subscribers:
-            subscriber.put(ENDED)
+            subscriber.put(END_OF_STREAM)
 
     def publish(self, change: MirrorChange) -> None:
-        """Pass a change of the mirror on."""
+        """Send a change of the mirror to all followers."""
         before, self._published_at = self._published_at, self._mirror.at
         if change.gap:
             if before == self._mirror.at and not change.written and not change.removed:
@@ -133,8 +133,9 @@
         return encode_snapshot(self._mirror.items(), self._mirror.at)
 
     def publish_early(self, item: StoredItem) -> None:
-        """Pass on an item that was read alone, before the mirror knows of it."""
-        # Revision 0 moves no copy forward: other changes before this one may be missing.
+        """Send an item that was read on its own before the watch delivered it to the mirror."""
+        # Position 0 does not advance the followers' mirrors: changes before this item may be
+        # missing.
         self._send_all(encode_batch(WatchBatch((item,), 0)))
 
     def _send_all(self, data: bytes) -> None:
@@ -145,22 +146,22 @@
         if not self._mirror.at:
             return web.Response(status=503)
         try:
-            after = _copy_of(request.query)
+            after = _mirror_position(request.query)
         except ValueError:
             return web.Response(status=400)
-        socket = web.WebSocketResponse(max_msg_size=LARGEST_QUESTION_BYTES, compress=False)
+        socket = web.WebSocketResponse(max_msg_size=MAX_QUESTION_BYTES, compress=False)
         await socket.prepare(request)
         assert request.transport is not None
         subscriber = _Subscriber(request.transport.abort)
         self._catch_up(subscriber, after)
         self._subscribers.add(subscriber)
-        self._count(len(self._subscribers))
+        self._report_followers(len(self._subscribers))
         sending = asyncio.ensure_future(self._send(socket, subscriber))
         try:
             await self._answer(socket, subscriber)
         finally:
             self._subscribers.discard(subscriber)
-            self._count(len(self._subscribers))
+            self._report_followers(len(self._subscribers))
             sending.cancel()
         return socket
 
@@ -187,10 +188,10 @@
                 nonce = decode_question(message.data)
             except RelayDecodeError:
                 return
-            # It goes through the queue, behind all that the mirror took in before.
-            subscriber.put(encode_answer(self._answer_to(nonce)))
+            # The answer is queued after all changes that the mirror has applied before it.
+            subscriber.put(encode_answer(self._new_answer(nonce)))
 
-    def _answer_to(self, nonce: int) -> RelayAnswer:
+    def _new_answer(self, nonce: int) -> RelayAnswer:
         now = clock.now_s()
         return RelayAnswer(
             nonce,
@@ -202,13 +203,13 @@
         )
 
 
-def _copy_of(query: Mapping[str, str]) -> int:
-    """Return the position of a follower's copy, as its question tells it.
+def _mirror_position(query: Mapping[str, str]) -> int:
+    """Return the position of a follower's mirror from its query parameters.
 
     Raises:
-        ValueError: it tells none that can be.
+        ValueError: a parameter is not a valid revision or era.
     """
     after, era = query.get(AFTER_PARAMETER, ""), query.get(ERA_PARAMETER, "0")
     if not (after + era).isascii() or not (after.isdigit() and era.isdigit()):
-        raise ValueError(f"after {after!r} of {era!r}")
+        raise ValueError(f"invalid position: revision {after!r}, era {era!r}")
     return position(int(era), int(after))
