--- a/features/steps/gateway_relay_steps.py
+++ b/features/steps/gateway_relay_steps.py
@@ -581,7 +581,7 @@
         context.held = 0
         for _ in range(count):
             context.reader.write(1, os.urandom(size))
-            held = sum(s.held_bytes for s in context.reader.server._subscribers)
+            held = sum(s.queued_bytes for s in context.reader.server._subscribers)
             context.held = max(context.held, held)
             await asyncio.sleep(0)
 
--- a/liftrill/gateway/relay_server.py
+++ b/liftrill/gateway/relay_server.py
@@ -44,20 +44,20 @@
 
     abort: Callable[[], None]
     queue: asyncio.Queue[bytes] = field(default_factory=asyncio.Queue)
-    held_bytes: int = 0
+    queued_bytes: int = 0
 
     def put(self, data: bytes) -> None:
         """Queue data, or disconnect a follower that reads too slowly."""
-        if self.held_bytes + len(data) > MAX_QUEUED_BYTES:
+        if self.queued_bytes + len(data) > MAX_QUEUED_BYTES:
             self.abort()
             return
-        self.held_bytes += len(data)
+        self.queued_bytes += len(data)
         self.queue.put_nowait(data)
 
     async def take(self) -> bytes:
         """Return the next data to send, or `END_OF_STREAM`."""
         data = await self.queue.get()
-        self.held_bytes -= len(data)
+        self.queued_bytes -= len(data)
         return data
 
 
