--- a/liftrill/gateway/relay_server.py
+++ b/liftrill/gateway/relay_server.py
@@ -39,7 +39,7 @@
 
     Attributes:
         abort: closes the follower's connection at once.
-        held_bytes: the size of the data in the queue.
+        queued_bytes: the size of the data in the queue.
     """
 
     abort: Callable[[], None]
