--- a/liftrill/gateway/field_reader.py
+++ b/liftrill/gateway/field_reader.py
@@ -50,17 +50,17 @@
             raise self._error(key, "a text")
         return value
 
-    def integer(self, key: str, least: int = 0) -> int:
+    def integer(self, key: str, minimum: int = 0) -> int:
         """Return a whole number of at most 64 bits."""
         value = self._take(key)
         is_whole = isinstance(value, int) and not isinstance(value, bool)
-        if not is_whole or not least <= value <= LARGEST_WHOLE:
-            raise self._error(key, f"a whole number, {least} or more")
+        if not is_whole or not minimum <= value <= LARGEST_WHOLE:
+            raise self._error(key, f"a whole number, {minimum} or more")
         return int(value)
 
-    def integer_or(self, key: str, default: int, least: int = 0) -> int:
+    def integer_or(self, key: str, default: int, minimum: int = 0) -> int:
         """Return a whole number that need not be given."""
-        return self.integer(key, least) if key in self._table else default
+        return self.integer(key, minimum) if key in self._table else default
 
     def number(self, key: str) -> float:
         """Return a number, 0 or more."""
