--- a/liftrill/gateway/configuration_view.py
+++ b/liftrill/gateway/configuration_view.py
@@ -1,8 +1,8 @@
-"""The operator's configuration in force at one node, and how sure it is to be current.
+"""The operator's configuration in force at one node, and the proof that it is current.
 
-A view only goes forward: an older version is never adopted, whichever source offers it.
-Keys may be taken away at any time, so requests with keys are served only while an answer
-of the store that was asked for lately proves that the version in force is the newest.
+Versions only increase: an older version is never adopted, whichever source offers it. Keys may
+be revoked at any time, so requests with keys are served only while a recent read of the store
+proves that the version in force is the newest.
 """
 
 import math
@@ -17,7 +17,7 @@
     """The newest configuration that this node knows.
 
     Attributes:
-        proof_lifetime: seconds for which a proof of currency serves.
+        proof_lifetime: seconds for which a proof is valid.
     """
 
     proof_lifetime: float
@@ -27,11 +27,11 @@
 
     @property
     def version(self) -> int:
-        """The version in force, or 0 before the first."""
+        """The version in force, or 0 if there is none yet."""
         return self.current.version if self.current else 0
 
     def adopt(self, offered: GatewayConfiguration) -> bool:
-        """Put a configuration in force if it is newer; return whether it was."""
+        """Put a configuration in force if it is newer, and return whether it was newer."""
         if self.current is not None and offered.version <= self.current.version:
             return False
         self.current = offered
@@ -39,29 +39,29 @@
         return True
 
     def prove_current(self, version: int, asked_at: float) -> None:
-        """Note that the store, asked at a time, named a version as its newest.
+        """Record a proof: the store, asked at `asked_at`, named a version as its newest.
 
-        The time is that of the question on the steady clock: the answer may have been
-        held up on its way for as long as it liked.
+        The time is that of the request on the steady clock, because the answer may have been
+        delayed for any length of time.
         """
         if version == self.version:
             self._proven_at = max(self._proven_at, asked_at)
 
     def proof_age(self, now: float) -> float:
-        """Return the seconds since the question whose answer proved currency."""
+        """Return the seconds since the request that led to the last proof."""
         return now - self._proven_at
 
     @property
     def was_proven(self) -> bool:
-        """Whether a configuration is known that was the newest at some time."""
+        """Whether a configuration is in force and a proof was recorded at least once."""
         return self.current is not None and self._proven_at > -math.inf
 
     def is_proven(self, now: float) -> bool:
-        """Return whether a request with a key may be served."""
+        """Return whether the last proof is valid, so that requests with keys may be served."""
         return self.proof_age(now) < self.proof_lifetime
 
     def quotas(self) -> dict[str, Quota]:
-        """Return the limits of tenants by name."""
+        """Return the quotas of tenants by name."""
         tenants = self.current.tenants_by_key if self.current else None
         return {t.name: t.quota for t in (tenants or {}).values() if t.quota is not None}
 
--- a/liftrill/gateway/field_reader.py
+++ b/liftrill/gateway/field_reader.py
@@ -1,7 +1,7 @@
-"""Takes checked values out of a record that anybody may have written.
+"""Reads validated fields of a record from an untrusted writer.
 
-A record of another writer may lack fields or have them of another type. What is taken for
-an engine there would get requests that nobody serves.
+The record may lack fields or have fields of another type. An invalid record that was accepted as
+an engine's would get requests that no engine serves.
 """
 
 import ipaddress
@@ -12,94 +12,94 @@
 
 from liftrill.gateway.record_decoder import RecordError
 
-# Whole numbers of records are 64 bits wide, with a sign.
-LARGEST_WHOLE = 2**63 - 1
-LARGEST_PORT = 65_535
+# Integers in records are signed 64-bit numbers.
+MAX_INTEGER = 2**63 - 1
+MAX_PORT = 65_535
 # An engine's record takes some hundred bytes, and less than 100 more for each of its models.
-LARGEST_RECORD_BYTES = 65_536
+MAX_RECORD_BYTES = 65_536
 
 Choice = TypeVar("Choice")
 
 
 class FieldReader:
-    """Takes checked fields out of one table of a record."""
+    """Reads validated fields of one JSON object in a record."""
 
     def __init__(self, table: object) -> None:
         if not isinstance(table, dict):
-            raise RecordError(f"{type(table).__name__} where a table is expected")
+            raise RecordError(f"expected an object, got {type(table).__name__}")
         self._table: dict[str, Any] = table
 
     @classmethod
     def of_json(cls, value: bytes) -> "FieldReader":
-        """Return a reader of a table written as JSON.
+        """Return a reader of a JSON object.
 
         Raises:
-            RecordError: it is too large, no JSON, or no table.
+            RecordError: the value is too large, not valid JSON, or not an object.
         """
-        if len(value) > LARGEST_RECORD_BYTES:
-            raise RecordError(f"{len(value)} bytes, at most {LARGEST_RECORD_BYTES} expected")
+        if len(value) > MAX_RECORD_BYTES:
+            raise RecordError(f"record of {len(value)} bytes, expected at most {MAX_RECORD_BYTES}")
         try:
             return cls(json.loads(value))
         except (ValueError, RecursionError) as error:
-            raise RecordError(f"no JSON: {type(error).__name__}") from error
+            raise RecordError(f"invalid JSON: {type(error).__name__}") from error
 
     def text(self, key: str) -> str:
-        """Return a text that is not empty."""
-        value = self._take(key)
+        """Return a string that is not empty."""
+        value = self._required(key)
         if not isinstance(value, str) or not value:
-            raise self._error(key, "a text")
+            raise self._error(key, "a non-empty string")
         return value
 
     def integer(self, key: str, minimum: int = 0) -> int:
-        """Return a whole number of at most 64 bits."""
-        value = self._take(key)
-        is_whole = isinstance(value, int) and not isinstance(value, bool)
-        if not is_whole or not minimum <= value <= LARGEST_WHOLE:
-            raise self._error(key, f"a whole number, {minimum} or more")
+        """Return an integer of at most 64 bits."""
+        value = self._required(key)
+        is_integer = isinstance(value, int) and not isinstance(value, bool)
+        if not is_integer or not minimum <= value <= MAX_INTEGER:
+            raise self._error(key, f"an integer, {minimum} or more")
         return int(value)
 
     def integer_or(self, key: str, default: int, minimum: int = 0) -> int:
-        """Return a whole number that need not be given."""
+        """Return an integer, or the default if the field is missing."""
         return self.integer(key, minimum) if key in self._table else default
 
     def number(self, key: str) -> float:
         """Return a number, 0 or more."""
-        value = self._take(key)
+        value = self._required(key)
         if isinstance(value, bool) or not isinstance(value, int | float):
             raise self._error(key, "a number, 0 or more")
-        if not 0 <= value <= LARGEST_WHOLE or math.isnan(value):
+        if not 0 <= value <= MAX_INTEGER or math.isnan(value):
             raise self._error(key, "a number, 0 or more")
         return float(value)
 
     def address(self, key: str) -> str:
-        """Return IP:PORT."""
+        """Return an address in the form IP:PORT."""
         value = self.text(key)
         host, _, port = value.rpartition(":")
-        if not _is_ip(host) or not port.isdecimal() or not 0 < int(port[:6]) <= LARGEST_PORT:
+        if not _is_ip(host) or not port.isdecimal() or not 0 < int(port[:6]) <= MAX_PORT:
             raise self._error(key, "IP:PORT")
         return value
 
     def one_of(self, key: str, choices: Mapping[str, Choice]) -> Choice:
-        """Return what a text stands for."""
+        """Return the value that a string is mapped to by `choices`."""
         value = self.text(key)
         if value not in choices:
             raise self._error(key, f"one of {', '.join(choices)}")
         return choices[value]
 
     def tables(self, key: str) -> list["FieldReader"]:
-        """Return the tables of a list that need not be given."""
+        """Return the objects of a list, or an empty list if the field is missing."""
         value = self._table.get(key, [])
         if not isinstance(value, list):
             raise self._error(key, "a list")
         return [FieldReader(row) for row in value]
 
-    def _take(self, key: str) -> Any:
+    def _required(self, key: str) -> Any:
         if key not in self._table:
-            raise RecordError(f"{key} is missing")
+            raise RecordError(f"field {key} is missing")
         return self._table[key]
 
     def _error(self, key: str, expected: str) -> RecordError:
-        # Whoever wrote the record chose the value: it is not repeated whole.
+        # The value is untrusted and may be long: the message contains only its beginning.
         return RecordError(f"{key} = {self._table[key]!r:.40}: expected {expected}")
 
 
--- a/liftrill/gateway/fleet_record.py
+++ b/liftrill/gateway/fleet_record.py
@@ -1,7 +1,7 @@
-"""Keeps the size of the fleet in the store, for nodes that all start again at once.
+"""Stores the size of the fleet, for a restart of all nodes at once.
 
-A node that has just started knows no other yet. Without the record each of a fleet that
-restarts would take itself for the only one, and allow its tenants all of their limits.
+A node that has just started does not know the other nodes yet. Without the record, each node of a
+restarting fleet would assume to be the only one, and allow tenants their whole limits.
 """
 
 from collections.abc import Callable
@@ -14,15 +14,15 @@
 from liftrill.gateway.leadership import LEADER_KEY
 
 FLEET_KEY = "liftrill/fleet"
-# The record is written anew when it is off by more than this share: a few writes a day.
+# The record is rewritten when it is off by more than this share: a few writes a day.
 TOLERATED_SHARE = 0.1
-# How long the number of nodes must stand before it is written: a fleet that starts together
-# knows itself after 2 s (195 nodes, virtual time).
-SETTLED_AFTER_S = 3.0
+# How long the number of nodes must be unchanged before it is written: 195 nodes that start
+# together all know each other after 2 s.
+STABLE_BEFORE_WRITE_S = 3.0
 
 
 class FleetRecord:
-    """Writes the size of the fleet while this node leads, and reads what another wrote."""
+    """Writes the size of the fleet while this node is leader, and loads the recorded size."""
 
     def __init__(
         self,
@@ -37,33 +37,33 @@
         self._fleet = fleet
         self._fence = fence
         self._log = log
-        self._seen = 0
-        self._seen_at = 0.0
-        self._recalled_revision = 0
+        self._nodes = 0
+        self._nodes_since = 0.0
+        self._loaded_revision = 0
 
     def load(self, now: float) -> None:
-        """Take the fleet to be as large as a record says that was not recalled before."""
+        """Assume the fleet size of the record, unless this revision was loaded before."""
         item = self._mirror.get(FLEET_KEY)
-        # An old record taken for new would undo that the fleet has shrunk since it was written.
-        if item is None or item.revision == self._recalled_revision:
+        # Loading an old record again would hide that the fleet has shrunk since it was written.
+        if item is None or item.revision == self._loaded_revision:
             return
-        self._recalled_revision = item.revision
+        self._loaded_revision = item.revision
         self._fleet.assume(self._recorded(), now)
 
     def ignore_current(self) -> None:
-        """Leave unread what the store has now: it is an older record that came back."""
+        """Ignore the current record, which is an older one that a restore brought back."""
         item = self._mirror.get(FLEET_KEY)
-        self._recalled_revision = item.revision if item else 0
+        self._loaded_revision = item.revision if item else 0
 
     async def write_if_due(self, now: float) -> None:
-        """Write the record if this node leads and it is off."""
+        """Write the record if this node is leader and the recorded size is off."""
         nodes = self._fleet.nodes
-        if nodes != self._seen:
-            self._seen, self._seen_at = nodes, now
-        if not self._fence() or now - self._seen_at < SETTLED_AFTER_S:
+        if nodes != self._nodes:
+            self._nodes, self._nodes_since = nodes, now
+        if not self._fence() or now - self._nodes_since < STABLE_BEFORE_WRITE_S:
             return
         if abs(nodes - self._recorded()) > TOLERATED_SHARE * nodes:
-            self._seen_at = now
+            self._nodes_since = now
             await self._write(nodes)
 
     def _recorded(self) -> int:
--- a/liftrill/gateway/order_client.py
+++ b/liftrill/gateway/order_client.py
@@ -1,4 +1,4 @@
-"""What the weight controller asks of an adaptor to engines."""
+"""Interface between the weight controller and the adapter that sends orders to engines."""
 
 from abc import ABC, abstractmethod
 from dataclasses import dataclass
@@ -8,7 +8,7 @@
 
 
 class OrderAnswer(Enum):
-    """What an engine said to an order."""
+    """The outcome of an order to an engine."""
 
     ACCEPTED = "accepted"
     ALREADY_DONE = "already_done"
@@ -22,11 +22,11 @@
 
 @dataclass(frozen=True, slots=True)
 class WeightOrder:
-    """An order to load a version.
+    """An order to load a weight version.
 
     Attributes:
-        fence: the fencing token of the lease under which it is given.
-        expected_sequence: how many orders the engine must have taken before.
+        fence: the fencing token of the lease under which the order is sent.
+        expected_sequence: how many orders the engine must have accepted before this one.
     """
 
     model: str
@@ -38,11 +38,12 @@
 
 @dataclass(frozen=True, slots=True)
 class EngineStatus:
-    """An engine's own report.
+    """The status that an engine reports of itself.
 
     Attributes:
-        order_sequence: how many orders it has taken.
-        busy: whether an order is under way.
+        weights: weight version by model.
+        order_sequence: how many orders the engine has accepted.
+        busy: whether the engine is carrying out an order.
     """
 
     weights: dict[str, int]
@@ -51,12 +52,12 @@
 
 
 class OrderClient(ABC):
-    """Gives orders to engines and reads their reports."""
+    """Sends orders to engines and reads their status reports."""
 
     @abstractmethod
     async def order(self, view: EngineView, order: WeightOrder) -> OrderAnswer:
-        """Give an order to one incarnation of an engine."""
+        """Send an order to one incarnation of an engine."""
 
     @abstractmethod
     async def report(self, view: EngineView) -> EngineStatus | None:
-        """Return the report of one incarnation of an engine, or None without an answer."""
+        """Return the status of one incarnation of an engine, or None if it did not answer."""
--- a/liftrill/gateway/prefix_store_link.py
+++ b/liftrill/gateway/prefix_store_link.py
@@ -1,8 +1,8 @@
-"""Tells when the links of the kept stores are short, as far as one node can see.
+"""Estimates from one node's demand whether the links of the prefix stores are saturated.
 
-The links are shared by all nodes and engines. Where more is asked of them than they
-carry, moves wait behind each other: requests become late, and what would wait too long is
-read again instead. Then only what is worth most for the time that it takes is moved.
+All nodes and engines share these links. Above their capacity, transfers queue behind each other:
+requests become late, and prefixes whose transfer would wait too long are prefilled again instead.
+Only the transfers that save the most for their duration are then made.
 """
 
 from dataclasses import dataclass, field
@@ -10,39 +10,39 @@
 from liftrill.gateway.decaying_rate import DecayingRate
 from liftrill.gateway.opaque_request import PromptShape
 
-# Over how long a node's own demand is averaged: it sees few of a large fleet's requests.
+# Averaging time of a node's own demand: one node sees few of the requests of a large fleet.
 AVERAGE_S = 8.0
-# The links are short where more than all of their time is asked for (not tuned).
-SHORT_SHARE = 1.0
-# Fewer tokens are read in about the time that setting up their move takes.
-LEAST_MOVED_TOKENS = 512
-# A save carries the whole prompt; this share of it is to be what others can use.
-LEAST_SHARED_SHARE = 0.5
+# Demand, as a share of the links' time, above which the links are saturated.
+SATURATED_SHARE = 1.0
+# Prefilling fewer tokens takes about as long as setting up their transfer.
+MIN_TRANSFERRED_TOKENS = 512
+# A save transfers the whole prompt: at least this share of it must be reusable by other requests.
+MIN_SHARED_SHARE = 0.5
 
 
 @dataclass(slots=True)
 class PrefixStoreLink:
-    """What one node would have moved over the stores' links if they carried all."""
+    """The link time that one node's requests would use if nothing were left out."""
 
-    _seconds: DecayingRate = field(default_factory=lambda: DecayingRate(AVERAGE_S))
+    _demand: DecayingRate = field(default_factory=lambda: DecayingRate(AVERAGE_S))
 
-    def record_demand(self, move_s: float, now: float) -> None:
-        """Note that a request would take the links for some time."""
-        self._seconds.record(move_s, now)
+    def record_demand(self, transfer_s: float, now: float) -> None:
+        """Add the link time that a request would use."""
+        self._demand.record(transfer_s, now)
 
     def is_saturated(self, stores: int, nodes: int, now: float) -> bool:
-        """Return whether all nodes together ask for more than the links carry."""
-        own_rate = self._seconds.per_s(now)
+        """Return whether the estimated demand of all nodes exceeds the capacity of the links."""
+        own_rate = self._demand.per_s(now)
         if own_rate is None or not stores:
             return False
-        return own_rate * nodes > SHORT_SHARE * stores
+        return own_rate * nodes > SATURATED_SHARE * stores
 
 
 def is_worth_transferring(prompt: PromptShape) -> bool:
-    """Return whether anything of a prompt is to be moved over a short link."""
-    return prompt.shared_tokens >= LEAST_MOVED_TOKENS
+    """Return whether to transfer any part of a prompt over a saturated link."""
+    return prompt.shared_tokens >= MIN_TRANSFERRED_TOKENS
 
 
 def is_worth_saving(prompt: PromptShape) -> bool:
-    """Return whether enough of a prompt can be used by others to save it over a short link."""
-    return prompt.shared_tokens >= LEAST_SHARED_SHARE * prompt.prompt_tokens
+    """Return whether enough of a prompt is reusable to save it over a saturated link."""
+    return prompt.shared_tokens >= MIN_SHARED_SHARE * prompt.prompt_tokens
--- a/liftrill/gateway/record_decoder.py
+++ b/liftrill/gateway/record_decoder.py
@@ -1,4 +1,4 @@
-"""What the gateway asks of an adaptor that knows how records lie in the store."""
+"""Interface of the adapter that decodes the records in the store."""
 
 from abc import ABC, abstractmethod
 
@@ -8,14 +8,14 @@
 
 
 class RecordError(LiftrillError):
-    """A record in the store cannot be understood."""
+    """A record in the store cannot be decoded."""
 
 
 StoreRecord = GatewayConfiguration | EngineRecord | WeightTarget
 
 
 class RecordDecoder(ABC):
-    """Turns items of the store into records."""
+    """Decodes items of the store into records."""
 
     @property
     @abstractmethod
@@ -24,12 +24,12 @@
 
     @abstractmethod
     def decode(self, item: StoredItem) -> StoreRecord | None:
-        """Return what an item holds, or None if it is of no concern.
+        """Return the record of an item, or None if the gateway does not use the item.
 
         Raises:
-            RecordError: it cannot be understood.
+            RecordError: the item cannot be decoded.
         """
 
     @abstractmethod
     def engine_of(self, key: str) -> str | None:
-        """Return the engine whose record a key is, or None."""
+        """Return the id of the engine whose record has this key, or None for other keys."""
--- a/liftrill/gateway/records.py
+++ b/liftrill/gateway/records.py
@@ -1,4 +1,4 @@
-"""What operators declare and engines record, as the gateway's cores see it."""
+"""Records of operators and engines in the store, as data classes of the gateway."""
 
 from collections.abc import Mapping
 from dataclasses import dataclass, field
@@ -8,7 +8,7 @@
 
 
 class RequestKind(Enum):
-    """What a route promises about running a request again."""
+    """Whether and how requests of a route may be retried."""
 
     IDEMPOTENT = "idempotent"
     AT_MOST_ONCE = "at_most_once"
@@ -17,7 +17,7 @@
 
 @dataclass(frozen=True, slots=True)
 class BackendShare:
-    """A service of a route and its part of the route's requests."""
+    """A service of a route, and its share of the route's requests."""
 
     service: str
     weight: float
@@ -25,18 +25,18 @@
 
 @dataclass(frozen=True, slots=True)
 class RouteRule:
-    """Where the requests of one host and path prefix go, and how they are treated.
+    """The backends and limits for requests of one host and path prefix.
 
     Attributes:
         path_prefix: begins and ends with a slash.
-        timeout_seconds: the longest that a request is held.
-        target_seconds: the time within which an answer is worth most.
-        maximum_attempts: the most engines that one request may be sent to.
+        timeout_seconds: maximum duration of a request.
+        target_seconds: target latency of an answer.
+        maximum_attempts: maximum number of engines that one request may be sent to.
         priority: 0 is the most urgent.
-        public: whether no key is needed.
-        resumable: whether a broken stream may go on at another engine.
-        pause_target_s: the longest pause between events of a stream that is still in time,
-            or 0 where none is declared.
+        public: whether requests need no key.
+        resumable: whether a broken stream may continue at another engine.
+        pause_target_s: target for the longest pause between events of a stream, or 0 if none is
+            declared.
     """
 
     name: str
@@ -55,16 +55,17 @@
 
 @dataclass(frozen=True, slots=True)
 class ServiceProfile:
-    """What the operator declares of a service's engines.
+    """The operator's declaration of a service's engines.
 
     Attributes:
         maximum_connections: connections that one engine accepts from all nodes together.
-        cache_tokens: tokens that one model engine keeps, running and cached; 0 for others.
-        models: names of the models that its engines run.
-        tokens_per_event: tokens that one event of a stream holds.
-        backups: whether its engines send copies of runs to each other.
-        transfer_s_per_token: time to move the memory of one token between engines.
-        store_transfer_s_per_token: the same from a kept store.
+        cache_tokens: capacity of one model engine's KV cache, in tokens that are running or
+            cached; 0 for other engines.
+        models: names of the models that the engines run.
+        tokens_per_event: number of tokens in one event of a stream.
+        backups: whether the engines send copies of runs to each other.
+        transfer_s_per_token: time to transfer the KV cache of one token between engines.
+        store_transfer_s_per_token: the same time for a transfer from a prefix store.
     """
 
     name: str
@@ -79,7 +80,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PrefixStoreProfile:
-    """A store of kept prefixes that engines save to and fetch from."""
+    """A prefix store: engines save the KV caches of prompt prefixes to it and fetch from it."""
 
     address: str
     zone: str
@@ -87,12 +88,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Quota:
-    """What a tenant may use over all nodes together, and how its requests count.
+    """The rate limit of a tenant over all nodes together, and how its requests are counted.
 
     Attributes:
-        limit: in tokens or in requests a second.
-        counts_tokens: whether a request counts its prompt's and its answer's tokens.
-        plain_tokens: what a request without a prompt counts then.
+        limit: in tokens or requests per second.
+        counts_tokens: whether the limit is in tokens, of the prompt and the answer.
+        plain_tokens: tokens that a request without a prompt counts in that case.
     """
 
     limit: QuotaLimit
@@ -102,12 +103,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Tenant:
-    """A tenant: the holder of keys.
+    """A tenant, which holds API keys.
 
     Attributes:
-        priority: goes before that of the route, where it is given.
-        isolated: whether its cached prefixes are shared with nobody.
-        quota: None where its use is not limited.
+        priority: overrides the priority of the route, unless None.
+        isolated: whether the tenant's cached prefixes are shared with no other tenant.
+        quota: None if the tenant is not limited.
     """
 
     name: str
@@ -118,7 +119,7 @@
 
 @dataclass(frozen=True, slots=True)
 class TrafficLimits:
-    """Bounds on what a caller may send, in bytes and seconds."""
+    """Limits on requests of callers."""
 
     header_bytes: int = 16_384
     body_bytes: int = 4_194_304
@@ -127,10 +128,10 @@
 
 @dataclass(frozen=True, slots=True)
 class GatewayConfiguration:
-    """One version of the operator's configuration, whole.
+    """One complete version of the operator's configuration.
 
     Attributes:
-        tenants_by_key: None where requests carry no keys.
+        tenants_by_key: tenants by API key, or None if requests carry no keys.
     """
 
     version: int
@@ -143,13 +144,14 @@
 
 @dataclass(frozen=True, slots=True)
 class EngineRecord:
-    """What one incarnation of an engine records of itself.
+    """The record that one incarnation of an engine writes to the store.
 
     Attributes:
-        engine_id: an engine may start again under the id that it had.
+        engine_id: stays the same when an engine restarts.
+        draining: whether the engine is about to stop.
         weights: weight version by model.
         revision: the store's revision of the record.
-        born_unix_ms: when this incarnation started, or 0 where the record does not say.
+        born_unix_ms: start time of this incarnation, or 0 if the record does not contain it.
     """
 
     engine_id: str
@@ -164,13 +166,13 @@
 
     @property
     def incarnation(self) -> str:
-        """The name of one start of the engine."""
+        """The identifier of this incarnation: the engine's id with its start time, if known."""
         return f"{self.engine_id}@{self.born_unix_ms}" if self.born_unix_ms else self.engine_id
 
 
 @dataclass(frozen=True, slots=True)
 class WeightTarget:
-    """The weight version that an operator named for a model."""
+    """The weight version that an operator set as the target of a model."""
 
     model: str
     version: int
