--- a/features/command_line.feature
+++ b/features/command_line.feature
@@ -38,9 +38,9 @@
 
     Examples:
       | arguments                  | code | says                                     |
-      | logs explain r1 LOG        | 0    | 2 engines failed it, the last one e2     |
+      | logs explain r1 LOG        | 0    | 2 engines failed, the last one e2        |
       | logs explain r1 LOG LOG    | 0    | with status 500                          |
-      | logs explain other LOG     | 0    | no line tells of other                   |
+      | logs explain other LOG     | 0    | no log lines for other                   |
       | logs summary LOG           | 0    | 1  served                                |
       | logs explain r1 MISSING    | 1    | No such file or directory                |
       | logs summary DIRECTORY     | 1    | Is a directory                           |
--- a/liftrill/gateway/decision_log.py
+++ b/liftrill/gateway/decision_log.py
@@ -1,8 +1,8 @@
-"""One structured line for each decision on a request and each change of belief.
+"""Writes one structured log line per decision on a request and per state change of the node.
 
-Lines on requests that went well are limited in rate; those on failures have a larger
-allowance of their own, and changes of belief are always written. What was left out is
-counted and told.
+Lines about successful requests are rate-limited. Lines about failures have a separate, larger
+limit, and state changes are always written. Suppressed lines are counted, and the next written
+line contains their number.
 """
 
 import math
@@ -21,7 +21,7 @@
 
 
 def rounded_age(age_s: float) -> float | None:
-    """Return an age for a line, or None where nothing is known yet."""
+    """Return an age rounded for the log, or None for an infinite age."""
     return round(age_s, 3) if math.isfinite(age_s) else None
 
 
@@ -31,11 +31,11 @@
 
 @dataclass(slots=True)
 class DecisionLog:
-    """Writes the lines of one process.
+    """Writes the log lines of one process.
 
     Attributes:
-        node: name of this node, on each line.
-        version: the configuration version in force, on each request's lines.
+        node: name of this node, a field of each line.
+        version: the configuration version in force, a field of each line about a request.
     """
 
     node: str
@@ -46,18 +46,18 @@
     _failures: TokenBucket = field(
         default_factory=lambda: _bucket(constants.LOG_FAILURE_LINES_PER_SECOND)
     )
-    _left_out: int = 0
+    _suppressed: int = 0
 
     def state_changed(self, kind: str, **inputs: object) -> None:
-        """Write a change of what this process believes, with the inputs that decided it."""
+        """Log a state change of this process, with the inputs that caused it."""
         eliot.log_message(message_type=MESSAGE_PREFIX + kind, node=self.node, **inputs)
 
     def request_refused(self, request_id: str, code: str, **inputs: object) -> None:
-        """Write that a request was refused on reading it."""
+        """Log that a request was refused when it was read."""
         self._write_failure("refused", request=request_id, code=code, **inputs)
 
     def attempt_started(self, machine: DeliveryMachine, start: events.StartAttempt) -> None:
-        """Write which engine was chosen; ordinary first attempts are told at the end only."""
+        """Log the engine of a retry; a first attempt is logged only when its request ends."""
         if len(machine.attempts) == 1:
             return
         choice = start.choice
@@ -72,13 +72,13 @@
     def attempt_event(
         self, machine: DeliveryMachine, event: events.DeliveryEvent, times: AttemptTimes
     ) -> None:
-        """Write that an attempt was refused or lost."""
+        """Log that an attempt was refused or lost."""
         inputs: dict[str, object] = {}
         if isinstance(event, events.AttemptRefused):
             outcome = event.kind.value
         elif isinstance(event, events.AttemptBroken):
             outcome = f"broken: {event.reason}"
-            inputs = _loss(machine, times)
+            inputs = _lost_attempt_fields(machine, times)
         else:
             return
         choice = machine.attempts[-1]
@@ -92,11 +92,11 @@
         )
 
     def store_era_refused(self, era: int | None, told: str) -> None:
-        """Write that an answer of the store is of an earlier era than is known, or tells none."""
+        """Log that an answer of the store names an earlier era than the known one, or none."""
         self._write_failure("store_era_refused", era=era, told=told[:20])
 
     def engine_backoff_requested(self, word: EngineWord) -> None:
-        """Write that an engine asked this node for rest."""
+        """Log that an engine asked this node to back off."""
         self._write_failure(
             "engine_rests",
             engine=word.engine.engine_id,
@@ -109,7 +109,7 @@
     def permit_refused(
         self, request_id: str, engine: events.EngineAddress, issuer: str, wait_s: float
     ) -> None:
-        """Write that a request is not sent to an engine: its limit is used up."""
+        """Log that a request is not sent to an engine because the engine's limit is used up."""
         self._write_failure(
             "permit_refused",
             request=request_id,
@@ -119,11 +119,11 @@
         )
 
     def permit_unanswered(self, engine: events.EngineAddress, issuer: str) -> None:
-        """Write that the node that issues an engine's permits did not answer in time."""
+        """Log that the node that issues an engine's permits did not answer in time."""
         self._write_failure("permit_unanswered", engine=engine.engine_id, issuer=issuer)
 
     def engine_limit_named(self, word: EngineWord) -> None:
-        """Write that an answer of an engine names a limit."""
+        """Log that an answer of an engine names a rate limit."""
         self._write_failure(
             "engine_limit_named",
             engine=word.engine.engine_id,
@@ -134,15 +134,15 @@
         )
 
     def request_abandoned(self, machine: DeliveryMachine) -> None:
-        """Write that the caller left."""
+        """Log that the caller closed the connection."""
         self._write_request("caller_gone", machine, ordinary=True)
 
     def request_crashed(self, machine: DeliveryMachine, error: Exception) -> None:
-        """Write that this process failed in a way it did not foresee."""
+        """Log that a request ended in an unexpected exception."""
         self._write_request("crashed", machine, False, code="INTERNAL_ERROR", why=repr(error))
 
     def not_queued(self, request: OpaqueRequest, ahead_s: float, left_s: float) -> None:
-        """Write that a request is refused at once: its turn would come too late."""
+        """Log that a request is refused at once because its wait in the queue would be too long."""
         self._write_failure(
             "not_queued",
             request=request.request_id,
@@ -153,7 +153,7 @@
         )
 
     def request_ended(self, machine: DeliveryMachine, ending: events.DeliveryInstruction) -> None:
-        """Write how a request ended."""
+        """Log how a request ended."""
         if isinstance(ending, events.FinishStream):
             self._write_request("served", machine, ordinary=True)
         elif isinstance(ending, events.PassAnswer):
@@ -177,7 +177,7 @@
         now = clock.now_s()
         bucket = self._ordinary if ordinary else self._failures
         if bucket.try_take(1.0, now) > 0:
-            self._left_out += 1
+            self._suppressed += 1
             return
         request = machine.request
         last = machine.attempts[-1] if machine.attempts else None
@@ -193,31 +193,31 @@
             attempts=len(machine.attempts),
             last_event=machine.last_event_id,
             milliseconds=round((now - request.received_at) * 1000),
-            **_stream_times(machine),
+            **_stream_fields(machine),
             time_left=round((request.deadline - now) * 1000),
-            left_out=self._take_left_out(),
+            left_out=self._take_suppressed_count(),
             **inputs,
         )
 
     def _write_failure(self, kind: str, **inputs: object) -> None:
         if self._failures.try_take(1.0, clock.now_s()) > 0:
-            self._left_out += 1
+            self._suppressed += 1
             return
         eliot.log_message(
             message_type=MESSAGE_PREFIX + kind,
             node=self.node,
             configuration=self.version,
-            left_out=self._take_left_out(),
+            left_out=self._take_suppressed_count(),
             **inputs,
         )
 
-    def _take_left_out(self) -> int:
-        count, self._left_out = self._left_out, 0
+    def _take_suppressed_count(self) -> int:
+        count, self._suppressed = self._suppressed, 0
         return count
 
 
-def _loss(machine: DeliveryMachine, times: AttemptTimes) -> dict[str, object]:
-    """Return what the line of a lost attempt tells of it: times in milliseconds until now."""
+def _lost_attempt_fields(machine: DeliveryMachine, times: AttemptTimes) -> dict[str, object]:
+    """Return the log fields of a lost attempt; times are in milliseconds before now."""
     now = clock.now_s()
     first = times.first_event_at
     return {
@@ -227,8 +227,8 @@
     }
 
 
-def _stream_times(machine: DeliveryMachine) -> dict[str, int | None]:
-    """Return what the line of a stream tells of its events, in milliseconds."""
+def _stream_fields(machine: DeliveryMachine) -> dict[str, int | None]:
+    """Return the log fields of a stream's event times, in milliseconds."""
     times = machine.times
     if not times.first_event_at:
         return {}
--- a/liftrill/gateway/gateway_metrics.py
+++ b/liftrill/gateway/gateway_metrics.py
@@ -1,4 +1,4 @@
-"""Counters and latency histograms of the gateway, in Prometheus' text form."""
+"""Prometheus metrics of the gateway, and their text exposition."""
 
 from collections.abc import Iterable
 
@@ -14,8 +14,8 @@
 from liftrill.gateway.peers.node_capacity import NodeWord
 
 LATENCY_BUCKETS_SECONDS = (0.02, 0.05, 0.1, 0.2, 0.4, 0.8, 1.5, 3.0, 6.0, 15.0)
-# Less urgent ones than this are counted together.
-LEAST_URGENT_LABEL = 9
+# Requests of this priority and of less urgent ones share a label.
+MAX_URGENCY_LABEL = 9
 OUTCOMES = {
     events.FinishStream: "served",
     events.PassAnswer: "served",
@@ -26,138 +26,140 @@
 
 
 def _urgency_label(request: OpaqueRequest) -> str:
-    return str(min(request.priority, LEAST_URGENT_LABEL))
+    return str(min(request.priority, MAX_URGENCY_LABEL))
 
 
 class GatewayMetrics:
-    """The figures of one process."""
+    """The metrics of one process."""
 
     def __init__(self) -> None:
         self.registry = CollectorRegistry()
         self.outcomes = self._counter("liftrill_requests", "Requests by outcome.", "outcome")
-        self.refusals = self._counter("liftrill_refusals", "Requests without service.", "code")
+        self.refusals = self._counter("liftrill_refusals", "Requests not served by code.", "code")
         self.quota_refusals = self._counter(
-            "liftrill_quota_refusals", "Requests beyond their tenant's limit.", "tenant"
+            "liftrill_quota_refusals", "Requests over the limit of their tenant.", "tenant"
         )
-        self.attempts = Counter("liftrill_attempts", "Sends.", registry=self.registry)
-        self.store_calls = self._counter("liftrill_store_calls", "Calls by kind.", "kind")
-        self.orders = self._counter("liftrill_orders", "Orders by answer.", "answer")
+        self.attempts = Counter("liftrill_attempts", "Attempts sent.", registry=self.registry)
+        self.store_calls = self._counter("liftrill_store_calls", "Store calls by kind.", "kind")
+        self.orders = self._counter("liftrill_orders", "Engine orders by answer.", "answer")
         self.seconds = Histogram(
             "liftrill_request_seconds",
-            "Time from reading a request to its end.",
+            "Time from receipt of a request to its end.",
             buckets=LATENCY_BUCKETS_SECONDS,
             registry=self.registry,
         )
-        self.version = self._gauge("liftrill_configuration_version", "Version in force.")
-        self.proof_age = self._gauge("liftrill_key_proof_age_seconds", "Age of the key proof.")
+        self.version = self._gauge(
+            "liftrill_configuration_version", "Configuration version in force."
+        )
+        self.proof_age = self._gauge("liftrill_key_proof_age_seconds", "Age of the last proof.")
         self.mirror_age = self._gauge(
-            "liftrill_mirror_age_seconds", "Since when the copy of the store may lack changes."
+            "liftrill_mirror_age_seconds", "Time for which the mirror may lack store changes."
         )
         self.engines = self._gauge("liftrill_engines", "Engines with a record.")
         self.followers = self._gauge(
-            "liftrill_relay_followers", "Nodes that follow this one's copy of the store."
+            "liftrill_relay_followers", "Nodes that follow this node's mirror of the store."
         )
         self.reads_store = self._gauge(
-            "liftrill_reads_store", "1 where this node reads the store, 0 where it follows one."
+            "liftrill_reads_store", "1 if this node reads the store, 0 if it follows a reader."
         )
         self.store_link_short = self._gauge(
-            "liftrill_store_link_short", "1 where more is to be moved than kept stores carry."
+            "liftrill_store_link_short", "1 if the links of the prefix stores are saturated."
         )
         self.held_seconds = self._gauge(
-            "liftrill_held_seconds", "How long engines are taken to hold parts that they used."
+            "liftrill_held_seconds", "Assumed time for which engines cache a used prefix."
         )
         self.limited_tenants = self._gauge(
-            "liftrill_limited_tenants", "Tenants that were refused for their limit lately."
+            "liftrill_limited_tenants", "Tenants with recent refusals over their limit."
         )
-        self.line_depth = self._gauge("liftrill_line_depth", "Requests that wait for engines.")
+        self.line_depth = self._gauge("liftrill_line_depth", "Requests queued for engines.")
         self.line_age = self._gauge(
-            "liftrill_line_age_seconds", "For how long the first of them has waited."
+            "liftrill_line_age_seconds", "Waiting time of the oldest queued request."
         )
         self.sent_by_urgency = self._counter(
-            "liftrill_sent_requests", "Requests that engines had room for.", "urgency"
+            "liftrill_sent_requests", "Requests sent to an engine, by urgency.", "urgency"
         )
         self.refused_by_urgency = self._counter(
-            "liftrill_refused_for_room", "Requests that no engine had room for.", "urgency"
+            "liftrill_refused_for_room", "Requests refused for lack of capacity.", "urgency"
         )
         self.quarantined = self._gauge(
-            "liftrill_quarantined_requests", "Requests that are sent to no engine for a time."
+            "liftrill_quarantined_requests", "Requests in quarantine, sent to no engine."
         )
         self.standstills = Counter(
             "liftrill_standstills",
-            "Times that this process stood still, or its machine slept.",
+            "Stalls of this process, including sleep of its machine.",
             registry=self.registry,
         )
         self.refused_records = Counter(
             "liftrill_refused_records",
-            "Records in the store that could not be understood.",
+            "Records in the store that could not be decoded.",
             registry=self.registry,
         )
         self.store_era = self._gauge(
-            "liftrill_store_era", "Era of the store since it last came back from an older copy."
+            "liftrill_store_era", "Era of the store, which increases with each restore."
         )
         self.refused_eras = Counter(
             "liftrill_refused_store_eras",
-            "Answers of the store that are of an earlier era than is known.",
+            "Answers of the store from an era earlier than the known one.",
             registry=self.registry,
         )
         self.limited_engines = self._gauge(
-            "liftrill_limited_engines", "Engines that get requests with permits only."
+            "liftrill_limited_engines", "Engines that receive requests only under permits."
         )
         self.permits = self._counter(
-            "liftrill_engine_permits", "Permits that this node asked for, by answer.", "answer"
+            "liftrill_engine_permits", "Permits requested by this node, by answer.", "answer"
         )
         self.engine_signals = self._counter(
             "liftrill_engine_words",
-            "Answers in which engines leave, want rest or name a limit.",
+            "Engine answers that announce leaving, a backoff or a limit.",
             "says",
         )
         self.engine_ends = Counter(
             "liftrill_engine_ends",
-            "Engines that were found to have ended with runs under way.",
+            "Engines found to have ended during runs.",
             registry=self.registry,
         )
         self.reading_rate = Gauge(
             "liftrill_engine_reading_tokens_per_second",
-            "Prompt tokens that a service's engines read: of the slowest, the middle, the fastest.",
+            "Prefill rate of a service's slowest, median and fastest engine.",
             ["service", "engine"],
             registry=self.registry,
         )
         self.slow_engines = Gauge(
             "liftrill_slow_engines",
-            "Engines that take longer than the others of their service.",
+            "Engines that are slower than the others of their service.",
             ["service"],
             registry=self.registry,
         )
         self.held_bytes = Gauge(
             "liftrill_held_bytes",
-            "Bytes held for callers, by purpose.",
+            "Bytes buffered for callers, by purpose.",
             ["purpose"],
             registry=self.registry,
         )
         self.holding_capacity = self._gauge(
-            "liftrill_holding_capacity_bytes", "Bytes that may be held for callers in all."
+            "liftrill_holding_capacity_bytes", "Maximum bytes buffered for callers."
         )
         self.slow_callers = self._counter(
-            "liftrill_slow_callers", "Answers ended for slow reading, by reason.", "reason"
+            "liftrill_slow_callers", "Answers ended because of slow callers.", "reason"
         )
         self.capacity = self._gauge(
-            "liftrill_node_capacity_cores", "Processor time a second for requests; 0: not told."
+            "liftrill_node_capacity_cores", "Processor cores for requests; 0 if unknown."
         )
         self.capacity_used = self._gauge(
-            "liftrill_node_used_cores", "How much of its capacity this node uses."
+            "liftrill_node_used_cores", "Processor cores in use for requests."
         )
-        self.lag = self._gauge("liftrill_loop_lag_seconds", "By how much the loop runs late.")
+        self.lag = self._gauge("liftrill_loop_lag_seconds", "Lag of the event loop.")
         self.named_nodes = self._gauge(
-            "liftrill_named_nodes", "Addresses in the directory's last answer."
+            "liftrill_named_nodes", "Addresses in the last answer of the directory."
         )
-        self.peers = self._gauge("liftrill_peers", "Nodes believed alive, this one included.")
+        self.peers = self._gauge("liftrill_peers", "Nodes considered alive, including this one.")
 
     def count_outcome(self, outcome: str) -> None:
-        """Count a request by how it ended."""
+        """Count a request by outcome."""
         self.outcomes.labels(outcome).inc()
 
     def count_engine_signal(self, word: EngineWord) -> None:
-        """Count an answer in which an engine says that it leaves, wants rest or names a limit."""
+        """Count an engine's answer that announces its leaving, a backoff or a rate limit."""
         if word.leaving:
             self.engine_signals.labels("leaving").inc()
         if word.rest_s:
@@ -166,17 +168,17 @@
             self.engine_signals.labels("limit").inc()
 
     def set_capacity(self, word: NodeWord, lag_s: float) -> None:
-        """Show what this node can bear and bears."""
+        """Set the capacity, the utilization and the event loop lag of this node."""
         self.capacity.set(word.capacity_cores)
         self.capacity_used.set(word.used_cores)
         self.lag.set(lag_s)
 
     def record_sent(self, request: OpaqueRequest) -> None:
-        """Count a request that is sent to its first engine."""
+        """Count the first attempt of a request, by urgency."""
         self.sent_by_urgency.labels(_urgency_label(request)).inc()
 
     def record_end(self, machine: DeliveryMachine, ending: events.DeliveryInstruction) -> None:
-        """Count a request's end and its time."""
+        """Count the outcome of a request and observe its duration."""
         self.count_outcome(OUTCOMES[type(ending)])
         if isinstance(ending, events.RefuseRequest | events.FailRequest | events.BreakOff):
             self.refusals.labels(ending.code.name.lower()).inc()
@@ -186,14 +188,14 @@
         self.seconds.observe(clock.now_s() - machine.request.received_at)
 
     def record_speeds(self, figures: Iterable[SpeedFigures]) -> None:
-        """Note how fast the engines of services are."""
+        """Set the prefill rates and the number of slow engines of each service."""
         for figure in figures:
             for engine, rate in zip(("slowest", "middle", "fastest"), figure.rates, strict=True):
                 self.reading_rate.labels(figure.service, engine).set(rate)
             self.slow_engines.labels(figure.service).set(figure.slow)
 
     def text(self) -> bytes:
-        """Return all figures as text."""
+        """Return all metrics in the Prometheus text format."""
         return generate_latest(self.registry)
 
     def _counter(self, name: str, documentation: str, label: str) -> Counter:
--- a/liftrill/gateway/log_lines.py
+++ b/liftrill/gateway/log_lines.py
@@ -1,4 +1,4 @@
-"""Writes the log of one process: eliot's messages, a JSON object a line."""
+"""Writes the eliot messages of one process as JSON lines."""
 
 import json
 from collections.abc import Callable
@@ -14,7 +14,7 @@
 
 
 def add_log_output(output: BoundedOutput) -> Destination:
-    """Write each message from now on as a line to an output."""
+    """Write each message from now on as a JSON line to an output."""
 
     def write(message: Message) -> None:
         output.write(_encoded(message))
@@ -25,12 +25,12 @@
 
 def _encoded(message: Message) -> bytes:
     try:
-        return orjson.dumps(message, default=_plain, option=orjson.OPT_APPEND_NEWLINE)
+        return orjson.dumps(message, default=_serializable, option=orjson.OPT_APPEND_NEWLINE)
     except orjson.JSONEncodeError:
-        # Numbers of more than 64 bits, and bytes in a header that are no text.
-        return json.dumps(message, default=_plain, skipkeys=True).encode() + b"\n"
+        # orjson rejects integers of more than 64 bits and header values that are not valid UTF-8.
+        return json.dumps(message, default=_serializable, skipkeys=True).encode() + b"\n"
 
 
-def _plain(value: object) -> object:
-    """Return what a value of another type is written as."""
+def _serializable(value: object) -> object:
+    """Return the JSON form of a value of another type: a list for sets, otherwise a string."""
     return list(value) if isinstance(value, set | frozenset) else str(value)
--- a/liftrill/gateway/log_output.py
+++ b/liftrill/gateway/log_output.py
@@ -1,4 +1,4 @@
-"""Writes log lines to standard output without ever waiting for its reader."""
+"""Writes log lines to standard output without blocking on a slow reader."""
 
 import os
 import sys
@@ -8,45 +8,46 @@
 
 
 class BoundedOutput:
-    """An output that drops lines rather than block.
+    """An output that drops lines instead of blocking.
 
-    A pipe that is full or closed costs lines, which are counted, and delays nothing.
+    Lines that do not fit into the buffer while the pipe is full, and lines that are buffered when
+    a write to the pipe fails, are dropped and counted.
 
     Attributes:
-        dropped: lines left out since the last one that told of it.
+        dropped: number of dropped lines.
     """
 
     def __init__(self, descriptor: int | None = None) -> None:
         self._descriptor = sys.stdout.fileno() if descriptor is None else descriptor
         os.set_blocking(self._descriptor, False)
-        self._waiting: deque[bytes] = deque()
-        self._waiting_bytes = 0
+        self._buffer: deque[bytes] = deque()
+        self._buffer_bytes = 0
         self.dropped = 0
 
     def write(self, data: bytes) -> int:
-        """Take a line and pass on what the reader takes now."""
-        if self._waiting_bytes + len(data) > constants.LOG_BUFFER_BYTES:
+        """Buffer a line, and write as much of the buffer as the reader accepts now."""
+        if self._buffer_bytes + len(data) > constants.LOG_BUFFER_BYTES:
             self.dropped += 1
             return len(data)
-        self._waiting.append(data)
-        self._waiting_bytes += len(data)
-        self._drain()
+        self._buffer.append(data)
+        self._buffer_bytes += len(data)
+        self._flush()
         return len(data)
 
-    def _drain(self) -> None:
-        while self._waiting:
-            data = self._waiting[0]
+    def _flush(self) -> None:
+        while self._buffer:
+            data = self._buffer[0]
             try:
                 written = os.write(self._descriptor, data)
             except BlockingIOError:
                 return
             except OSError:
-                self.dropped += len(self._waiting)
-                self._waiting.clear()
-                self._waiting_bytes = 0
+                self.dropped += len(self._buffer)
+                self._buffer.clear()
+                self._buffer_bytes = 0
                 return
-            self._waiting_bytes -= written
+            self._buffer_bytes -= written
             if written < len(data):
-                self._waiting[0] = data[written:]
+                self._buffer[0] = data[written:]
                 return
-            self._waiting.popleft()
+            self._buffer.popleft()
--- a/liftrill/gateway/log_reader.py
+++ b/liftrill/gateway/log_reader.py
@@ -1,4 +1,4 @@
-"""Reads a gateway's log lines again and tells the story of one request."""
+"""Reads a gateway's log lines, explains single requests and summarizes outcomes."""
 
 import json
 from collections import Counter
@@ -8,8 +8,8 @@
 
 from liftrill.gateway.decision_log import MESSAGE_PREFIX
 
-# How long before and after an attempt a belief about its engine belongs to its story.
-BELIEF_WINDOW_SECONDS = 6.0
+# State changes of an engine within this time of a request's lines are shown with the request.
+RELATED_WINDOW_S = 6.0
 ENGINE_KINDS = frozenset({"engine", "engine_gone", "order", "weights_reached"})
 NODE_KINDS = frozenset(
     {"configuration", "store", "started", "stopping", "leading", "not_leading", "quota_limited"}
@@ -17,27 +17,27 @@
 ENDINGS = frozenset({"request", "refused"})
 
 CAUSES = {
-    "MALFORMED_REQUEST": "the request did not keep to the protocol",
-    "BODY_TOO_LARGE": "the body was over the limit of the configuration",
-    "UNKNOWN_ROUTE": "no route of the configuration in force has its host and path",
-    "INVALID_API_KEY": "no tenant of the configuration in force holds its key",
+    "MALFORMED_REQUEST": "the request violated the protocol",
+    "BODY_TOO_LARGE": "the body exceeded the limit of the configuration",
+    "UNKNOWN_ROUTE": "no route of the configuration in force matches the host and path",
+    "INVALID_API_KEY": "no tenant of the configuration in force holds the key",
     "NO_CONFIGURATION": "the node had no configuration yet",
-    "NODE_DRAINING": "the node was about to end and took no more requests",
-    "KEY_NOT_PROVEN": "the store had not answered for too long to know that the key still holds",
-    "NO_ELIGIBLE_ENGINE": "no engine of the service was free to take it in time",
-    "ENGINES_REFUSED": "every engine that was asked refused without running it",
-    "ENGINES_FULL": "so much waited at all engines that none would have answered in time",
-    "QUOTA_EXCEEDED": "its tenant had used what its limit allows over all nodes",
-    "RETRY_BUDGET_EXHAUSTED": "the budget of repeats was used up",
+    "NODE_DRAINING": "the node was stopping and accepted no more requests",
+    "KEY_NOT_PROVEN": "the store had not answered recently enough to prove the key still valid",
+    "NO_ELIGIBLE_ENGINE": "no engine of the service became free in time",
+    "ENGINES_REFUSED": "every engine that was asked refused without running the request",
+    "ENGINES_FULL": "the queues of all engines were too long for an answer in time",
+    "QUOTA_EXCEEDED": "the tenant had used up its limit over all nodes",
+    "RETRY_BUDGET_EXHAUSTED": "the retry budget was used up",
     "ENGINE_LOST": "the connection to the engine broke after the request was sent",
-    "STREAM_INTERRUPTED": "the stream broke, and it may not go on elsewhere",
-    "DEADLINE_UNREACHABLE": "its time was over before an engine could take it",
-    "INTERNAL_ERROR": "the node failed in a way it did not foresee: a defect",
-    "DEADLINE_PASSED": "its time was over while an engine had it",
+    "STREAM_INTERRUPTED": "the stream broke and could not be resumed at another engine",
+    "DEADLINE_UNREACHABLE": "the deadline passed before an engine could accept the request",
+    "INTERNAL_ERROR": "the node failed with an unexpected error: a defect",
+    "DEADLINE_PASSED": "the deadline passed while an engine had the request",
 }
 
 
-# From here on a status is an engine's failure.
+# Answers of an engine with this status or a higher one are failures.
 FIRST_SERVER_ERROR = 500
 
 
@@ -46,8 +46,9 @@
     """One line of a log.
 
     Attributes:
-        at: time of day, seconds.
-        kind: what the line tells, without the project's prefix.
+        at: Unix time in seconds.
+        kind: the message type without the project's prefix.
+        fields: all other fields of the line.
     """
 
     at: float
@@ -56,32 +57,35 @@
     fields: dict[str, Any]
 
     def text(self, origin: float) -> str:
-        """Return the line for a reader, with its time since an origin."""
-        told = " ".join(f"{key}={value}" for key, value in self.fields.items())
-        return f"{self.at - origin:+9.3f} s  {self.node:<24} {self.kind:<16} {told}"
+        """Return the line as readable text, with its time relative to `origin`."""
+        fields = " ".join(f"{key}={value}" for key, value in self.fields.items())
+        return f"{self.at - origin:+9.3f} s  {self.node:<24} {self.kind:<16} {fields}"
 
 
 def read_lines(texts: Iterable[str]) -> list[LogLine]:
-    """Return the lines of this project among some text, in order of time.
+    """Return the log lines of this project among lines of text, in order of time.
 
-    Whatever stands before the first brace, such as a collector's own stamp, is passed over.
+    Text before the first brace, such as the timestamp of a log collector, is skipped.
     """
     found = [line for text in texts if (line := _parse(text)) is not None]
     return sorted(found, key=lambda line: line.at)
 
 
 def explain(lines: list[LogLine], request_id: str) -> list[str]:
-    """Return the story of one request: its lines, what was believed, and the cause."""
+    """Return the timeline of one request: its lines, related state changes, and the cause."""
     own = [line for line in lines if line.fields.get("request") == request_id]
     if not own:
-        return [f"no line tells of {request_id}: it went well and was left out, or came elsewhere"]
-    related = [line for line in lines if line in own or _bears_on(line, own)]
-    story = [line.text(own[0].at) for line in related]
-    return [*story, f"cause: {_cause(own)}"]
+        return [
+            f"no log lines for {request_id}:"
+            " it succeeded and its line was left out, or another node received it"
+        ]
+    related = [line for line in lines if line in own or _is_related(line, own)]
+    timeline = [line.text(own[0].at) for line in related]
+    return [*timeline, f"cause: {_cause(own)}"]
 
 
 def summarize(lines: list[LogLine]) -> list[str]:
-    """Return counts of how requests ended, most frequent first."""
+    """Return the counts of request outcomes, most frequent first."""
     ended = Counter(
         (line.fields.get("outcome", line.kind), line.fields.get("code", ""))
         for line in lines
@@ -110,11 +114,11 @@
     return LogLine(at, node, kind.removeprefix(MESSAGE_PREFIX), fields)
 
 
-def _bears_on(line: LogLine, own: list[LogLine]) -> bool:
-    if not own[0].at - BELIEF_WINDOW_SECONDS <= line.at <= own[-1].at + BELIEF_WINDOW_SECONDS:
+def _is_related(line: LogLine, own: list[LogLine]) -> bool:
+    if not own[0].at - RELATED_WINDOW_S <= line.at <= own[-1].at + RELATED_WINDOW_S:
         return False
-    nodes = {told.node for told in own}
-    engines = {told.fields.get("engine") for told in own} - {None, ""}
+    nodes = {own_line.node for own_line in own}
+    engines = {own_line.fields.get("engine") for own_line in own} - {None, ""}
     if line.kind in ENGINE_KINDS:
         in_order = line.kind in ("order", "weights_reached")
         return line.fields.get("engine") in engines and (in_order or line.node in nodes)
@@ -124,30 +128,29 @@
 def _cause(own: list[LogLine]) -> str:
     ended = [line for line in own if line.kind in ENDINGS]
     if not ended:
-        return "its end is not told: the process ended first, or the line was left out"
+        return "unknown: the process ended first, or the line about the end was left out"
     last = ended[-1].fields
     outcome = last.get("outcome", "refused")
     if outcome == "served" and int(last.get("status") or 0) >= FIRST_SERVER_ERROR:
         engines = [line.fields["engine"] for line in own if line.kind == "retried"]
-        return f"{last['attempts']} engines failed it, the last one {last['engine']} with " + (
-            f"status {last['status']}"
-            + (f" (sent again to {', '.join(engines)})" if engines else "")
+        return f"{last['attempts']} engines failed, the last one {last['engine']} with " + (
+            f"status {last['status']}" + (f" (retried at {', '.join(engines)})" if engines else "")
         )
     if outcome == "served":
         return f"served{_pauses(last)}"
     if outcome == "caller_gone":
-        return f"its caller left before the end{_pauses(last)}"
-    reason = CAUSES.get(str(last.get("code")), "not known to this version")
+        return f"the caller left before the end{_pauses(last)}"
+    reason = CAUSES.get(str(last.get("code")), "unknown result code")
     attempts = [line.fields["outcome"] for line in own if line.kind == "attempt_failed"]
     return f"{reason} ({', '.join(attempts)})" if attempts else reason
 
 
 def _pauses(fields: dict[str, Any]) -> str:
-    """Return when the events of a stream came, which is what makes it late."""
+    """Return the timing of a stream's events, which shows why a stream was late."""
     if "first_event_ms" not in fields:
         return ""
-    told = f", its first event after {fields['first_event_ms']} ms"
+    first = f", first event after {fields['first_event_ms']} ms"
     after = fields["longest_pause_after"]
     if after is None:
-        return told
-    return f"{told}, its longest pause {fields['longest_pause_ms']} ms after event {after}"
+        return first
+    return f"{first}, longest pause {fields['longest_pause_ms']} ms after event {after}"
--- a/liftrill/gateway/settings.py
+++ b/liftrill/gateway/settings.py
@@ -1,4 +1,4 @@
-"""What one gateway must know before it starts."""
+"""The settings of one gateway."""
 
 from dataclasses import dataclass, field
 
@@ -7,18 +7,25 @@
 
 @dataclass(frozen=True, slots=True)
 class GatewayBounds:
-    """Bounds that the operator sets, in seconds where not said otherwise.
+    """Bounds that the operator sets, in seconds unless stated otherwise.
 
     Attributes:
-        retry_ratio: repeats to a service for each request of it.
-        retry_slack: repeats of all nodes in a window beyond the ratio.
-        key_proof_seconds: for how long a key may be used after a proof of currency.
-        version_grace_seconds: how long requests may begin on older weights.
-        lease_seconds: how long orders of one leader must be past before those of another.
-        quota_tolerance: how the use of tenants' limits is judged.
-        propagation_seconds: within which what the store acknowledged must be in force.
-        heartbeat_seconds: the time between two signs of life of an engine in the store.
-        stop_seconds: the time between the signal to stop and being killed.
+        retry_ratio: retries per request of a service.
+        retry_slack: retries of all nodes in one window that are allowed beyond the ratio.
+        retry_window_seconds: the window of the retry budget.
+        key_proof_seconds: how long a key may be used after a proof that the configuration is
+            current.
+        version_grace_seconds: how long requests may still start on replaced weights.
+        lease_seconds: minimum time between the last order of one leader and the first of the next.
+        thaw_seconds: margin for a node that continues after it was frozen; added to the safety
+            margin of leases and to the time between the orders of two leaders.
+        min_lease_seconds: the shortest time to live of a lease that the store accepts.
+        quota_tolerance: how far the use of tenants may exceed their limits.
+        propagation_seconds: time within which a change that the store acknowledged must be in
+            force.
+        heartbeat_seconds: interval of an engine's heartbeats in the store.
+        stop_seconds: time between the stop signal and the kill.
+        max_resolve_seconds: maximum time to live of the directory's answers.
     """
 
     retry_ratio: float = 0.2
@@ -38,12 +45,12 @@
 
 @dataclass(frozen=True, slots=True)
 class MachineLimits:
-    """What the machine of a gateway gives to it; 0 where it is not told.
+    """Resources that the machine of a gateway provides; 0 if not configured.
 
     Attributes:
-        cpu_share: of one core of ordinary speed.
-        memory_bytes: a process that takes more is killed.
-        link_bytes_per_s: of the machine's own link, each way.
+        cpu_share: in units of one core of standard speed.
+        memory_bytes: a process that uses more is killed.
+        link_bytes_per_s: bandwidth of the machine's link in each direction.
     """
 
     cpu_share: float = 0.0
@@ -57,11 +64,11 @@
 
     Attributes:
         front: HOST:PORT for callers.
-        peer_address: HOST:PORT for gossip over UDP; ports are alike on all nodes.
+        peer_address: HOST:PORT for gossip over UDP; all nodes use the same port.
         peer_seeds: gossip addresses of some other nodes.
         first_start: whether the whole system starts for the first time.
-        slow_peers: whether callers and engines may read slowly, and engines fall over under
-            requests that outgrow their memory.
+        slow_peers: whether callers and engines may read slowly, and engines may crash under
+            requests that exceed their memory.
     """
 
     node: str
--- a/liftrill/gateway/settings_reader.py
+++ b/liftrill/gateway/settings_reader.py
@@ -1,4 +1,4 @@
-"""Takes checked values out of a settings file, without a library that memory is paid for."""
+"""Reads validated values of a settings file, without a library that would cost memory."""
 
 from collections.abc import Mapping
 from pathlib import Path
@@ -11,7 +11,7 @@
 
 
 class SettingsReader:
-    """Takes checked values out of the file's tables."""
+    """Reads validated values of one table in a settings file."""
 
     def __init__(self, path: Path, table: Mapping[str, Any], prefix: str = "") -> None:
         self._path = path
@@ -19,21 +19,21 @@
         self._prefix = prefix
 
     def section(self, key: str) -> "SettingsReader":
-        """Return a table of the file."""
-        return SettingsReader(self._path, self._take(key, dict, "a table"), f"{key}.")
+        """Return the reader of a table."""
+        return SettingsReader(self._path, self._required(key, dict, "a table"), f"{key}.")
 
     def section_or_empty(self, key: str) -> "SettingsReader":
-        """Return a table that need not be given."""
+        """Return the reader of a table, or of an empty one if the table is missing."""
         if key not in self._table:
             return SettingsReader(self._path, {}, f"{key}.")
         return self.section(key)
 
     def text(self, key: str) -> str:
-        """Return a text."""
-        return str(self._take(key, str, "a text"))
+        """Return a string."""
+        return str(self._required(key, str, "a string"))
 
     def address(self, key: str) -> str:
-        """Return a HOST:PORT."""
+        """Return an address in the form HOST:PORT."""
         value = self.text(key)
         host, separator, port = value.rpartition(":")
         if not (host and separator and port.isdigit()):
@@ -41,56 +41,56 @@
         return value
 
     def number_or(self, key: str, default: float) -> float:
-        """Return a number that need not be given."""
+        """Return a number, or the default if the key is missing."""
         return self.number(key) if key in self._table else default
 
     def flag(self, key: str) -> bool:
-        """Return true or false."""
-        return bool(self._take(key, bool, "true or false"))
+        """Return a boolean."""
+        return bool(self._required(key, bool, "true or false"))
 
     def number(self, key: str) -> float:
-        """Return a number that is not negative."""
-        value = self._take(key, (int, float), "a number, 0 or more")
+        """Return a number, 0 or more."""
+        value = self._required(key, (int, float), "a number, 0 or more")
         if isinstance(value, bool) or value < 0:
             raise self._error(key, value, "a number, 0 or more")
         return float(value)
 
     def seconds(self, key: str) -> float:
-        """Return a time given in milliseconds, in seconds."""
+        """Return a time in seconds that is given in milliseconds."""
         return self.number(key) / 1000.0
 
     def megabytes_or(self, key: str, default_bytes: int) -> int:
-        """Return a size given in megabytes, in bytes, or a default."""
+        """Return a size in bytes that is given in megabytes, or the default if missing."""
         if key not in self._table:
             return default_bytes
         return int(self.number(key) * BYTES_PER_MEGABYTE)
 
     def megabits_or(self, key: str, default_bytes: float) -> float:
-        """Return a rate given in megabits a second, in bytes a second, or a default."""
+        """Return a rate in bytes per second that is given in Mbit/s, or the default if missing."""
         return self.number(key) * BYTES_PER_MEGABIT if key in self._table else default_bytes
 
     def texts(self, key: str) -> list[str]:
-        """Return a list of texts."""
-        return [str(value) for value in self._take(key, list, "a list")]
+        """Return a list of strings."""
+        return [str(value) for value in self._required(key, list, "a list")]
 
     def texts_or_none(self, key: str) -> list[str]:
-        """Return a list of texts that need not be given."""
+        """Return a list of strings, or an empty list if the key is missing."""
         return self.texts(key) if key in self._table else []
 
     def port(self, key: str, default: int) -> int:
-        """Return a port that need not be given."""
+        """Return a port, or the default if the key is missing."""
         if key not in self._table:
             return default
-        return int(self._take(key, int, "a port"))
+        return int(self._required(key, int, "a port"))
 
     def first_port(self, key: str) -> int:
-        """Return the first port of a range."""
-        value = self._take(key, list, "two ports")
+        """Return the first port of a range, which is given as a list of two ports."""
+        value = self._required(key, list, "a list of two ports")
         if not value or not isinstance(value[0], int):
-            raise self._error(key, value, "two ports")
+            raise self._error(key, value, "a list of two ports")
         return int(value[0])
 
-    def _take(self, key: str, kind: type | tuple[type, ...], expected: str) -> Any:
+    def _required(self, key: str, kind: type | tuple[type, ...], expected: str) -> Any:
         if key not in self._table:
             raise self._error(key, "nothing", expected)
         value = self._table[key]
