--- a/liftrill/gateway/cluster_state.py
+++ b/liftrill/gateway/cluster_state.py
@@ -68,13 +68,13 @@
             self.engines.withdraw(engine_id, revision)
             self.log.state_changed("engine_withheld", engine=engine_id, revision=revision)
         self.store_read = True
-        gone = [e for key in change.removed if (e := self.decoder.engine_of(key)) is not None]
+        removed = [e for key in change.removed if (e := self.decoder.engine_of(key)) is not None]
         now = clock.now_s()
         if change.restored or (change.gap and now - known_until >= self.min_lapse_s):
             # During an outage of the store the records of live engines can expire.
-            self.engines.mark_vanished(gone, now)
+            self.engines.mark_vanished(removed, now)
             return
-        for engine_id in gone:
+        for engine_id in removed:
             self.engines.remove(engine_id)
             self.log.state_changed(
                 "engine_gone",
--- a/liftrill/gateway/decision_log.py
+++ b/liftrill/gateway/decision_log.py
@@ -91,19 +91,19 @@
             **inputs,
         )
 
-    def store_era_refused(self, era: int | None, told: str) -> None:
+    def store_era_refused(self, era: int | None, raw_era: str) -> None:
         """Log that an answer of the store names an earlier era than the known one, or none."""
-        self._write_failure("store_era_refused", era=era, told=told[:20])
+        self._write_failure("store_era_refused", era=era, told=raw_era[:20])
 
-    def engine_backoff_requested(self, word: EngineWord) -> None:
+    def engine_backoff_requested(self, signal: EngineWord) -> None:
         """Log that an engine asked this node to back off."""
         self._write_failure(
             "engine_rests",
-            engine=word.engine.engine_id,
-            address=word.engine.address,
-            source=word.source,
-            status=word.status,
-            rest_s=word.rest_s,
+            engine=signal.engine.engine_id,
+            address=signal.engine.address,
+            source=signal.source,
+            status=signal.status,
+            rest_s=signal.rest_s,
         )
 
     def permit_refused(
@@ -122,15 +122,15 @@
         """Log that the node that issues an engine's permits did not answer in time."""
         self._write_failure("permit_unanswered", engine=engine.engine_id, issuer=issuer)
 
-    def engine_limit_named(self, word: EngineWord) -> None:
+    def engine_limit_named(self, signal: EngineWord) -> None:
         """Log that an answer of an engine names a rate limit."""
         self._write_failure(
             "engine_limit_named",
-            engine=word.engine.engine_id,
-            address=word.engine.address,
-            source=word.source,
-            status=word.status,
-            limit_per_s=word.limit_per_s,
+            engine=signal.engine.engine_id,
+            address=signal.engine.address,
+            source=signal.source,
+            status=signal.status,
+            limit_per_s=signal.limit_per_s,
         )
 
     def request_abandoned(self, machine: DeliveryMachine) -> None:
--- a/liftrill/gateway/gateway_metrics.py
+++ b/liftrill/gateway/gateway_metrics.py
@@ -42,7 +42,7 @@
         self.attempts = Counter("liftrill_attempts", "Attempts sent.", registry=self.registry)
         self.store_calls = self._counter("liftrill_store_calls", "Store calls by kind.", "kind")
         self.orders = self._counter("liftrill_orders", "Engine orders by answer.", "answer")
-        self.seconds = Histogram(
+        self.request_seconds = Histogram(
             "liftrill_request_seconds",
             "Time from receipt of a request to its end.",
             buckets=LATENCY_BUCKETS_SECONDS,
@@ -148,7 +148,7 @@
         self.capacity_used = self._gauge(
             "liftrill_node_used_cores", "Processor cores in use for requests."
         )
-        self.lag = self._gauge("liftrill_loop_lag_seconds", "Lag of the event loop.")
+        self.loop_lag = self._gauge("liftrill_loop_lag_seconds", "Lag of the event loop.")
         self.named_nodes = self._gauge(
             "liftrill_named_nodes", "Addresses in the last answer of the directory."
         )
@@ -158,20 +158,20 @@
         """Count a request by outcome."""
         self.outcomes.labels(outcome).inc()
 
-    def count_engine_signal(self, word: EngineWord) -> None:
+    def count_engine_signal(self, signal: EngineWord) -> None:
         """Count an engine's answer that announces its leaving, a backoff or a rate limit."""
-        if word.leaving:
+        if signal.leaving:
             self.engine_signals.labels("leaving").inc()
-        if word.rest_s:
+        if signal.rest_s:
             self.engine_signals.labels("rest").inc()
-        if word.limit_per_s is not None:
+        if signal.limit_per_s is not None:
             self.engine_signals.labels("limit").inc()
 
-    def set_capacity(self, word: NodeWord, lag_s: float) -> None:
+    def set_capacity(self, node_load: NodeWord, lag_s: float) -> None:
         """Set the capacity, the utilization and the event loop lag of this node."""
-        self.capacity.set(word.capacity_cores)
-        self.capacity_used.set(word.used_cores)
-        self.lag.set(lag_s)
+        self.capacity.set(node_load.capacity_cores)
+        self.capacity_used.set(node_load.used_cores)
+        self.loop_lag.set(lag_s)
 
     def record_sent(self, request: OpaqueRequest) -> None:
         """Count the first attempt of a request, by urgency."""
@@ -185,7 +185,7 @@
         if isinstance(ending, events.RefuseRequest) and ending.code is ResultCode.ENGINES_FULL:
             self.refused_by_urgency.labels(_urgency_label(machine.request)).inc()
         self.attempts.inc(len(machine.attempts))
-        self.seconds.observe(clock.now_s() - machine.request.received_at)
+        self.request_seconds.observe(clock.now_s() - machine.request.received_at)
 
     def record_speeds(self, figures: Iterable[SpeedFigures]) -> None:
         """Set the prefill rates and the number of slow engines of each service."""
--- a/liftrill/gateway/store_follower.py
+++ b/liftrill/gateway/store_follower.py
@@ -1,8 +1,8 @@
 """Keeps a mirror of the store's key range for as long as the node runs.
 
-A watch that was cut does not mean that the store is unreachable: the node first reads the range
-again, and follows another node only if that read fails. Otherwise nodes whose watches are cut at
-the same time would follow each other, and none of them would read the store.
+An interrupted watch does not mean that the store is unreachable: the node first reads the range
+again, and follows another node only if that read fails. Otherwise nodes whose watches are
+interrupted at the same time would follow each other, and none of them would read the store.
 """
 
 import asyncio
@@ -217,9 +217,9 @@
         """Return how long the followed reader may be silent.
 
         The timeout ends early when the mirror reaches its maximum age, because the store itself
-        may answer at once: waiting for two readers in full, one after the other, delayed the
-        news of a leaving engine by 2.8 s under heavy load, where 2 s are allowed. While the store
-        is unreachable there is no better source, and the full timeout applies.
+        may answer at once. Waiting for two readers in full, one after the other, delayed the
+        detection of a leaving engine by 2.8 s under heavy load, where 2 s are allowed. While the
+        store is unreachable there is no better source, and the full timeout applies.
         """
         if self._outage.unreachable:
             return constants.RELAY_SILENCE_SECONDS
--- a/liftrill/gateway/store_outage.py
+++ b/liftrill/gateway/store_outage.py
@@ -14,7 +14,7 @@
     """Track failed reads of the store and compute the retry delay.
 
     Attributes:
-        unreachable: whether the last read failed. A watch that was cut does not set it: the
+        unreachable: whether the last read failed. An interrupted watch does not set it: the
             store may still answer reads.
     """
 
