--- a/liftrill/gateway/cluster_state.py
+++ b/liftrill/gateway/cluster_state.py
@@ -34,7 +34,7 @@
 
     Attributes:
         configuration_revision: the store's revision of the configuration in force.
-        min_lapse_s: the shortest gap in this node's updates in which the record of a live engine
+        min_expiry_gap_s: the shortest gap in this node's updates in which the record of a live engine
             can expire.
         store_read: whether the store was read once, so that later changes are known to be new.
         count_refused: called for each record that cannot be decoded.
@@ -49,7 +49,7 @@
     selector: EngineSelector
     split: WeightedSplit
     log: DecisionLog
-    min_lapse_s: float
+    min_expiry_gap_s: float
     configuration_revision: int = 0
     store_read: bool = False
     count_refused: Callable[[], None] = _count_nothing
@@ -63,14 +63,14 @@
         for item in written:
             self.apply_item(item, known_until)
         for engine_id, revision in unknown:
-            # The engine was removed after the backup that the store was restored from: it counts
+            # The engine was gone before the restore, which brought its old record back: it counts
             # as live only once it writes its next record.
             self.engines.withdraw(engine_id, revision)
             self.log.state_changed("engine_withheld", engine=engine_id, revision=revision)
         self.store_read = True
         removed = [e for key in change.removed if (e := self.decoder.engine_of(key)) is not None]
         now = clock.now_s()
-        if change.restored or (change.gap and now - known_until >= self.min_lapse_s):
+        if change.restored or (change.gap and now - known_until >= self.min_expiry_gap_s):
             # During an outage of the store the records of live engines can expire.
             self.engines.mark_vanished(removed, now)
             return
@@ -80,7 +80,7 @@
                 "engine_gone",
                 engine=engine_id,
                 reason="record removed",
-                news_age_s=_news_age(known_until),
+                news_age_s=_max_change_age(known_until),
             )
 
     def is_older_configuration(self, item: StoredItem) -> bool:
@@ -183,7 +183,7 @@
             previous=previous,
             revision=revision,
             routes=len(configuration.routes),
-            news_age_s=_news_age(known_until),
+            news_age_s=_max_change_age(known_until),
         )
 
     def _apply_engine(self, record: EngineRecord, known_until: float) -> None:
@@ -207,7 +207,7 @@
                 leaving=view.leaving,
                 weights=dict(view.weights),
                 revision=record.revision,
-                news_age_s=_news_age(known_until),
+                news_age_s=_max_change_age(known_until),
             )
 
     def _apply_target(self, target: WeightTarget, known_until: float) -> None:
@@ -222,7 +222,7 @@
                 version=target.version,
                 revision=target.revision,
                 age_known=self.store_read,
-                news_age_s=_news_age(known_until),
+                news_age_s=_max_change_age(known_until),
             )
 
 
@@ -238,6 +238,6 @@
     return found
 
 
-def _news_age(known_until: float) -> float | None:
+def _max_change_age(known_until: float) -> float | None:
     """Return the upper bound of a change's age, for the log."""
     return rounded_age(clock.now_s() - known_until)
--- a/liftrill/gateway/freshness_checker.py
+++ b/liftrill/gateway/freshness_checker.py
@@ -55,7 +55,7 @@
 
 
 class FreshnessChecker:
-    """Read the store, or accept the proofs of the reader that this node follows."""
+    """Reads the store, or accepts the proofs of the reader that this node follows."""
 
     def __init__(
         self,
@@ -63,7 +63,7 @@
         follower: StoreFollower,
         state: ClusterState,
         view: ConfigurationView,
-        owner: FreshnessDelegate,
+        delegate: FreshnessDelegate,
         propagation_s: float = math.inf,
     ) -> None:
         self._interval_s = proof_interval_s(propagation_s)
@@ -72,7 +72,7 @@
         self._follower = follower
         self._state = state
         self._view = view
-        self._owner = owner
+        self._delegate = delegate
         self._peer_version = 0
         self._wanted = asyncio.Event()
         self._proved = asyncio.Event()
@@ -80,7 +80,7 @@
         self._read_early = False
         self._unanswered = False
         self._restored_at = -math.inf
-        self._backup_at = 0
+        self._backup_position = 0
         self._watch_check: asyncio.Task[None] | None = None
 
     def note_peer_version(self, version: int) -> None:
@@ -96,7 +96,7 @@
         may have revoked keys: the restored configuration proves nothing until it is written again.
         """
         self._restored_at = clock.now_s()
-        self._backup_at = 0
+        self._backup_position = 0
         self._read_early = True
         self._wanted.set()
 
@@ -188,10 +188,10 @@
         item = reading.item
         if item is None:
             return
-        self._backup_at = self._backup_at or reading.at
+        self._backup_position = self._backup_position or reading.at
         if item.revision > self._state.configuration_revision:
-            self._owner.configuration_read(item)
-        if self._may_be_undone(asked_at) and item.revision <= self._backup_at:
+            self._delegate.configuration_read(item)
+        if self._may_be_undone(asked_at) and item.revision <= self._backup_position:
             return
         is_known = item.revision == self._state.configuration_revision
         if is_known or self._state.is_older_configuration(item):
@@ -207,5 +207,5 @@
         """
         await asyncio.sleep(self._follower.watch_lag_s())
         if self._follower.mirror.at < revision:
-            self._owner.watch_behind(revision)
+            self._delegate.watch_behind(revision)
             self._follower.reread()
