--- a/liftrill/gateway/cluster_state.py
+++ b/liftrill/gateway/cluster_state.py
@@ -34,8 +34,8 @@
 
     Attributes:
         configuration_revision: the store's revision of the configuration in force.
-        min_expiry_gap_s: the shortest gap in this node's updates in which the record of a live engine
-            can expire.
+        min_expiry_gap_s: the shortest gap in this node's updates in which the record of a live
+            engine can expire.
         store_read: whether the store was read once, so that later changes are known to be new.
         count_refused: called for each record that cannot be decoded.
         incarnation_ended: called with the previous incarnation of an engine that restarted under
