--- a/liftrill/gateway/beliefs.py
+++ b/liftrill/gateway/cluster_state.py
@@ -1,4 +1,4 @@
-"""Applies what the store tells to what this node believes."""
+"""Applies changes of the store to this node's view of the configuration, engines and weights."""
 
 from collections.abc import Callable, Iterable
 from dataclasses import dataclass, field
@@ -16,28 +16,30 @@
 from liftrill.gateway.route_table import WeightedSplit
 from liftrill.gateway.weight_targets import WeightTargets
 
-# How many keys whose records are refused have a line each: more than engines start in a minute.
-REFUSED_KEYS_TOLD = 256
+# Number of keys whose refused records are logged: more than the engines that start in a minute.
+MAX_LOGGED_REFUSALS = 256
 
 
 def _count_nothing() -> None:
-    """Leave a record uncounted."""
+    """Ignore a refused record."""
 
 
-def _tell_nobody(view: EngineView) -> None:
-    """Leave the end of an incarnation untold."""
+def _ignore_ended_incarnation(view: EngineView) -> None:
+    """Ignore the end of an incarnation."""
 
 
 @dataclass(slots=True)
-class Beliefs:
-    """The configuration, the engines and the named weights, as one node knows them.
+class ClusterState:
+    """The configuration, the engines and the weight targets, as known to one node.
 
     Attributes:
         configuration_revision: the store's revision of the configuration in force.
-        shortest_lapse_s: in a shorter gap of what is known no record of a living engine lapses.
-        store_read: whether the store was read once: what is news later came since.
-        count_refused: called for each record that could not be understood.
-        incarnation_ended: whom to tell of an engine that has started again under its id.
+        min_expiry_gap_s: the shortest gap in this node's updates in which the record of a live
+            engine can expire.
+        store_read: whether the store was read once, so that later changes are known to be new.
+        count_refused: called for each record that cannot be decoded.
+        incarnation_ended: called with the previous incarnation of an engine that restarted under
+            its id.
     """
 
     decoder: RecordDecoder
@@ -47,43 +49,44 @@
     selector: EngineSelector
     split: WeightedSplit
     log: DecisionLog
-    shortest_lapse_s: float
+    min_expiry_gap_s: float
     configuration_revision: int = 0
     store_read: bool = False
     count_refused: Callable[[], None] = _count_nothing
-    incarnation_ended: Callable[[EngineView], None] = _tell_nobody
+    incarnation_ended: Callable[[EngineView], None] = _ignore_ended_incarnation
     _refused_keys: dict[str, str] = field(default_factory=dict)
 
     def apply(self, change: MirrorChange, known_until: float) -> None:
-        """Take in a change of the mirror, which held all there was until a time."""
+        """Apply a change of the mirror, which was complete until `known_until`."""
         unknown = self._unknown_engines(change) if change.restored else []
-        written = self._without_former_lives(change.written) if change.restored else change.written
+        written = self._without_ended(change.written) if change.restored else change.written
         for item in written:
             self.apply_item(item, known_until)
         for engine_id, revision in unknown:
-            # It was gone before the store came back: only its own next record is news of it.
+            # The engine was gone before the restore, which brought its old record back: it counts
+            # as live only once it writes its next record.
             self.engines.withdraw(engine_id, revision)
-            self.log.belief("engine_withheld", engine=engine_id, revision=revision)
+            self.log.state_changed("engine_withheld", engine=engine_id, revision=revision)
         self.store_read = True
-        gone = [e for key in change.removed if (e := self.decoder.engine_of(key)) is not None]
+        removed = [e for key in change.removed if (e := self.decoder.engine_of(key)) is not None]
         now = clock.now_s()
-        if change.restored or (change.gap and now - known_until >= self.shortest_lapse_s):
-            # Records may lapse while the store is away though their engines live on.
-            self.engines.mark_vanished(gone, now)
+        if change.restored or (change.gap and now - known_until >= self.min_expiry_gap_s):
+            # During an outage of the store the records of live engines can expire.
+            self.engines.mark_vanished(removed, now)
             return
-        for engine_id in gone:
+        for engine_id in removed:
             self.engines.remove(engine_id)
-            self.log.belief(
+            self.log.state_changed(
                 "engine_gone",
                 engine=engine_id,
                 reason="record removed",
-                news_age_s=_news_age(known_until),
+                news_age_s=_max_change_age(known_until),
             )
 
-    def is_of_former_version(self, item: StoredItem) -> bool:
-        """Return whether a restored store has an older configuration than the one in force.
+    def is_older_configuration(self, item: StoredItem) -> bool:
+        """Return whether a restored store holds an older configuration than the one in force.
 
-        Nothing newer is written there, so that the one in force is still the newest.
+        The store then holds none that is newer, so the one in force is still the newest.
         """
         if era_of(item.revision) == era_of(self.configuration_revision):
             return False
@@ -91,17 +94,17 @@
         return isinstance(record, GatewayConfiguration) and record.version < self.view.version
 
     def _decoded(self, item: StoredItem) -> StoreRecord | None:
-        """Return what an item holds, or None; who takes it in tells of one that is refused."""
+        """Return the record of an item, or None; `apply_item` logs a record that is refused."""
         try:
             return self.decoder.decode(item)
         except RecordError:
             return None
 
-    def _without_former_lives(self, items: tuple[StoredItem, ...]) -> list[StoredItem]:
-        """Leave out records of incarnations that have ended, as this node knows."""
-        return [item for item in items if not self._is_former_life(item)]
+    def _without_ended(self, items: tuple[StoredItem, ...]) -> list[StoredItem]:
+        """Return items without the records of incarnations known to have ended."""
+        return [item for item in items if not self._is_of_ended_incarnation(item)]
 
-    def _is_former_life(self, item: StoredItem) -> bool:
+    def _is_of_ended_incarnation(self, item: StoredItem) -> bool:
         engine_id = self.decoder.engine_of(item.key)
         view = self.engines.get(engine_id) if engine_id is not None else None
         if view is None:
@@ -110,12 +113,12 @@
         return isinstance(record, EngineRecord) and record.born_unix_ms < view.record.born_unix_ms
 
     def _unknown_engines(self, change: MirrorChange) -> list[tuple[str, int]]:
-        """Return the engines, with revisions, that a restored store has and this node has not."""
+        """Return the engines, with revisions, in a restored store that this node does not know."""
         found = [(self.decoder.engine_of(item.key), item.revision) for item in change.written]
         return [(e, at) for e, at in found if e is not None and self.engines.get(e) is None]
 
     def apply_item(self, item: StoredItem, known_until: float) -> None:
-        """Take in one item, which may have been written at any time since another one."""
+        """Apply one item, which may have been written at any time since `known_until`."""
         try:
             record = self.decoder.decode(item)
         except RecordError as error:
@@ -123,23 +126,26 @@
             return
         self._refused_keys.pop(item.key, None)
         if isinstance(record, GatewayConfiguration):
-            self._adopt(record, item.revision, known_until)
+            self._apply_configuration(record, item.revision, known_until)
         elif isinstance(record, EngineRecord):
-            self._update_engine(record, known_until)
+            self._apply_engine(record, known_until)
         elif isinstance(record, WeightTarget):
-            self._name_target(record, known_until)
+            self._apply_target(record, known_until)
 
     def _refuse(self, item: StoredItem, why: str) -> None:
-        """Use nothing of a record that cannot be understood, nor what it replaced."""
+        """Count and log a record that cannot be decoded, and withdraw its engine.
+
+        The record that it replaced is not used either.
+        """
         self.count_refused()
         engine_id = self.decoder.engine_of(item.key)
         withdrawn = engine_id is not None and self.engines.withdraw(engine_id, item.revision)
         if self._refused_keys.get(item.key) == why:
             return
-        # Whoever writes such records may write many: a line for each key and reason.
-        if len(self._refused_keys) < REFUSED_KEYS_TOLD:
+        # A faulty writer may write many such records: each key is logged once per reason.
+        if len(self._refused_keys) < MAX_LOGGED_REFUSALS:
             self._refused_keys[item.key] = why
-            self.log.belief(
+            self.log.state_changed(
                 "record_refused",
                 key=item.key,
                 revision=item.revision,
@@ -148,37 +154,39 @@
             )
 
     def expire(self, now: float) -> None:
-        """Let time pass for engines whose records vanished."""
+        """Remove engines whose records stayed missing for too long after an outage."""
         for engine_id in self.engines.expire_vanished(now):
-            self.log.belief("engine_gone", engine=engine_id, reason="no record after an outage")
+            self.log.state_changed(
+                "engine_gone", engine=engine_id, reason="no record after an outage"
+            )
 
-    def _adopt(
+    def _apply_configuration(
         self, configuration: GatewayConfiguration, revision: int, known_until: float
     ) -> None:
         previous = self.view.version
         is_newer = self.view.adopt(configuration)
         if configuration.version == self.view.version:
-            # Also where a restored store has the same version at another position.
+            # A restored store may hold the same version at another position.
             self.configuration_revision = revision
         if not is_newer:
             return
-        self.selector.parts.kept_stores = configuration.kept_stores
+        self.selector.parts.kept_stores = configuration.prefix_stores
         self.selector.parts.services.clear()
         self.selector.parts.services.update(configuration.services)
         self.engines.services = frozenset(configuration.services)
-        self.selector.speeds.pause_targets_s = tightest_pauses(configuration.routes)
+        self.selector.speeds.pause_targets_s = min_pause_targets(configuration.routes)
         self.split.reset()
         self.log.version = configuration.version
-        self.log.belief(
+        self.log.state_changed(
             "configuration",
             version=configuration.version,
             previous=previous,
             revision=revision,
             routes=len(configuration.routes),
-            news_age_s=_news_age(known_until),
+            news_age_s=_max_change_age(known_until),
         )
 
-    def _update_engine(self, record: EngineRecord, known_until: float) -> None:
+    def _apply_engine(self, record: EngineRecord, known_until: float) -> None:
         known = self.engines.get(record.engine_id)
         was_leaving = known.leaving if known else False
         was_withdrawn = known.withdrawn if known else False
@@ -189,7 +197,7 @@
             self.incarnation_ended(known)
         is_new = view is not known
         if is_new or (view.leaving, view.withdrawn) != (was_leaving, was_withdrawn):
-            self.log.belief(
+            self.log.state_changed(
                 "engine",
                 engine=record.engine_id,
                 born_unix_ms=record.born_unix_ms,
@@ -199,27 +207,27 @@
                 leaving=view.leaving,
                 weights=dict(view.weights),
                 revision=record.revision,
-                news_age_s=_news_age(known_until),
+                news_age_s=_max_change_age(known_until),
             )
 
-    def _name_target(self, target: WeightTarget, known_until: float) -> None:
-        # When it was heard says little: a node that heard nothing for a while would go on with
-        # replaced weights for as much longer.
+    def _apply_target(self, target: WeightTarget, known_until: float) -> None:
+        # The time of receipt is not the naming time: after a gap in updates it would extend the
+        # use of replaced weights by the length of the gap.
         now = clock.now_s()
         named_at = self.targets.earliest_publication(known_until, now)
         if self.targets.add(target, named_at, age_known=self.store_read, now=now):
-            self.log.belief(
+            self.log.state_changed(
                 "weights_named",
                 model=target.model,
                 version=target.version,
                 revision=target.revision,
                 age_known=self.store_read,
-                news_age_s=_news_age(known_until),
+                news_age_s=_max_change_age(known_until),
             )
 
 
-def tightest_pauses(routes: Iterable[RouteRule]) -> dict[str, float]:
-    """Return the tightest pause that routes of each service declare."""
+def min_pause_targets(routes: Iterable[RouteRule]) -> dict[str, float]:
+    """Return the smallest pause target of the routes to each service."""
     found: dict[str, float] = {}
     for route in routes:
         if not route.pause_target_s:
@@ -230,6 +238,6 @@
     return found
 
 
-def _news_age(known_until: float) -> float | None:
-    """Return how old news may be, for a line."""
+def _max_change_age(known_until: float) -> float | None:
+    """Return the upper bound of a change's age, for the log."""
     return rounded_age(clock.now_s() - known_until)
--- a/liftrill/gateway/forwarder.py
+++ b/liftrill/gateway/forwarder.py
@@ -254,7 +254,7 @@
 
     def _log_overload(self, change: OverloadTurn) -> None:
         depth, age_s = self.queues.depth_and_age_s(clock.now_s())
-        self.log.belief(
+        self.log.state_changed(
             "overload" if change.overloaded else "overload_over",
             service=change.service,
             least_wait_ms=round(1000 * change.least_wait_s),
--- a/liftrill/gateway/gateway.py
+++ b/liftrill/gateway/gateway.py
@@ -27,9 +27,8 @@
     RequestAdmission,
 )
 from liftrill.gateway.admission.retry_allowance import RetryAllowance
-from liftrill.gateway.beliefs import Beliefs
+from liftrill.gateway.cluster_state import ClusterState
 from liftrill.gateway.configuration_view import ConfigurationView
-from liftrill.gateway.currency import CurrencyOwner, CurrencyProver
 from liftrill.gateway.decision_log import DecisionLog, rounded_age
 from liftrill.gateway.engines.engine_limits import LimitMessage
 from liftrill.gateway.engines.engine_selector import EngineSelector
@@ -38,6 +37,7 @@
 from liftrill.gateway.engines.engine_update import EngineUpdate
 from liftrill.gateway.fleet_record import FleetRecord
 from liftrill.gateway.forwarder import Forwarder, ForwardingPorts
+from liftrill.gateway.freshness_checker import FreshnessChecker, FreshnessDelegate
 from liftrill.gateway.gateway_metrics import GatewayMetrics
 from liftrill.gateway.holding.node_memory import new_node_memory
 from liftrill.gateway.leadership import Leadership, TermParameters
@@ -56,15 +56,15 @@
 from liftrill.gateway.quarantine import Quarantine
 from liftrill.gateway.quarantine_list import QuarantineEntry
 from liftrill.gateway.quarantine_records import QuarantineRecords, fingerprint_of
-from liftrill.gateway.reader_plan import ReaderPlan
+from liftrill.gateway.reader_selection import ReaderSelection
 from liftrill.gateway.record_decoder import RecordDecoder
-from liftrill.gateway.relay_client import ReaderLimits, longest_mirror_age_s
+from liftrill.gateway.relay_client import ReaderLimits, max_mirror_age_s
 from liftrill.gateway.relay_codec import RelayAnswer
 from liftrill.gateway.relay_server import RelayServer
 from liftrill.gateway.route_table import WeightedSplit
 from liftrill.gateway.settings import GatewaySettings
-from liftrill.gateway.standstill import Standstill
-from liftrill.gateway.store_follower import FollowerOwner, StoreFollower
+from liftrill.gateway.stall_detector import StallDetector
+from liftrill.gateway.store_follower import FollowerDelegate, StoreFollower
 from liftrill.gateway.transport import EngineTransport
 from liftrill.gateway.weight_controller import WeightController
 from liftrill.gateway.weight_rollout import WeightRollout
@@ -94,7 +94,7 @@
 CANDIDACY_DELAY_S = 1.0
 
 
-class Gateway(FollowerOwner, CurrencyOwner):
+class Gateway(FollowerDelegate, FreshnessDelegate):
     """One node that forwards requests and takes part in the control of the fleet."""
 
     def __init__(
@@ -123,7 +123,7 @@
         )
         split = WeightedSplit()
         selector = EngineSelector(engines, targets, settings.zone)
-        self._beliefs = Beliefs(
+        self._beliefs = ClusterState(
             decoder,
             self.view,
             engines,
@@ -140,19 +140,19 @@
         self.admission = RequestAdmission(self.view, split)
         self._fleet = FleetSize()
         self._quotas = self._new_quotas()
-        self._standstill = Standstill(STANDSTILL_STORE_WAIT_S)
+        self._standstill = StallDetector(STANDSTILL_STORE_WAIT_S)
         self.capacity = NodeCapacity(settings.machine, HOUSEKEEPING_SECONDS)
         self._membership = self._new_membership()
-        self._reader_plan = ReaderPlan(self._membership.own)
-        limits = ReaderLimits(settings.node, longest_mirror_age_s(bounds.news_seconds))
+        self._reader_plan = ReaderSelection(self._membership.own)
+        limits = ReaderLimits(settings.node, max_mirror_age_s(bounds.propagation_seconds))
         self._follower = StoreFollower(store, "", self, limits)
-        self._currency = CurrencyProver(
+        self._currency = FreshnessChecker(
             store,
             self._follower,
             self._beliefs,
             self.view,
             self,
-            bounds.news_seconds,
+            bounds.propagation_seconds,
         )
         self._relay = RelayServer(self._follower, self.view, metrics.followers.set)
         self._peer_silence = SilenceDetector()
@@ -163,7 +163,7 @@
         self._caller_directory = NodeDirectory(self._node_capacities)
         callbacks = PeerCallbacks(
             self._on_member,
-            self._currency.hear_version,
+            self._currency.note_peer_version,
             self._on_notice,
             self._on_engine_update,
             self._on_loads,
@@ -230,7 +230,7 @@
             self._report_loads,
         ):
             self._tasks.append(asyncio.ensure_future(self._supervise(loop)))
-        self.log.belief(
+        self.log.state_changed(
             "started",
             zone=self.settings.zone,
             front=self.settings.front,
@@ -241,7 +241,7 @@
         """Leave the fleet: peers no longer name this node to callers."""
         self.stopping = True
         self._peers.announce_departure()
-        self.log.belief("stopping")
+        self.log.state_changed("stopping")
 
     async def stop(self) -> None:
         """Stop all tasks and close all links; the node must have resigned before."""
@@ -249,7 +249,7 @@
             task.cancel()
         self._peers.close()
         self._relay.close()
-        self.log.belief("stopped")
+        self.log.state_changed("stopped")
 
     async def resign(self) -> None:
         """Stop giving orders to engines, so that another node takes over."""
@@ -263,7 +263,7 @@
             return AdmissionRefusal(ResultCode.NODE_BUSY, come_back_s, why)
         admitted = self.admission.admit(incoming, clock.now_s())
         if isinstance(admitted, AdmissionRefusal) and admitted.code is ResultCode.KEY_NOT_PROVEN:
-            await self._currency.prove_within(constants.PROOF_WAIT_S)
+            await self._currency.wait_for_proof(constants.PROOF_WAIT_S)
             admitted = self.admission.admit(incoming, clock.now_s())
         if isinstance(admitted, AdmissionRefusal):
             return admitted
@@ -324,7 +324,7 @@
     def _new_leadership(self) -> Leadership:
         bounds = self.settings.bounds
         lease = LeaseParameters(
-            time_to_live=max(bounds.least_lease_seconds, LEASE_TIME_TO_LIVE_SECONDS),
+            time_to_live=max(bounds.min_lease_seconds, LEASE_TIME_TO_LIVE_SECONDS),
             renew_interval=LEASE_RENEW_INTERVAL_SECONDS,
             retry_interval=LEASE_RETRY_INTERVAL_SECONDS,
             safety_margin=bounds.thaw_seconds + LEASE_MARGIN_SECONDS,
@@ -360,24 +360,24 @@
     def _state_is_current(self, now: float) -> bool:
         """Return whether the node knows what changed while its process stood still."""
         self._check_standstill(now)
-        return self._standstill.is_over(now, self._follower.currency.as_of)
+        return self._standstill.has_caught_up(now, self._follower.freshness.as_of)
 
     def _check_standstill(self, now: float) -> None:
         """Query the store at once after a standstill: engines may have left meanwhile."""
-        if self._standstill.beat(now):
+        if self._standstill.tick(now):
             slept_s = clock.slept_s()
             self.metrics.standstills.inc()
-            self.log.belief(
+            self.log.state_changed(
                 "woken",
-                stood_still_s=round(self._standstill.gap_s, 3),
+                stood_still_s=round(self._standstill.stall_s, 3),
                 slept_s=round(slept_s - self._total_slept_s, 3),
                 counts_sleep=clock.counts_sleep(),
-                mirror_age_s=rounded_age(self._follower.currency.age_s(now)),
+                mirror_age_s=rounded_age(self._follower.freshness.age_s(now)),
             )
             self._total_slept_s = slept_s
             # Timers do not advance while the machine sleeps.
             self.forwarder.refresh_begin_deadlines()
-            self._currency.ask_soon()
+            self._currency.request_proof()
 
     # Callbacks from the store, peers and engines
 
@@ -386,9 +386,9 @@
         self._relay.publish(change)
         if change.restored:
             self._record_store_restore(era_of(self._follower.mirror.position))
-            self._fleet_record.skip()
+            self._fleet_record.ignore_current()
         else:
-            self._fleet_record.recall(clock.now_s())
+            self._fleet_record.load(clock.now_s())
         before = self.view.version
         self._beliefs.apply(change, known_until)
         self._apply_quarantine(change)
@@ -411,7 +411,7 @@
         self._store_era = era
         self.metrics.store_era.set(era - 1)
         at = self._follower.mirror.position
-        self.log.belief(
+        self.log.state_changed(
             "store_restored",
             era=reported_era(era),
             copy_era=reported_era(era_of(at)),
@@ -424,66 +424,66 @@
         """Apply a configuration that the mirror does not have yet."""
         self._relay.publish_early(item)
         before = self.view.version
-        self._beliefs.apply_item(item, self._follower.currency.as_of)
+        self._beliefs.apply_item(item, self._follower.freshness.as_of)
         self._announce_if_newer(before)
 
     def range_read(self, asked_at: float) -> None:
         """Use a complete read of the store's range as a proof of currency."""
         now = clock.now_s()
-        self.log.belief(
+        self.log.state_changed(
             "store_read",
             at=self._follower.mirror.position,
             call_s=round(now - asked_at, 3),
-            mirror_age_s=rounded_age(self._follower.currency.age_s(now)),
+            mirror_age_s=rounded_age(self._follower.freshness.age_s(now)),
         )
         self._currency.range_read(asked_at)
 
     def watch_behind(self, revision: int) -> None:
         """Log that the watch has not delivered a revision that a read returned."""
-        self.log.belief("watch_behind", at=self._follower.mirror.position, revision=revision)
+        self.log.state_changed("watch_behind", at=self._follower.mirror.position, revision=revision)
 
     def own_name(self) -> str:
         """Return the name of this node."""
         return self.settings.node
 
-    def reads_for_others(self) -> bool:
+    def is_assigned_reader(self) -> bool:
         """Return whether this node is one of those that should read the store directly."""
-        return self._reader_plan.serves_others(self._membership.members())
+        return self._reader_plan.should_read_store(self._membership.members())
 
-    def store_connection(self, connected: bool) -> None:
+    def store_connection_changed(self, connected: bool) -> None:
         """Log that the connection to the store was lost or restored."""
-        self.log.belief("store", connected=connected, at=self._follower.mirror.position)
+        self.log.state_changed("store", connected=connected, at=self._follower.mirror.position)
 
     def relay_answered(self, answer: RelayAnswer, asked_at: float) -> None:
         """Take over the proof of currency that the followed reader sent."""
-        self._currency.take_answer(answer, asked_at)
+        self._currency.take_reader_proof(answer, asked_at)
 
     def reader_to_follow(self, store_lost: bool) -> Member | None:
         """Return the node whose mirror to follow, or None to read the store itself."""
         members = self._membership.members()
         return self._reader_plan.reader(members, clock.now_s(), store_lost)
 
-    def keeps_reader(self, reader: Member, since: float) -> bool:
+    def is_reader_eligible(self, reader: Member, since: float) -> bool:
         """Return whether a node that was followed since a time should still be followed."""
         members = self._membership.members()
-        return self._reader_plan.keeps(reader, members, since, clock.now_s())
+        return self._reader_plan.is_eligible(reader, members, since, clock.now_s())
 
     def reader_followed(self, reader: Member, store_lost: bool) -> None:
         """Log which node this node follows now, and how old its own data is."""
         now = clock.now_s()
-        self.log.belief(
+        self.log.state_changed(
             "reader_followed",
             reader=reader.node_id,
             store_lost=store_lost,
             at=self._follower.mirror.position,
-            mirror_age_s=rounded_age(self._follower.currency.age_s(now)),
+            mirror_age_s=rounded_age(self._follower.freshness.age_s(now)),
             proof_age_s=rounded_age(self.view.proof_age(now)),
         )
 
     def reader_lost(self, reader: Member, reason: str) -> None:
         """Avoid a reader for a while, because it no longer serves this node."""
-        self._reader_plan.avoid(reader.node_id, clock.now_s())
-        self.log.belief("reader_lost", reader=reader.node_id, reason=reason)
+        self._reader_plan.back_off(reader.node_id, clock.now_s())
+        self.log.state_changed("reader_lost", reader=reader.node_id, reason=reason)
 
     def _announce_if_newer(self, before: int) -> None:
         if self.view.version != before:
@@ -500,7 +500,7 @@
             self._peer_silence.forget(member.node_id)
             self._node_capacities.forget(member.node_id)
         self._beliefs.selector.parts.nodes = alive
-        self.log.belief(
+        self.log.state_changed(
             "peer",
             peer=member.node_id,
             condition=member.condition.name.lower(),
@@ -606,7 +606,7 @@
             try:
                 await loop()
             except Exception as error:
-                self.log.belief("task_failed", task=loop.__qualname__, error=repr(error))
+                self.log.state_changed("task_failed", task=loop.__qualname__, error=repr(error))
             await asyncio.sleep(constants.BACKGROUND_RESTART_SECONDS)
 
     async def _report_loads(self) -> None:
@@ -648,11 +648,11 @@
         self.capacity.update(now, used.ru_utime + used.ru_stime, free_bytes)
         capacity = self.capacity.current_load()
         self._node_capacities.update(self.settings.node, capacity, now)
-        self.metrics.show_capacity(capacity, self.capacity.lag_s)
+        self.metrics.set_capacity(capacity, self.capacity.lag_s)
         self._update_load_shedding(now)
         changes = self._caller_directory.update(self._usable_members(now), self.settings.zone, now)
         for change in changes[:MAX_LOGGED_CHANGES]:
-            self.log.belief("node_named", of=len(changes), **change.log_fields())
+            self.log.state_changed("node_named", of=len(changes), **change.log_fields())
 
     def _update_load_shedding(self, now: float) -> None:
         """Decide whether this node sheds connections or requests, and log changes of it."""
@@ -665,7 +665,7 @@
         lag_s = self.capacity.lag_s
         others_late_s = self._node_capacities.total(others, now).late_s
         if self._busy_node.update(lag_s, self.capacity.late_ticks, others_late_s):
-            self.log.belief(
+            self.log.state_changed(
                 "node_busy",
                 closes=self._busy_node.closes_connections,
                 refuses=self._busy_node.refuses_requests,
@@ -682,13 +682,13 @@
         if is_short != self._store_link_was_short:
             self._store_link_was_short = is_short
             held_s = round(parts.directory.held_s, 2)
-            self.log.belief("store_link", short=is_short, nodes=parts.nodes, held_s=held_s)
+            self.log.state_changed("store_link", short=is_short, nodes=parts.nodes, held_s=held_s)
 
     def _record_speeds(self, now: float) -> None:
         """Recompute the speeds of engines, and log those that became slow or normal again."""
         speeds = self._beliefs.selector.speeds
         for change in speeds.refresh(now):
-            self.log.belief(
+            self.log.state_changed(
                 "engine_slow" if change.slowness > 1.0 else "engine_well",
                 engine=change.view.engine_id,
                 service=change.view.record.service,
@@ -720,12 +720,12 @@
             self._engines.standings.expire((view.standing for view in self._engines), now)
             self.metrics.limited_engines.set(len(self._limits.in_force()))
             self._limits.expire((view.at for view in self._engines), now)
-            self._follower.reconsider()
+            self._follower.reselect_reader()
             self.metrics.version.set(self.view.version)
             self.metrics.engines.set(len(self._engines))
             self.metrics.reads_store.set(self._follower.followed is None)
             self.metrics.proof_age.set(self.view.proof_age(now))
-            self.metrics.mirror_age.set(self._follower.currency.age_s(now))
+            self.metrics.mirror_age.set(self._follower.freshness.age_s(now))
             self.metrics.peers.set(len(self._membership.members()))
             depth, age_s = self.forwarder.queues.depth_and_age_s(now)
             self.metrics.line_depth.set(depth)
--- a/liftrill/gateway/leadership.py
+++ b/liftrill/gateway/leadership.py
@@ -177,7 +177,7 @@
         try:
             await self._store.revoke_lease(lease)
         except StoreError as error:
-            self._log.belief("leader_key_left", lease=lease, reason=type(error).__name__)
+            self._log.state_changed("leader_key_left", lease=lease, reason=type(error).__name__)
 
     async def retire(self) -> None:
         """Release the lease and stop contending, because this node is about to stop."""
@@ -337,13 +337,15 @@
         # A resumed term still waits for the end of its quiet period.
         quiet_until = now + self._parameters.quiet_period if must_wait else now
         self._quiet_until = max(self._quiet_until, quiet_until)
-        self._log.belief("leading", fence=fence, predecessor=holder.decode(), waits=must_wait)
+        self._log.state_changed(
+            "leading", fence=fence, predecessor=holder.decode(), waits=must_wait
+        )
 
     def _log_call_outcome(self, failure: str) -> None:
         """Log the outcome of a lease call if it differs from the last; calls are repeated."""
         if failure != self._call_failure:
             self._call_failure = failure
-            self._log.belief("lease_calls", failure=failure)
+            self._log.state_changed("lease_calls", failure=failure)
 
     def _log_loss(self, reason: str) -> None:
-        self._log.belief("not_leading", fence=self.fence, reason=reason)
+        self._log.state_changed("not_leading", fence=self.fence, reason=reason)
--- a/liftrill/gateway/peers/engine_gossip.py
+++ b/liftrill/gateway/peers/engine_gossip.py
@@ -55,9 +55,9 @@
 
     def handle_engine_message(self, message: EngineWord) -> None:
         """Apply what an engine reports of itself in an answer, and broadcast that it leaves."""
-        self._metrics.count_word(message)
+        self._metrics.count_engine_signal(message)
         if message.rest_s:
-            self._log.engine_rests(message)
+            self._log.engine_backoff_requested(message)
         if message.limit_per_s is not None:
             self._log.engine_limit_named(message)
         now = clock.now_s()
@@ -77,7 +77,9 @@
         for limit in update.limits:
             self._limits.merge(limit, now)
         for record in self._engines.learn_unwritten(update, now):
-            self._log.belief("engine_withheld", engine=record.engine_id, revision=record.revision)
+            self._log.state_changed(
+                "engine_withheld", engine=record.engine_id, revision=record.revision
+            )
 
     def send_state_to_joiner(self, joiner: Member) -> None:
         """Send a joining node the state that it can't read in the store.
@@ -107,7 +109,7 @@
 
     def _log_leaving(self, engine: EngineAddress, source: str) -> None:
         view = self._engines.get(engine.engine_id)
-        self._log.belief(
+        self._log.state_changed(
             "engine_leaves",
             engine=engine.engine_id,
             address=engine.address,
@@ -178,7 +180,7 @@
 
     def limit_changed(self, limit: EngineLimit, source: str) -> None:
         """Log a limit that began, changed or ended."""
-        self._log.belief(
+        self._log.state_changed(
             "engine_limit",
             engine=limit.engine.engine_id,
             address=limit.engine.address,
--- a/liftrill/gateway/quarantine.py
+++ b/liftrill/gateway/quarantine.py
@@ -181,7 +181,7 @@
             self._evidence.clear(fingerprint, now)
             # A pending write, here or at another node, must not restore the record.
             self.storage.delete(fingerprint)
-            self.log.belief("quarantine_released", fingerprint=fingerprint.hex())
+            self.log.state_changed("quarantine_released", fingerprint=fingerprint.hex())
 
     def expire(self, now: float) -> None:
         """Make due decisions, and remove entries and evidence that are too old."""
@@ -215,7 +215,7 @@
         self._evidence.record_end(number, now)
         losses = self._losses.pop(number, [])
         self.metrics.engine_ends.inc()
-        self.log.belief(
+        self.log.state_changed(
             "engine_ended",
             engine=self._engine_name(number),
             source=source,
@@ -314,7 +314,7 @@
         if was_listed:
             self.storage.delete(fingerprint)
         if was_suspect or was_listed:
-            self.log.belief("suspect_served", fingerprint=fingerprint.hex())
+            self.log.state_changed("suspect_served", fingerprint=fingerprint.hex())
 
     def _engine_name(self, number: int) -> str:
         """Return an engine's name, or its number if the name is not known here."""
@@ -324,7 +324,7 @@
         return view.record.incarnation if view else f"{number:016x}"
 
     def _log_entry(self, entry: QuarantineEntry, source: str) -> None:
-        self.log.belief(
+        self.log.state_changed(
             "request_quarantined",
             fingerprint=entry.fingerprint.hex(),
             source=source,
