--- a/features/room_replay.py
+++ b/features/room_replay.py
@@ -263,10 +263,10 @@
         now = clock.now_s()
         for name, node in enumerate(self.nodes):
             rows = node.selector.speeds.own_rows(now)
-            node.selector.speeds.told()
+            node.selector.speeds.reset_longest_pauses()
             for other in self.nodes:
                 if other is not node:
-                    other.selector.speeds.hear(str(name), "zone-1", rows, now)
+                    other.selector.speeds.apply_report(str(name), "zone-1", rows, now)
         for node in self.nodes:
             node.selector.speeds.refresh(now)
 
--- a/features/steps/engine_limit_steps.py
+++ b/features/steps/engine_limit_steps.py
@@ -14,7 +14,7 @@
 from liftrill.coordination.permits import Permit, PermitDecision, PermitHolder
 from liftrill.gateway.delivery import Unavailable
 from liftrill.gateway.delivery_events import EngineAddress, EngineChoice
-from liftrill.gateway.engines.engine_limits import EngineLimit, NoPeers
+from liftrill.gateway.engines.engine_limits import EngineLimit, NoLimitPeers
 from liftrill.gateway.engines.engine_update import EngineUpdate
 from liftrill.gateway.engines.placement import Candidate
 from liftrill.gateway.peers.notice_codec import datagrams_from_update, update_from_message
@@ -265,7 +265,7 @@
     assert is_end == (end == "do"), word
 
 
-class OtherIssuer(NoPeers):
+class OtherIssuer(NoLimitPeers):
     """The surroundings of a node whose peer issues all permits, and answers nothing."""
 
     def __init__(self):
--- a/features/steps/engine_record_steps.py
+++ b/features/steps/engine_record_steps.py
@@ -132,13 +132,13 @@
     for _ in range(20):
         view.breaker.record_failure(0.0)
     view.own_load.add(EngineLoad(2, 300, 400))
-    node.board.take("peer", {"a": EngineLoad(3, 500, 600, number=view.told_number)}, 0.0)
+    node.board.take("peer", {"a": EngineLoad(3, 500, 600, number=view.advertised_number)}, 0.0)
     node.selector.parts.directory.record_read(
         part_number("", "part"),
         view.number,
         0.0,
         saved=False,
-        worth_telling=False,
+        announce=False,
     )
     assert node.in_use() == {"b"} and view.requests == 5
 
@@ -193,7 +193,7 @@
 
 @when("a peer tells late of its load on the former a, and that it has loaded version 2")
 def step_late_words(context):
-    number = context.former.told_number
+    number = context.former.advertised_number
     node = context.node
     node.board.take("peer", {"a": EngineLoad(3, 500, 600, number=number)}, 0.0)
     node.engines.apply_notice(EngineNotice("a", "model", 2, False, 99, number), 0.0)
--- a/features/steps/engine_send_steps.py
+++ b/features/steps/engine_send_steps.py
@@ -16,7 +16,7 @@
 from liftrill.gateway.decision_log import DecisionLog
 from liftrill.gateway.delivery_events import EngineChoice, StartAttempt
 from liftrill.gateway.engines.engine_selector import EngineSelector
-from liftrill.gateway.engines.engine_standing import EngineWord
+from liftrill.gateway.engines.engine_standing import EngineSignal
 from liftrill.gateway.engines.engine_table import EngineTable, EngineView
 from liftrill.gateway.forwarder import Forwarder, ForwardingPorts
 from liftrill.gateway.gateway_metrics import GatewayMetrics
@@ -92,12 +92,14 @@
 
 @when("it says that it leaves while the connection comes up")
 def step_leaves(context):
-    context.known.hear(EngineWord(context.chosen.at, "peer", leaving=True), clock.now_s())
+    context.known.apply_signal(EngineSignal(context.chosen.at, "peer", leaving=True), clock.now_s())
 
 
 @when("it asks for rest while the connection comes up")
 def step_rests(context):
-    context.known.hear(EngineWord(context.chosen.at, "request", rest_s=3.0), clock.now_s())
+    context.known.apply_signal(
+        EngineSignal(context.chosen.at, "request", backoff_s=3.0), clock.now_s()
+    )
 
 
 @when("its record is removed while the connection comes up")
--- a/features/steps/engine_speeds_steps.py
+++ b/features/steps/engine_speeds_steps.py
@@ -11,7 +11,7 @@
 from liftrill.gateway.engines.engine_selector import EngineSelector
 from liftrill.gateway.engines.engine_table import EngineLoad, EngineTable
 from liftrill.gateway.engines.placement import Candidate, LeastLoaded
-from liftrill.gateway.engines.service_model import Work
+from liftrill.gateway.engines.service_model import WorkSample
 from liftrill.gateway.engines.speed_board import SpeedRow
 from liftrill.gateway.opaque_request import PromptPart, PromptShape
 from liftrill.gateway.peers.load_codec import datagrams_from_report, speeds_from_message
@@ -65,13 +65,15 @@
 
     def hear(self, peers, factor, liar=False):
         units = PROMPT_TOKENS * (1_000 if liar else 2)
-        work = Work(units, factor * units / self.rate)
+        work = WorkSample(units, factor * units / self.rate)
         for peer in range(peers):
             row = SpeedRow(self.view(0).number, work)
-            self.speeds.hear(f"liar-{peer}" if liar else f"peer-{peer}", "z", [row], self.now)
+            self.speeds.apply_report(
+                f"liar-{peer}" if liar else f"peer-{peer}", "z", [row], self.now
+            )
 
     def slow(self):
-        return [view.engine_id for view in self.table if view.model.slowness > 1.0]
+        return [view.engine_id for view in self.table if view.speed.slowness > 1.0]
 
 
 @given("{count:d} engines of which each reads {rate:d} tokens a second")
@@ -108,7 +110,7 @@
     fleet.settle()
     view = fleet.view(number)
     assert fleet.slow() == [view.engine_id], fleet.slow()
-    assert least <= view.model.slowness <= most, view.model.slowness
+    assert least <= view.speed.slowness <= most, view.speed.slowness
     chosen = [choose(fleet, f"s{n}") for n in range(200)]
     assert 0 < chosen.count(view.engine_id) < 200 / len(fleet.table), chosen
 
@@ -146,9 +148,9 @@
 def step_loads(context, number, seconds, factor):
     fleet = context.fleet
     view = fleet.view(number)
-    view.loading_until, view.loading_version = fleet.now + seconds, 2
+    view.paused_until, view.loading_version = fleet.now + seconds, 2
     fleet.work(seconds, {view.engine_id: factor})
-    view.loading_until, view.loading_version = 0.0, 0
+    view.paused_until, view.loading_version = 0.0, 0
     # It was sent while weights were loaded, and is read soon after.
     fleet.read(view.engine_id, PROMPT_TOKENS, factor)
     fleet.settle()
@@ -196,14 +198,16 @@
 def step_unknown(context):
     fleet = context.fleet
     model = fleet.view(0).model
-    assert not model.reading.found_s and model.slowness == 1.0, model
-    assert fleet.speeds.reading_s(fleet.view(0)) == fleet.speeds.service_reading_s("service-1")
+    assert not model.reading.current_s and model.slowness == 1.0, model
+    assert fleet.speeds.read_s_per_token(fleet.view(0)) == fleet.speeds.service_read_s_per_token(
+        "service-1"
+    )
 
 
 @then("no evidence of engine 0 is left but what it lasted at")
 def step_lasted(context):
     reading = context.fleet.view(0).model.reading
-    assert not reading.sources() and reading.found_s == reading.lasting_s, reading
+    assert not reading.sources() and reading.current_s == reading.long_term_s, reading
 
 
 def homes(fleet, count):
--- a/features/steps/engine_word_steps.py
+++ b/features/steps/engine_word_steps.py
@@ -13,7 +13,7 @@
 from liftrill.coordination.store_mirror import MirrorChange
 from liftrill.gateway.delivery import Unavailable
 from liftrill.gateway.delivery_events import EngineAddress, EngineChoice
-from liftrill.gateway.engines.engine_standing import EngineStanding, EngineWord
+from liftrill.gateway.engines.engine_standing import EngineCondition, EngineSignal
 from liftrill.gateway.engines.engine_table import EngineNotice, EngineTable
 from liftrill.gateway.peers.notice_codec import datagrams_from_update, update_from_message
 from liftrill.gateway.records import WeightTarget
@@ -30,7 +30,7 @@
 
 
 def say(context, engine, **word):
-    return context.node.engines.hear(EngineWord(engine, "request", **word), clock.now_s())
+    return context.node.engines.apply_signal(EngineSignal(engine, "request", **word), clock.now_s())
 
 
 @when("{name} says in an answer that it leaves")
@@ -138,21 +138,21 @@
 
 @then("{count:d} are remembered")
 def step_bounded(context, count):
-    assert len(context.node.engines.standings) == count
+    assert len(context.node.engines.conditions) == count
 
 
 @when("{seconds:d} s go by")
 def step_pass(context, seconds):
     engines = context.node.engines
-    in_records = (view.standing for view in engines)
-    engines.standings.expire(in_records, clock.now_s() + seconds)
+    in_records = (view.condition for view in engines)
+    engines.conditions.expire(in_records, clock.now_s() + seconds)
 
 
 @then("the word of a alone is remembered")
 def step_one(context):
     engines = context.node.engines
-    assert len(engines.standings) == 1
-    assert engines.standings.of(engines.get("a").at).leaving
+    assert len(engines.conditions) == 1
+    assert engines.conditions.of(engines.get("a").at).leaving
 
 
 @given("an engine whose answers have {headers}")
@@ -170,15 +170,15 @@
 def step_no_word(context, seconds):
     word = word_of("request", EngineAddress("a", "10.0.0.1:1", 1), context.status, context.headers)
     assert (word is None) == (seconds == 0), word
-    assert word is None or (not word.leaving and word.rest_s == seconds), word
+    assert word is None or (not word.leaving and word.backoff_s == seconds), word
 
 
 # Rest
 
 
-def ask_for_rest(context, name, rest_s, at_s=0.0):
+def ask_for_rest(context, name, backoff_s, at_s=0.0):
     at = context.node.engines.get(name).at
-    context.node.engines.hear(EngineWord(at, "request", 503, rest_s=rest_s), at_s)
+    context.node.engines.apply_signal(EngineSignal(at, "request", 503, backoff_s=backoff_s), at_s)
 
 
 def used_after(context, seconds):
@@ -220,18 +220,18 @@
 @when("{name} asks for {seconds:g} s of rest, and an answer comes to what it had before")
 def step_rest_answer(context, name, seconds):
     ask_for_rest(context, name, seconds)
-    context.node.engines.get(name).standing.note_answered(-1.0)
+    context.node.engines.get(name).condition.note_answered(-1.0)
 
 
 @when("{name} asks for {seconds:g} s of rest, and gets a request after {later:g} s")
 def step_rest_trial(context, name, seconds, later):
     ask_for_rest(context, name, seconds)
-    context.node.engines.get(name).standing.note_sent(later)
+    context.node.engines.get(name).condition.note_sent(later)
 
 
 @when("it has answered a request that was sent after {seconds:g} s")
 def step_trial_answered(context, seconds):
-    context.node.engines.get("a").standing.note_answered(seconds)
+    context.node.engines.get("a").condition.note_answered(seconds)
 
 
 @when("a asks for {first:g} s of rest, and b for {second:g} s of rest")
@@ -257,7 +257,7 @@
 
 @then("a and b are in use after {seconds:g} s, whatever it gets")
 def step_used_freely(context, seconds):
-    context.node.engines.get("a").standing.note_sent(seconds)
+    context.node.engines.get("a").condition.note_sent(seconds)
     assert used_after(context, seconds) == {"a", "b"}
 
 
@@ -269,8 +269,8 @@
 @then("a request is refused after {seconds:g} s, with {left:g} s until the first rest is over")
 def step_refused(context, seconds, left):
     assert choice_after(context, seconds) is Unavailable.RESTING
-    rest_s = context.node.selector.room_in_s(opaque_request(), seconds)
-    assert abs(rest_s - left) < 0.001, rest_s
+    backoff_s = context.node.selector.room_in_s(opaque_request(), seconds)
+    assert abs(backoff_s - left) < 0.001, backoff_s
 
 
 @when("both are said to load weights for {seconds:g} s")
@@ -327,9 +327,9 @@
 
 @given("{count:d} nodes that an engine asked for rest at the same moment")
 def step_standings(context, count):
-    context.standings = [EngineStanding() for _ in range(count)]
-    for standing in context.standings:
-        standing.ask_for_rest(3.0, 0.0)
+    context.conditions = [EngineCondition() for _ in range(count)]
+    for condition in context.conditions:
+        condition.begin_backoff(3.0, 0.0)
 
 
 @when("{count:d} requests wait at each of them until the rest is over")
@@ -337,9 +337,9 @@
     context.sent = 0
     for tick in range(count):
         now = 3.0 + 0.2 * tick / count
-        for standing in context.standings:
-            if not standing.rests(now):
-                standing.note_sent(now)
+        for condition in context.conditions:
+            if not condition.is_backing_off(now):
+                condition.note_sent(now)
                 context.sent += 1
 
 
@@ -383,11 +383,11 @@
 
 
 def tell_joiner(context):
-    for datagram in datagrams_from_update(context.teller.unwritten()):
+    for datagram in datagrams_from_update(context.teller.unrecorded_state()):
         update = update_from_message(parse_message(datagram.SerializeToString()))
         for engine in update.leaving:
-            context.joiner.hear(EngineWord(engine, "peer", leaving=True), 0.0)
-        context.joiner.learn_unwritten(update, 0.0)
+            context.joiner.apply_signal(EngineSignal(engine, "peer", leaving=True), 0.0)
+        context.joiner.merge_unrecorded_state(update, 0.0)
 
 
 @then("it uses c alone, with version 2 of the weights")
--- a/features/steps/gateway_forwarding_steps.py
+++ b/features/steps/gateway_forwarding_steps.py
@@ -519,7 +519,7 @@
 @then("it is known how fast {count:d} events of its engine came")
 def step_pace_known(context, count):
     (view,) = context.delivering_engines
-    work = view.model.event.own_work(clock.now_s())
+    work = view.speed.event.own_work(clock.now_s())
     # The longest pause is left out of them.
     assert 0.9 * count < work.units <= count, work
 
--- a/features/steps/gateway_load_steps.py
+++ b/features/steps/gateway_load_steps.py
@@ -109,7 +109,7 @@
         self.directory = PrefixDirectory()
 
     def take(self, report, members, now):
-        self.directory.hear(report.kept, now, report.zone == self.own.zone)
+        self.directory.apply_updates(report.kept, now, report.zone == self.own.zone)
         if report.scope is LoadScope.NODE:
             self.board.take(report.node, report.loads, now, report.zone)
             return []
@@ -161,7 +161,7 @@
             send(
                 context,
                 name,
-                topology.own_word(node.own, node.board, node.directory.news(now), members),
+                topology.own_word(node.own, node.board, node.directory.updates(now), members),
                 now,
             )
 
@@ -177,7 +177,7 @@
 def step_saved(context):
     context.part = part_number("salt", "part")
     first = next(iter(context.nodes.values()))
-    first.directory.record_read(context.part, 7, 0.0, saved=True, worth_telling=True)
+    first.directory.record_read(context.part, 7, 0.0, saved=True, announce=True)
 
 
 @then("every node knows that the part is kept, and forgets it after {seconds:g} s")
@@ -196,7 +196,7 @@
     first = next(iter(context.nodes.values()))
     context.parts = [part_number("salt", f"part-{number}") for number in range(count)]
     for part in context.parts:
-        first.directory.record_read(part, 7, 0.0, saved=True, worth_telling=True)
+        first.directory.record_read(part, 7, 0.0, saved=True, announce=True)
     spent = {f"tenant-{number:08d}": 9_200.0 * number for number in range(1, tenants + 1)}
     context.quota = QuotaReport(1, spent)
 
@@ -248,7 +248,7 @@
 @then("nobody tells of it any more after {seconds:g} s")
 def step_no_news(context, seconds):
     for name, node in context.nodes.items():
-        assert node.directory.news(seconds + 0.2).zone == (), name
+        assert node.directory.updates(seconds + 0.2).zone == (), name
 
 
 @then("no node sent more than {most:d} datagrams in a round")
--- a/features/steps/gateway_overload_steps.py
+++ b/features/steps/gateway_overload_steps.py
@@ -12,7 +12,7 @@
 from liftrill.gateway.delivery import StreamTimes, Unavailable
 from liftrill.gateway.engines.engine_selector import EngineSelector
 from liftrill.gateway.engines.engine_table import EngineLoad, EngineTable
-from liftrill.gateway.engines.speed_board import SpeedBoard
+from liftrill.gateway.engines.speed_board import SpeedEstimator
 from liftrill.gateway.opaque_request import PromptPart, PromptShape
 from liftrill.gateway.records import ServiceProfile
 from liftrill.gateway.weight_targets import WeightTargets
@@ -195,7 +195,7 @@
 def step_unknown_rate(context):
     table = EngineTable()
     context.reader = table.update(engine_record("e0"))
-    context.speeds = SpeedBoard(table)
+    context.speeds = SpeedEstimator(table)
     context.now = 0.0
 
 
@@ -213,7 +213,7 @@
 
 @then("engines are taken to read between {least:d} and {most:d} tokens a second")
 def step_rate(context, least, most):
-    found = 1.0 / context.speeds.reading_s(context.reader)
+    found = 1.0 / context.speeds.read_s_per_token(context.reader)
     assert least <= found <= most, found
 
 
--- a/features/steps/gateway_placement_steps.py
+++ b/features/steps/gateway_placement_steps.py
@@ -7,9 +7,9 @@
 from features.gateway_support import engine_record, opaque_request
 from liftrill.gateway.delivery import Unavailable
 from liftrill.gateway.engines.engine_selector import EngineSelector
-from liftrill.gateway.engines.engine_standing import EngineWord
+from liftrill.gateway.engines.engine_standing import EngineSignal
 from liftrill.gateway.engines.engine_table import EngineLoad, EngineTable, engine_number
-from liftrill.gateway.engines.prefix_directory import KeptPart, PartStage, part_number
+from liftrill.gateway.engines.prefix_directory import PartLocation, PartStage, part_number
 from liftrill.gateway.opaque_request import PromptPart, PromptShape
 from liftrill.gateway.records import KeptStoreProfile, ServiceProfile, WeightTarget
 from liftrill.gateway.weight_targets import WeightTargets
@@ -177,7 +177,9 @@
     first, second = context.selectors
     choice = first.choose(begun_alike(0), frozenset(), 0.0)
     first.parts.record_read(choice, begun_alike(0), 0.0)
-    second.parts.directory.hear(first.parts.directory.news(0.1).own, 0.1, of_zone=True)
+    second.parts.directory.apply_updates(
+        first.parts.directory.updates(0.1).own, 0.1, of_own_zone=True
+    )
     context.heard = second.choose(begun_alike(0), frozenset(), 1.0)
 
 
@@ -255,7 +257,7 @@
 def step_said_leaving(context):
     engines = context.selectors[0]._engines
     engine = engines.get(context.first.engine_id).at
-    assert engines.hear(EngineWord(engine, "request", leaving=True), 0.2)
+    assert engines.apply_signal(EngineSignal(engine, "request", leaving=True), 0.2)
 
 
 @when("the engine that read the prompt has a record that leaves")
@@ -300,7 +302,7 @@
     selector = context.selectors[0]
     salt = selector.choose(begun_alike(0), frozenset(), 0.0).cache_salt
     beginning = part_number(salt, "beginning")
-    selector.parts.directory.record_read(beginning, 0, 0.0, saved=True, worth_telling=True)
+    selector.parts.directory.record_read(beginning, 0, 0.0, saved=True, announce=True)
     context.first = selector.choose(begun_alike(0), frozenset(), 2.0)
     view = selector._engines.get(context.first.engine_id)
     view.own_load.add(EngineLoad(requests=1, waiting_tokens=waiting))
@@ -319,8 +321,8 @@
 @when("another node has begun to read the rest at the first engine")
 def step_rest_begun(context):
     rest = part_number(context.first.cache_salt, "continuation-0")
-    news = KeptPart(rest, engine_number(context.first.engine_id), PartStage.BEING_READ)
-    context.selectors[0].parts.directory.hear([news], 1.9, of_zone=True)
+    news = PartLocation(rest, engine_number(context.first.engine_id), PartStage.BEING_READ)
+    context.selectors[0].parts.directory.apply_updates([news], 1.9, of_own_zone=True)
 
 
 @then("it goes to the engine that reads the rest")
--- a/features/steps/holding_steps.py
+++ b/features/steps/holding_steps.py
@@ -579,7 +579,7 @@
 @when("a request with a body of {size:d} KB is at it")
 def step_at_it(context, size):
     now = time.monotonic()
-    context.forwarder._engines.get("engine-2").standing.leaving = True
+    context.forwarder._engines.get("engine-2").condition.leaving = True
     request = opaque_request(deadline=now + 5.0, received_at=now, body=b"x" * (size * KB))
     context.sink = LookingSink(context.view)
     context.run(context.forwarder.deliver(request, context.sink))
--- a/features/steps/room_steps.py
+++ b/features/steps/room_steps.py
@@ -483,7 +483,7 @@
     for urgency in (0, 1):
         selector.guard.is_more_urgent(replace(opaque_request(), priority=urgency))
     context.speeds = selector.speeds
-    context.before_s = selector.speeds.service_reading_s(SERVICE)
+    context.before_s = selector.speeds.service_read_s_per_token(SERVICE)
 
 
 @when("an urgent one is answered {seconds:g} s after {tokens:d} tokens were waiting")
@@ -516,7 +516,7 @@
     # Paces are worked out twice a second.
     context.worked_out_at = getattr(context, "worked_out_at", clock.now_s()) + 0.6
     context.speeds.refresh(context.worked_out_at)
-    return context.speeds.service_reading_s(SERVICE)
+    return context.speeds.service_read_s_per_token(SERVICE)
 
 
 # Coming back
--- a/features/uneven_engines.py
+++ b/features/uneven_engines.py
@@ -76,13 +76,13 @@
     def __init__(self, board):
         self._board = board
 
-    def reading_s(self, view):
+    def read_s_per_token(self, view):
         return 1.0 / 40_000
 
-    def service_reading_s(self, service):
+    def service_read_s_per_token(self, service):
         return 1.0 / 40_000
 
-    def foresees_pauses(self, service):
+    def predicts_pauses(self, service):
         return False
 
     def __getattr__(self, name):
@@ -127,21 +127,21 @@
         """Know all speeds, and go on knowing them."""
         self.truth = {engine.name: engine for engine in replay.engines}
         service = self.speeds._service("service-1")
-        service.knows_reading = True
+        service.has_read_estimate = True
 
     def refresh(self, mode, now):
         self.speeds.refresh(now)
         service = self.speeds._service("service-1")
         for view in self.table:
             if mode == "as it was":
-                view.model.reading_s, view.model.slowness = service.reading_s, 1.0
-                view.model.home_weight = 1.0
+                view.speed.read_s_per_token, view.speed.slowness = service.read_s_per_token, 1.0
+                view.speed.home_weight = 1.0
             elif mode == "oracle":
-                service.reading_s = 1.0 / (TOKENS_PER_S * FAST)
+                service.read_s_per_token = 1.0 / (TOKENS_PER_S * FAST)
                 engine = self.truth[view.engine_id]
-                view.model.slowness = FAST / engine.speed_at(now)
-                view.model.home_weight = engine.speed / FAST
-                view.model.reading_s = service.reading_s * view.model.slowness
+                view.speed.slowness = FAST / engine.speed_at(now)
+                view.speed.home_weight = engine.speed / FAST
+                view.speed.read_s_per_token = service.read_s_per_token * view.speed.slowness
 
 
 class Replay:
@@ -195,7 +195,7 @@
         """Send what each node has and has seen to the others, late."""
         for node in self.nodes:
             loads = {name: replace(load) for name, load in node.loads.own_loads().items()}
-            kept = node.selector.parts.directory.news(self.now).own
+            kept = node.selector.parts.directory.updates(self.now).own
             self.at(self.now + LATE_S, self.hear, node, loads, kept)
             if self.mode in ("merged",):
                 self.tell_speeds(node)
@@ -221,7 +221,7 @@
             if node is not source:
                 node.loads.take(source.name, loads, self.now)
                 if kept:
-                    node.selector.parts.directory.hear(kept, self.now, of_zone=True)
+                    node.selector.parts.directory.apply_updates(kept, self.now, of_own_zone=True)
 
     def arrive(self, number, now):
         node = self.random.choice(self.nodes)
--- a/liftrill/gateway/admission/places.py
+++ b/liftrill/gateway/admission/places.py
@@ -15,11 +15,11 @@
     """What engines mean for a request that waits.
 
     Attributes:
-        reading_s: how long one that keeps nothing of its prompt takes to read it.
+        prompt_read_s: how long one that keeps nothing of its prompt takes to read it.
         is_overloaded: whether the queues of its service stand.
     """
 
-    reading_s: float
+    prompt_read_s: float
     is_overloaded: bool
 
 
@@ -40,7 +40,7 @@
         if known is not None:
             return replace(known, needs_room=for_room)
         outlook = self.outlook(request)
-        latest_start = request.received_at + request.route.target_seconds - outlook.reading_s
+        latest_start = request.received_at + request.route.target_seconds - outlook.prompt_read_s
         turn_at = now + self.wait_s(request, now)
         in_vain = turn_at > until or (outlook.is_overloaded and turn_at > latest_start)
         if for_room and in_vain:
--- a/liftrill/gateway/decision_log.py
+++ b/liftrill/gateway/decision_log.py
@@ -14,7 +14,7 @@
 from liftrill.coordination.token_bucket import TokenBucket
 from liftrill.gateway import delivery_events as events
 from liftrill.gateway.delivery import AttemptTimes, DeliveryMachine
-from liftrill.gateway.engines.engine_standing import EngineWord
+from liftrill.gateway.engines.engine_standing import EngineSignal
 from liftrill.gateway.opaque_request import OpaqueRequest
 
 MESSAGE_PREFIX = "liftrill:"
@@ -95,7 +95,7 @@
         """Write that an answer of the store is of an earlier era than is known, or tells none."""
         self._write_failure("store_era_refused", era=era, told=told[:20])
 
-    def engine_rests(self, word: EngineWord) -> None:
+    def engine_rests(self, word: EngineSignal) -> None:
         """Write that an engine asked this node for rest."""
         self._write_failure(
             "engine_rests",
@@ -103,7 +103,7 @@
             address=word.engine.address,
             source=word.source,
             status=word.status,
-            rest_s=word.rest_s,
+            rest_s=word.backoff_s,
         )
 
     def permit_refused(
@@ -122,7 +122,7 @@
         """Write that the node that issues an engine's permits did not answer in time."""
         self._write_failure("permit_unanswered", engine=engine.engine_id, issuer=issuer)
 
-    def engine_limit_named(self, word: EngineWord) -> None:
+    def engine_limit_named(self, word: EngineSignal) -> None:
         """Write that an answer of an engine names a limit."""
         self._write_failure(
             "engine_limit_named",
--- a/liftrill/gateway/engines/engine_limits.py
+++ b/liftrill/gateway/engines/engine_limits.py
@@ -14,11 +14,11 @@
 from liftrill.gateway.delivery_events import EngineAddress
 
 # As for what else engines said: see engine_standing.
-REMEMBERED_S = 600.0
-MOST_REMEMBERED = 4_096
-EXPIRED_EACH_S = 10.0
+RETENTION_S = 600.0
+MAX_ENTRIES = 4_096
+EXPIRY_INTERVAL_S = 10.0
 # The numbers of a node's requests begin anywhere below, so that those of two runs differ.
-FIRST_REQUESTS = 1 << 32
+FIRST_REQUEST_NUMBERS = 1 << 32
 
 
 @dataclass(frozen=True, slots=True)
@@ -122,7 +122,7 @@
         """Note that requests which wait may find a permit, or none."""
 
 
-class NoPeers(LimitPeers):
+class NoLimitPeers(LimitPeers):
     """The surroundings of a node without peers."""
 
     own = "node"
@@ -172,10 +172,10 @@
     """
 
     def __init__(self) -> None:
-        self.peers: LimitPeers = NoPeers()
+        self.peers: LimitPeers = NoLimitPeers()
         self._known: dict[EngineAddress, _LimitState] = {}
         self._issuer = PermitIssuer()
-        self._numbers = itertools.count(random.randrange(FIRST_REQUESTS))
+        self._numbers = itertools.count(random.randrange(FIRST_REQUEST_NUMBERS))
         self._expired_at = 0.0
 
     def in_force(self) -> tuple[EngineLimit, ...]:
@@ -249,7 +249,7 @@
     ) -> None:
         """Take in the limit that an answer to this node named, or None."""
         if rate_per_s is not None:
-            self._note_named(engine, rate_per_s, now)
+            self._apply_named_limit(engine, rate_per_s, now)
         if permit is None:
             return
         receipt = PermitReceipt(engine, permit.run, permit.issued_at, rate_per_s)
@@ -263,12 +263,12 @@
         known = self._known.get(limit.engine)
         if known is None:
             if limit.in_force:
-                self._note(limit, "peer", now)
+                self._set_limit(limit, "peer", now)
             return
         known.updated_at = now
         is_newer = limit.serial > known.limit.serial
         if is_newer and (limit.in_force or known.limit.in_force):
-            self._note(limit, "peer", now)
+            self._set_limit(limit, "peer", now)
         elif is_newer:
             known.limit = limit
 
@@ -286,7 +286,7 @@
 
     def expire(self, in_records: Iterable[EngineAddress], now: float) -> None:
         """Forget the limits of engines that are in no record and were not heard of for long."""
-        if not self._known or now - self._expired_at < EXPIRED_EACH_S:
+        if not self._known or now - self._expired_at < EXPIRY_INTERVAL_S:
             return
         self._expired_at = now
         for engine in in_records:
@@ -294,26 +294,26 @@
             if known is not None and known.limit.in_force:
                 known.updated_at = now
         for engine, known in list(self._known.items()):
-            if now - known.updated_at > REMEMBERED_S:
+            if now - known.updated_at > RETENTION_S:
                 self._forget(engine)
 
-    def _note_named(self, engine: EngineAddress, rate_per_s: float, now: float) -> None:
+    def _apply_named_limit(self, engine: EngineAddress, rate_per_s: float, now: float) -> None:
         known = self._known.get(engine)
         if known is not None and known.limit.in_force:
             known.updated_at = now
             if known.limit.rate_per_s != rate_per_s:
-                self._note(replace(known.limit, rate_per_s=rate_per_s), "answer", now)
+                self._set_limit(replace(known.limit, rate_per_s=rate_per_s), "answer", now)
             return
         serial = known.limit.serial + 1 if known is not None else 1
         limit = EngineLimit(engine, rate_per_s, serial)
-        self._note(limit, "answer", now)
+        self._set_limit(limit, "answer", now)
         self.peers.broadcast(limit)
 
-    def _note(self, limit: EngineLimit, source: str, now: float) -> None:
+    def _set_limit(self, limit: EngineLimit, source: str, now: float) -> None:
         known = self._known.get(limit.engine)
         if known is None:
             self._known[limit.engine] = _LimitState(limit, now)
-            if len(self._known) > MOST_REMEMBERED:
+            if len(self._known) > MAX_ENTRIES:
                 self._forget(min(self._known, key=lambda engine: self._known[engine].updated_at))
         else:
             known.limit, known.updated_at = limit, now
@@ -373,5 +373,5 @@
         )
         if ended:
             limit = replace(known.limit, serial=known.limit.serial + 1, in_force=False)
-            self._note(limit, "permits", now)
+            self._set_limit(limit, "permits", now)
             self.peers.broadcast(limit)
--- a/liftrill/gateway/engines/engine_selector.py
+++ b/liftrill/gateway/engines/engine_selector.py
@@ -12,7 +12,7 @@
 from liftrill.gateway.delivery_events import EngineAddress, EngineChoice
 from liftrill.gateway.engines.engine_limits import EngineLimits
 from liftrill.gateway.engines.engine_table import EngineTable, EngineView
-from liftrill.gateway.engines.part_keeping import BETWEEN_ZONES, PartKeeping
+from liftrill.gateway.engines.part_keeping import BETWEEN_ZONES, SharedPartTracker
 from liftrill.gateway.engines.placement import (
     Candidate,
     LeastLoaded,
@@ -22,7 +22,7 @@
 )
 from liftrill.gateway.engines.shared_parts import SharedParts, find_shared_parts
 from liftrill.gateway.engines.slot_times import SlotTimes
-from liftrill.gateway.engines.speed_board import SpeedBoard
+from liftrill.gateway.engines.speed_board import SpeedEstimator
 from liftrill.gateway.opaque_request import OpaqueRequest, PromptShape
 from liftrill.gateway.weight_targets import WeightTargets
 
@@ -56,8 +56,8 @@
         prompt_policy: PlacementPolicy | None = None,
         plain_policy: PlacementPolicy | None = None,
     ) -> None:
-        self.parts = PartKeeping(engines)
-        self.speeds = SpeedBoard(engines)
+        self.parts = SharedPartTracker(engines)
+        self.speeds = SpeedEstimator(engines)
         self.slot_times = SlotTimes()
         self._engines = engines
         self._targets = targets
@@ -142,7 +142,7 @@
     def _blocked_s(self, views: list[EngineView], user: str, now: float) -> float:
         """Return in how long the first of some engines takes a request, or 0 if one does."""
         waits = (
-            max(view.standing.rest_left_s(now), self.limits.wait_s(view.at, user, now))
+            max(view.condition.backoff_left_s(now), self.limits.wait_s(view.at, user, now))
             for view in views
         )
         return min(waits, default=0.0)
@@ -183,15 +183,15 @@
         able = [view for view in self._engines.of_service(service) if not view.leaving]
         return self._blocked_s(able, "", now)
 
-    def reading_s(self, request: OpaqueRequest) -> float:
+    def prompt_read_s(self, request: OpaqueRequest) -> float:
         """Return how long an engine that keeps nothing of a prompt takes to read it."""
         tokens = request.prompt.prompt_tokens if request.prompt else 0
-        return tokens * self.speeds.service_reading_s(request.service)
+        return tokens * self.speeds.service_read_s_per_token(request.service)
 
     def expected_wait_s(self, view: EngineView) -> float:
         """Return how long a request waits at an engine before its prompt is read."""
-        reading_s = view.waiting_tokens * self.speeds.careful_reading_s(view)
-        return reading_s + self._slot_wait_s(view)
+        prompt_read_s = view.waiting_tokens * self.speeds.conservative_read_s_per_token(view)
+        return prompt_read_s + self._slot_wait_s(view)
 
     def _slot_wait_s(self, view: EngineView) -> float:
         record = view.record
@@ -209,11 +209,11 @@
         view = self._engines.get(broken.backup.engine_id) if broken.backup else None
         if view is None or request.prompt is None:
             return None
-        if broken.backup is not None and not view.is_meant_by(broken.backup.number):
+        if broken.backup is not None and not view.matches_number(broken.backup.number):
             return None
         if not self._goes_on(view, request.prompt.model, broken.weight_version, now):
             return None
-        if view.standing.rests(now):
+        if view.condition.is_backing_off(now):
             return None
         permit = self.limits.obtain(view.at, request.request_id, 0.0, False, now)
         if permit is None and self.limits.is_limited(view.at):
@@ -244,7 +244,7 @@
         """Return whether an engine takes runs of some weights now."""
         if view.leaving or view.withdrawn or view.weight_version(model) != version:
             return False
-        return not view.is_loading(now) and view.breaker.allows(now)
+        return not view.is_paused(now) and view.breaker.allows(now)
 
     def _next_backup(
         self, view: EngineView, broken: EngineChoice, request: OpaqueRequest, now: float
@@ -298,7 +298,11 @@
         return min(self._targets.preferred(model), reached)
 
     def _is_ready(self, view: EngineView, request: OpaqueRequest, floor: int, now: float) -> bool:
-        if view.is_loading(now) or view.standing.rests(now) or not view.breaker.allows(now):
+        if (
+            view.is_paused(now)
+            or view.condition.is_backing_off(now)
+            or not view.breaker.allows(now)
+        ):
             return False
         if self.limits.wait_s(view.at, request.request_id, now):
             return False
--- a/liftrill/gateway/engines/engine_table.py
+++ b/liftrill/gateway/engines/engine_table.py
@@ -9,13 +9,13 @@
 from liftrill.coordination.circuit import CircuitBreaker
 from liftrill.gateway.delivery_events import EngineAddress
 from liftrill.gateway.engines.engine_standing import (
-    MOST_REMEMBERED,
-    EngineStanding,
-    EngineStandings,
-    EngineWord,
+    MAX_ENTRIES,
+    EngineCondition,
+    EngineConditions,
+    EngineSignal,
 )
 from liftrill.gateway.engines.engine_update import EngineUpdate, SeenWeights, WithheldRecord
-from liftrill.gateway.engines.service_model import EngineModel
+from liftrill.gateway.engines.service_model import EngineSpeed
 from liftrill.gateway.records import EngineRecord
 
 
@@ -79,7 +79,7 @@
     Attributes:
         own_load: what this node has on it.
         peer_load: what other nodes told of theirs.
-        loading_until: it takes no new requests before this time, as far as is known, unless
+        paused_until: it takes no new requests before this time, as far as is known, unless
             it is seen to have `loading_version` earlier.
         gone: its record was removed, or another engine answered at its address.
         vanished_at: when its record went while that could not be trusted, or None.
@@ -92,15 +92,15 @@
     record: EngineRecord
     own_load: EngineLoad = field(default_factory=EngineLoad)
     peer_load: EngineLoad = field(default_factory=EngineLoad)
-    loading_until: float = 0.0
+    paused_until: float = 0.0
     loading_version: int = 0
     notice_sequence: int = 0
     gone: bool = False
     vanished_at: float | None = None
     withdrawn: bool = False
     breaker: CircuitBreaker = field(default_factory=_new_breaker)
-    model: EngineModel = field(default_factory=EngineModel)
-    standing: EngineStanding = field(default_factory=EngineStanding)
+    speed: EngineSpeed = field(default_factory=EngineSpeed)
+    condition: EngineCondition = field(default_factory=EngineCondition)
     number: int = field(init=False)
 
     def __post_init__(self) -> None:
@@ -109,12 +109,12 @@
     @property
     def leaving(self) -> bool:
         """Whether it takes no new work any more."""
-        return self.gone or self.standing.leaving
+        return self.gone or self.condition.leaving
 
     @property
     def weights(self) -> dict[str, int]:
         """The newest version known of each model; it only rises in one incarnation."""
-        return self.standing.weights
+        return self.condition.weights
 
     @property
     def engine_id(self) -> str:
@@ -127,7 +127,7 @@
         return EngineAddress(self.engine_id, self.record.address, self.number)
 
     @property
-    def told_number(self) -> int:
+    def advertised_number(self) -> int:
         """The number in words to peers, or 0 where an id names one incarnation alone."""
         return self.number if self.record.born_unix_ms else 0
 
@@ -155,38 +155,38 @@
         """Return the version of a model that it has, or 0 if not known."""
         return self.weights.get(model, 0)
 
-    def is_meant_by(self, number: int) -> bool:
+    def matches_number(self, number: int) -> bool:
         """Return whether a word of a peer is of this incarnation, as far as it says."""
         return number in (0, self.number)
 
-    def take(self, record: EngineRecord) -> None:
+    def apply_record(self, record: EngineRecord) -> None:
         """Take in a record of this incarnation."""
         if record.revision >= self.record.revision:
             self.withdrawn = bool(self.weights) and not record.weights
             self.record = record
         self.vanished_at = None
-        self.standing.leaving = self.standing.leaving or record.draining
+        self.condition.leaving = self.condition.leaving or record.draining
         for model, version in record.weights.items():
             self.learn_weights(model, version)
 
     def learn_weights(self, model: str, version: int) -> None:
         """Take note of a version that the engine was seen to have."""
-        self.standing.learn_weights(model, version)
+        self.condition.learn_weights(model, version)
         if self.loading_version and version >= self.loading_version:
             self.loading_version = 0
-            self.loading_until = 0.0
+            self.paused_until = 0.0
 
-    def wants_nothing(self, now: float) -> bool:
+    def rejects_requests(self, now: float) -> bool:
         """Return whether it leaves, or asked this node for a rest that is not over."""
-        return self.leaving or now < self.standing.rest_until
+        return self.leaving or now < self.condition.backoff_until
 
-    def loads_weights(self, now: float) -> bool:
+    def is_loading_weights(self, now: float) -> bool:
         """Return whether it is believed to load weights, and is not just left alone for load."""
-        return bool(self.loading_version) and self.is_loading(now)
+        return bool(self.loading_version) and self.is_paused(now)
 
-    def is_loading(self, now: float) -> bool:
+    def is_paused(self, now: float) -> bool:
         """Return whether it is believed to be busy with an order."""
-        return now < self.loading_until
+        return now < self.paused_until
 
 
 def _is_other_incarnation(known: EngineRecord, record: EngineRecord) -> bool:
@@ -206,14 +206,14 @@
     # For how long an engine is used whose record went with an outage of the store. Records
     # are back within about two seconds; an engine that left may not be used for longer than
     # that from when its record went, and this is looked at three times a second.
-    VANISHED_SECONDS = 1.6
+    VANISHED_GRACE_SECONDS = 1.6
 
     def __init__(self) -> None:
         self._views: dict[str, EngineView] = {}
         self._by_number: dict[int, EngineView] = {}
-        self._births_told = False
+        self._starts_reported = False
         self.services: frozenset[str] = frozenset()
-        self.standings = EngineStandings()
+        self.conditions = EngineConditions()
         # By engine: up to which position records that are not read yet are withheld.
         self._withheld: dict[str, int] = {}
 
@@ -252,8 +252,8 @@
         Another incarnation under a known id holds nothing of what the former one held, and
         nothing that was learned of that one is true of it.
         """
-        self._note_birth(record)
-        if self._births_told and not record.born_unix_ms:
+        self._record_start(record)
+        if self._starts_reported and not record.born_unix_ms:
             self.withdraw(record.engine_id, record.revision)
             return None
         view = self._views.get(record.engine_id)
@@ -266,41 +266,41 @@
             return view
         if view is None:
             view = self._views[record.engine_id] = EngineView(record)
-            view.standing = self.standings.of(view.at)
+            view.condition = self.conditions.of(view.at)
             self._by_number[view.number] = view
-        view.take(record)
+        view.apply_record(record)
         if record.revision <= self._withheld.pop(record.engine_id, -1):
             view.withdrawn = True
-        if view.standing.leaving:
-            self.standings.keep(view.at, view.standing, clock.now_s())
+        if view.condition.leaving:
+            self.conditions.remember(view.at, view.condition, clock.now_s())
         return view
 
-    def hear(self, word: EngineWord, now: float) -> bool:
+    def apply_signal(self, signal: EngineSignal, now: float) -> bool:
         """Take in what an engine said in an answer; return whether it is news that it leaves."""
-        view = self._meant(word.engine)
-        if view is None and not word.engine.number:
+        view = self._find_incarnation(signal.engine)
+        if view is None and not signal.engine.number:
             return False
-        engine = view.at if view is not None else word.engine
-        standing = view.standing if view is not None else self.standings.of(engine)
-        is_news = word.leaving and not standing.leaving
-        standing.leaving = standing.leaving or word.leaving
-        if word.rest_s:
-            standing.ask_for_rest(word.rest_s, now)
-        self.standings.keep(engine, standing, now)
+        engine = view.at if view is not None else signal.engine
+        condition = view.condition if view is not None else self.conditions.of(engine)
+        is_news = signal.leaving and not condition.leaving
+        condition.leaving = condition.leaving or signal.leaving
+        if signal.backoff_s:
+            condition.begin_backoff(signal.backoff_s, now)
+        self.conditions.remember(engine, condition, now)
         return is_news
 
     def incarnation(self, engine: EngineAddress) -> EngineAddress | None:
         """Return the incarnation that an answer is of, or None where that is not known."""
-        view = self._meant(engine)
+        view = self._find_incarnation(engine)
         if view is not None:
             return view.at
         return engine if engine.number else None
 
     def leaving(self) -> list[EngineAddress]:
         """Return the engines that said that they leave, in an answer or a record."""
-        return [view.at for view in self if view.standing.leaving]
+        return [view.at for view in self if view.condition.leaving]
 
-    def unwritten(self, with_all_weights: bool = False) -> EngineUpdate:
+    def unrecorded_state(self, with_all_weights: bool = False) -> EngineUpdate:
         """Return what this node knows of engines and their records do not say.
 
         With all weights: also those that the records, as this node has read them, do say.
@@ -314,7 +314,7 @@
         ]
         return EngineUpdate(tuple(self.leaving()), tuple(withheld), tuple(weights))
 
-    def learn_unwritten(self, update: EngineUpdate, now: float) -> list[WithheldRecord]:
+    def merge_unrecorded_state(self, update: EngineUpdate, now: float) -> list[WithheldRecord]:
         """Take in what another node knows; return the records that are used no more for it.
 
         Also of engines whose records this node has not read yet: who joins is told before that.
@@ -322,25 +322,25 @@
         for seen in update.weights:
             self._learn_weights(seen, now)
         for row in update.withheld:
-            if self._views.get(row.engine_id) is None and len(self._withheld) < MOST_REMEMBERED:
+            if self._views.get(row.engine_id) is None and len(self._withheld) < MAX_ENTRIES:
                 self._withheld[row.engine_id] = row.revision
         return [row for row in update.withheld if self.withdraw(row.engine_id, row.revision)]
 
     def _learn_weights(self, seen: SeenWeights, now: float) -> None:
-        view = self._meant(seen.engine)
+        view = self._find_incarnation(seen.engine)
         if view is not None:
             view.learn_weights(seen.model, seen.version)
             return
-        standing = self.standings.of(seen.engine)
-        standing.learn_weights(seen.model, seen.version)
-        self.standings.keep(seen.engine, standing, now)
+        condition = self.conditions.of(seen.engine)
+        condition.learn_weights(seen.model, seen.version)
+        self.conditions.remember(seen.engine, condition, now)
 
-    def _meant(self, engine: EngineAddress) -> EngineView | None:
+    def _find_incarnation(self, engine: EngineAddress) -> EngineView | None:
         """Return the view of an incarnation, if it has a record."""
         view = self._views.get(engine.engine_id)
         if view is None or view.record.address != engine.address:
             return None
-        return view if view.is_meant_by(engine.number) else None
+        return view if view.matches_number(engine.number) else None
 
     def withdraw(self, engine_id: str, revision: int) -> bool:
         """Use an engine no more whose record became unreadable, and return whether it was used."""
@@ -350,11 +350,11 @@
         view.withdrawn = True
         return True
 
-    def _note_birth(self, record: EngineRecord) -> None:
+    def _record_start(self, record: EngineRecord) -> None:
         """Use no engine without a start, from the first record that tells one on."""
-        if not record.born_unix_ms or self._births_told:
+        if not record.born_unix_ms or self._starts_reported:
             return
-        self._births_told = True
+        self._starts_reported = True
         for view in self._views.values():
             if not view.record.born_unix_ms:
                 view.withdrawn = True
@@ -364,7 +364,7 @@
         view = self._views.pop(engine_id, None)
         if view is not None:
             view.gone = True
-            self.standings.keep(view.at, view.standing, clock.now_s())
+            self.conditions.remember(view.at, view.condition, clock.now_s())
             self._by_number.pop(view.number, None)
 
     def mark_vanished(self, engine_ids: Iterable[str], now: float) -> None:
@@ -379,24 +379,25 @@
         expired = [
             view.engine_id
             for view in self._views.values()
-            if view.vanished_at is not None and now - view.vanished_at >= self.VANISHED_SECONDS
+            if view.vanished_at is not None
+            and now - view.vanished_at >= self.VANISHED_GRACE_SECONDS
         ]
         for engine_id in expired:
             self.remove(engine_id)
         return expired
 
-    def apply_notice(self, notice: EngineNotice, loading_until: float) -> None:
+    def apply_notice(self, notice: EngineNotice, paused_until: float) -> None:
         """Take in the controller's word; while loading, until a time at the latest."""
         view = self._views.get(notice.engine_id)
-        if view is None or not view.is_meant_by(notice.number):
+        if view is None or not view.matches_number(notice.number):
             return
         if notice.sequence <= view.notice_sequence:
             return
         view.notice_sequence = notice.sequence
         if notice.loading:
-            view.loading_until = loading_until
+            view.paused_until = paused_until
             view.loading_version = notice.version
         else:
-            view.loading_until = 0.0
+            view.paused_until = 0.0
             view.loading_version = 0
             view.learn_weights(notice.model, notice.version)
--- a/liftrill/gateway/engines/part_keeping.py
+++ b/liftrill/gateway/engines/part_keeping.py
@@ -15,7 +15,7 @@
 BETWEEN_ZONES = 2.0
 
 
-class PartKeeping:
+class SharedPartTracker:
     """Where shared parts are kept, and what may be saved and fetched.
 
     Attributes:
@@ -76,9 +76,11 @@
             views = self._engines.of_service(request.service)
             free_tokens = sum(max(0, capacity - view.resident_tokens) for view in views)
             self.directory.held_s = self.retention.held_s(free_tokens, self.nodes, now)
-        self.store_link.record_demand(self._store_s(choice, request, prompt), now)
+        self.store_link.record_demand(self._store_link_s(choice, request, prompt), now)
 
-    def _store_s(self, choice: EngineChoice, request: OpaqueRequest, prompt: PromptShape) -> float:
+    def _store_link_s(
+        self, choice: EngineChoice, request: OpaqueRequest, prompt: PromptShape
+    ) -> float:
         """Return for how long a request takes a store's link, if nothing is left out."""
         zones = {store.address: store.zone for store in self.kept_stores}
         store = self._home_store(prompt)
@@ -106,7 +108,7 @@
                 choice.number,
                 now,
                 saved=bool(choice.save_to),
-                worth_telling=part.tokens >= constants.KEPT_NEWS_TOKENS,
+                announce=part.tokens >= constants.KEPT_NEWS_TOKENS,
             )
 
     def _home_store(self, prompt: PromptShape) -> str:
--- a/liftrill/gateway/engines/placement.py
+++ b/liftrill/gateway/engines/placement.py
@@ -12,7 +12,7 @@
 from liftrill.coordination import rendezvous
 from liftrill.gateway.engines.engine_table import EngineView
 from liftrill.gateway.engines.shared_parts import NOTHING_KEPT, SharedParts
-from liftrill.gateway.engines.speed_board import SpeedBoard
+from liftrill.gateway.engines.speed_board import SpeedEstimator
 from liftrill.gateway.opaque_request import OpaqueRequest, PromptShape
 from liftrill.gateway.records import ServiceProfile
 
@@ -89,7 +89,7 @@
             view = candidate.view
             away = view.record.zone != zone
             per_slot = (view.requests + 1) / max(1, view.record.slots)
-            completion = per_slot * view.model.answer_slowness
+            completion = per_slot * view.speed.answer_slowness
             return completion, away, rendezvous.weight(key, view.engine_id)
 
         return min(candidates, key=order)
@@ -128,7 +128,7 @@
         services: what the operator declares of engines, by service.
     """
 
-    speeds: SpeedBoard
+    speeds: SpeedEstimator
     least_move_s: float = 0.015
     engines_per_beginning: int = 5
     reread_factor: float = constants.REREAD_FACTOR
@@ -153,12 +153,12 @@
         is_large = len(candidates) > self.many_engines
         few = self.few_choices if is_large else len(candidates)
         far_s = min(self.far_s, self.far_share * request.route.target_seconds)
-        foresees = self.speeds.foresees_pauses(request.service)
+        predicts_pauses = self.speeds.predicts_pauses(request.service)
         for place, engine_id in enumerate(rendezvous.rank(key, by_id)):
             candidate = by_id[engine_id]
             to_read = tokens_to_read(request, candidate)
             cost_s = self._until_read_s(candidate, to_read)
-            if foresees:
+            if predicts_pauses:
                 late = self.speeds.late_streams(candidate.view, to_read, request.is_stream)
                 # A stream with a long pause is late, as is one whose first event comes late.
                 cost_s += late * request.route.target_seconds
@@ -197,7 +197,7 @@
             for candidate in candidates:
                 if candidate.view.number == first.shared.reader:
                     return candidate.view.engine_id
-        weights = {c.view.engine_id: c.view.model.home_weight for c in candidates}
+        weights = {c.view.engine_id: c.view.speed.home_weight for c in candidates}
         home = rendezvous.first_weighted(unread, weights)
         assert home is not None
         return home
@@ -205,11 +205,11 @@
     def _until_read_s(self, candidate: Candidate, to_read: int) -> float:
         """Return what an engine does before it begins a prompt, and how much longer it reads."""
         view = candidate.view
-        reading_s = self.speeds.reading_s(view)
-        until_s = candidate.slot_wait_s + self._backlog_tokens(view) * reading_s
-        if view.model.slowness == 1.0:
+        read_s_per_token = self.speeds.read_s_per_token(view)
+        until_s = candidate.slot_wait_s + self._backlog_tokens(view) * read_s_per_token
+        if view.speed.slowness == 1.0:
             return until_s
-        extra_s = reading_s - self.speeds.service_reading_s(view.record.service)
+        extra_s = read_s_per_token - self.speeds.service_read_s_per_token(view.record.service)
         return until_s + to_read * extra_s
 
     def _sharing_s(self, request: OpaqueRequest, candidate: Candidate, is_large: bool) -> float:
@@ -217,10 +217,10 @@
         missing = request.shared_tokens - candidate.shared.kept_tokens
         if not missing:
             return max(self.least_move_s, candidate.move_s)
-        reading_s = self.speeds.reading_s(candidate.view)
+        read_s_per_token = self.speeds.read_s_per_token(candidate.view)
         if is_large and not candidate.shared.reader:
-            return self._rare_reading(request, missing) * reading_s
-        return missing * self.reread_factor * reading_s
+            return self._rare_reading(request, missing) * read_s_per_token
+        return missing * self.reread_factor * read_s_per_token
 
     def _rare_reading(self, request: OpaqueRequest, missing_tokens: int) -> float:
         """Return what it costs, in tokens, that others may begin to read the parts elsewhere.
@@ -235,7 +235,7 @@
 
     def _pauses_s(self, candidate: Candidate, to_read: int) -> float:
         """Return what the pauses of other streams there cost, if the prompt is long."""
-        read_s = to_read * self.speeds.reading_s(candidate.view)
+        read_s = to_read * self.speeds.read_s_per_token(candidate.view)
         if read_s < self.long_prompt_s:
             return 0.0
         return candidate.view.requests * read_s * self.pause_share
--- a/liftrill/gateway/engines/prefix_directory.py
+++ b/liftrill/gateway/engines/prefix_directory.py
@@ -15,14 +15,14 @@
 from liftrill import constants
 
 # A part is told of for this long, so that a lost datagram or two do not matter.
-NEWS_LIFETIME_S = 1.0
-MOST_NEWS = 256
+UPDATE_LIFETIME_S = 1.0
+MAX_UPDATES = 256
 # Peers are told again that an engine holds a part after this share of the time it does
 # (guess).
-RETELL_SHARE = 0.5
+REANNOUNCE_SHARE = 0.5
 # Peers count from when they hear it, so it is told for this share of that time alone
 # (guess).
-TOLD_SHARE = 0.25
+ANNOUNCE_SHARE = 0.25
 
 
 def part_number(salt: str, part_id: str) -> int:
@@ -39,7 +39,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class KeptPart:
+class PartLocation:
     """A shared part, and the engine that reads it, holds it, or has also saved it."""
 
     part: int
@@ -48,16 +48,16 @@
 
 
 @dataclass(frozen=True, slots=True)
-class KeptNews:
+class PartUpdates:
     """Parts that engines read or used lately: for this node, and for its zone."""
 
-    own: tuple[KeptPart, ...] = ()
-    zone: tuple[KeptPart, ...] = ()
+    own: tuple[PartLocation, ...] = ()
+    zone: tuple[PartLocation, ...] = ()
 
 
 @dataclass(frozen=True, slots=True)
-class _News:
-    kept: KeptPart
+class _PendingUpdate:
+    kept: PartLocation
     noted_at: float
     own: bool
 
@@ -88,25 +88,25 @@
     Attributes:
         capacity: how many parts are remembered.
         lifetime_s: after which a part is saved again: the store may have dropped it.
-        settle_s: after which a part that was sent to a store has arrived there.
-        reading_s: for how long an engine is taken to read a part.
+        store_delay_s: after which a part that was sent to a store has arrived there.
+        reading_lifetime_s: for how long an engine is taken to read a part.
         held_s: for how long an engine still holds what it used.
     """
 
     capacity: int = 4_096
     lifetime_s: float = 20.0
-    settle_s: float = constants.KEPT_SETTLE_S
-    reading_s: float = constants.READING_S
+    store_delay_s: float = constants.KEPT_SETTLE_S
+    reading_lifetime_s: float = constants.READING_S
     held_s: float = constants.KEPT_HOLDER_S
     _entries: OrderedDict[int, _Entry] = field(default_factory=OrderedDict)
-    _news: deque[_News] = field(default_factory=lambda: deque(maxlen=MOST_NEWS))
+    _pending: deque[_PendingUpdate] = field(default_factory=lambda: deque(maxlen=MAX_UPDATES))
 
     def is_saved(self, part: int, now: float) -> bool:
         """Return whether a store is believed to have a part, or to get it."""
         entry = self._entries.get(part)
         return entry is not None and now - entry.saved_at < self.lifetime_s
 
-    def is_settled(self, part: int, now: float) -> bool:
+    def is_stored(self, part: int, now: float) -> bool:
         """Return whether a store is believed to have a part by now."""
         entry = self._entries.get(part)
         return entry is not None and now >= entry.stored_at and self.is_saved(part, now)
@@ -114,7 +114,7 @@
     def reader(self, part: int, now: float) -> int:
         """Return the engine that is believed to read a part now, or 0."""
         entry = self._entries.get(part)
-        if entry is None or entry.was_read or now - entry.used_at >= self.reading_s:
+        if entry is None or entry.was_read or now - entry.used_at >= self.reading_lifetime_s:
             return 0
         return entry.engine
 
@@ -127,62 +127,64 @@
 
     def record_reading(self, part: int, engine: int, now: float) -> None:
         """Note that an engine is about to read a part, and tell of it."""
-        self._take(KeptPart(part, engine, PartStage.BEING_READ), now, own=True)
+        self._store_update(PartLocation(part, engine, PartStage.BEING_READ), now, own=True)
 
     def record_read(
-        self, part: int, engine: int, now: float, *, saved: bool, worth_telling: bool
+        self, part: int, engine: int, now: float, *, saved: bool, announce: bool
     ) -> None:
         """Note that an engine runs a prompt with a part, and saves it if it was told to."""
-        kept = KeptPart(part, engine, PartStage.SAVED if saved else PartStage.HELD)
-        if worth_telling and (saved or self._is_news(kept, now)):
-            self._take(kept, now, own=True)
+        kept = PartLocation(part, engine, PartStage.SAVED if saved else PartStage.HELD)
+        if announce and (saved or self._is_new(kept, now)):
+            self._store_update(kept, now, own=True)
         else:
             self._remember(kept, now)
 
-    def _is_news(self, kept: KeptPart, now: float) -> bool:
+    def _is_new(self, kept: PartLocation, now: float) -> bool:
         """Return whether peers need to be told that an engine holds a part."""
         entry = self._entries.get(kept.part)
         if entry is None or not entry.was_read or entry.engine != kept.engine:
             return True
-        return now - entry.used_at >= RETELL_SHARE * self.held_s
+        return now - entry.used_at >= REANNOUNCE_SHARE * self.held_s
 
-    def hear(self, news: Iterable[KeptPart], now: float, of_zone: bool) -> None:
+    def apply_updates(
+        self, locations: Iterable[PartLocation], now: float, of_own_zone: bool
+    ) -> None:
         """Note what other nodes tell, and pass on what those of the own zone do."""
-        for kept in news:
-            if self._is_old(kept, now):
+        for kept in locations:
+            if self._is_known(kept, now):
                 continue
-            if of_zone:
-                self._take(kept, now, own=False)
+            if of_own_zone:
+                self._store_update(kept, now, own=False)
             else:
                 self._remember(kept, now)
 
-    def _is_old(self, kept: KeptPart, now: float) -> bool:
+    def _is_known(self, kept: PartLocation, now: float) -> bool:
         if kept.stage is PartStage.SAVED:
             return self.is_saved(kept.part, now)
         if kept.stage is PartStage.HELD:
-            return not self._is_news(kept, now)
+            return not self._is_new(kept, now)
         known = self.holder(kept.part, now) or self.reader(kept.part, now)
         return known != 0 or self.is_saved(kept.part, now)
 
-    def _take(self, kept: KeptPart, now: float, own: bool) -> None:
+    def _store_update(self, kept: PartLocation, now: float, own: bool) -> None:
         self._remember(kept, now)
-        self._news.append(_News(kept, now, own))
+        self._pending.append(_PendingUpdate(kept, now, own))
 
-    def news(self, now: float) -> KeptNews:
+    def updates(self, now: float) -> PartUpdates:
         """Return what to tell other nodes."""
-        while self._news and now - self._news[0].noted_at > NEWS_LIFETIME_S:
-            self._news.popleft()
-        rows = [row for row in self._news if self._is_told(row, now)]
+        while self._pending and now - self._pending[0].noted_at > UPDATE_LIFETIME_S:
+            self._pending.popleft()
+        rows = [row for row in self._pending if self._is_announced(row, now)]
         own = tuple(row.kept for row in rows if row.own)
-        return KeptNews(own, tuple(row.kept for row in rows))
+        return PartUpdates(own, tuple(row.kept for row in rows))
 
-    def _is_told(self, row: _News, now: float) -> bool:
+    def _is_announced(self, row: _PendingUpdate, now: float) -> bool:
         """Return whether what a row tells is still young beside how long it holds."""
         if row.kept.stage is not PartStage.HELD:
             return True
-        return now - row.noted_at <= TOLD_SHARE * self.held_s
+        return now - row.noted_at <= ANNOUNCE_SHARE * self.held_s
 
-    def _remember(self, kept: KeptPart, now: float) -> None:
+    def _remember(self, kept: PartLocation, now: float) -> None:
         entry = self._entries.setdefault(kept.part, _Entry())
         entry.engine = kept.engine
         entry.used_at = now
@@ -196,5 +198,5 @@
     def _note_saved(self, entry: _Entry, now: float) -> None:
         """Note that a part is sent to a store, which may have it already."""
         if now - entry.saved_at >= self.lifetime_s:
-            entry.stored_at = now + self.settle_s
+            entry.stored_at = now + self.store_delay_s
         entry.saved_at = now
--- a/liftrill/gateway/engines/service_model.py
+++ b/liftrill/gateway/engines/service_model.py
@@ -14,19 +14,19 @@
 # seconds of it, so that what it did before must be nearly forgotten by then.
 RECENT_S = 0.7
 # Over how long the pace is averaged that an engine goes back to once nothing was observed lately.
-LASTING_S = 10.0
+LONG_TERM_S = 10.0
 # The first pace of an engine, when little was observed, counts as if it was known for so long.
-LEAST_KNOWN_S = 0.1
+MIN_HISTORY_S = 0.1
 # For how long that pace counts without new work. An engine that stood idle for longer may have
 # other neighbours or another load by then (guess).
-LASTING_LIFETIME_S = 30.0
+LONG_TERM_LIFETIME_S = 30.0
 # A word of a peer counts as long as two that are told each second may be lost after it.
-WORD_LIFETIME_S = 2.5
+REPORT_LIFETIME_S = 2.5
 # With less work observed lately, what was known before makes up for the rest: some prompts are
 # needed before they show a pace (guess).
-KNOWN_WORK_S = 0.4
+FULL_EVIDENCE_S = 0.4
 # Less observed work than this tells nothing: it is what datagrams round to.
-LEAST_WORK_S = 0.005
+MIN_WORK_S = 0.005
 # A sample counts at most as this many times slower or faster than what was known: a connection
 # that stalled must not count as all the work of a second.
 SAMPLE_BOUND = 4.0
@@ -41,7 +41,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Work:
+class WorkSample:
     """An amount of work, and how long it took."""
 
     units: float = 0.0
@@ -52,29 +52,29 @@
         """The seconds that one unit took."""
         return self.seconds / self.units
 
-    def faded(self, elapsed_s: float) -> "Work":
+    def decayed(self, elapsed_s: float) -> "Work":
         """Return what of it counts after some time."""
         factor = math.exp(-max(0.0, elapsed_s) / RECENT_S)
-        return Work(self.units * factor, self.seconds * factor)
+        return WorkSample(self.units * factor, self.seconds * factor)
 
     @property
-    def tells(self) -> bool:
+    def is_significant(self) -> bool:
         """Whether there is enough of it to tell a pace."""
-        return self.units > 0.0 and self.seconds >= LEAST_WORK_S
+        return self.units > 0.0 and self.seconds >= MIN_WORK_S
 
 
-NO_WORK = Work()
+NO_WORK = WorkSample()
 
 
-def combined(works: Iterable[Work]) -> Work:
+def merge_sources(works: Iterable[WorkSample]) -> WorkSample:
     """Return the work of many sources as one, of which no source decides much.
 
     A source that lies, or sees engines over a bad link, tells of a pace far from the others'.
     """
-    told = [work for work in works if work.tells]
-    if len(told) < 2:
-        return told[0] if told else NO_WORK
-    rows = sorted(_bounded_rows(told, SAMPLE_BOUND))
+    significant = [work for work in works if work.is_significant]
+    if len(significant) < 2:
+        return significant[0] if significant else NO_WORK
+    rows = sorted(_bounded_rows(significant, SAMPLE_BOUND))
     total = sum(units for _, units in rows)
     cut = TRIMMED_SHARE * total if len(rows) >= TRIMMED_SOURCES else 0.0
     passed = seconds = kept = 0.0
@@ -84,19 +84,21 @@
         if within > 0.0:
             seconds += within * pace_s
             kept += within
-    return Work(total, total * seconds / kept)
+    return WorkSample(total, total * seconds / kept)
 
 
-def joined_zones(works: Iterable[Work]) -> Work:
+def merge_zones(works: Iterable[WorkSample]) -> WorkSample:
     """Return what the nodes of several zones observed, of which no zone decides much."""
-    told = [work for work in works if work.tells]
-    if len(told) < 2:
-        return told[0] if told else NO_WORK
-    rows = _bounded_rows(told, ZONE_BOUND)
-    return Work(sum(units for _, units in rows), sum(pace_s * units for pace_s, units in rows))
+    significant = [work for work in works if work.is_significant]
+    if len(significant) < 2:
+        return significant[0] if significant else NO_WORK
+    rows = _bounded_rows(significant, ZONE_BOUND)
+    return WorkSample(
+        sum(units for _, units in rows), sum(pace_s * units for pace_s, units in rows)
+    )
 
 
-def middle(values: Iterable[float]) -> float:
+def lower_median(values: Iterable[float]) -> float:
     """Return the median, the lower of two.
 
     Importing `statistics` for it would make each start longer.
@@ -105,11 +107,11 @@
     return ordered[(len(ordered) - 1) // 2]
 
 
-def _bounded_rows(told: list[Work], bound: float) -> list[tuple[float, float]]:
+def _bounded_rows(significant: list[WorkSample], bound: float) -> list[tuple[float, float]]:
     """Return pace and units of each source, neither far from the middle one's."""
-    most = SOURCE_BOUND * middle([work.units for work in told])
-    middle_s = middle([work.pace_s for work in told])
-    return [(_bounded(work.pace_s, middle_s, bound), min(work.units, most)) for work in told]
+    most = SOURCE_BOUND * lower_median([work.units for work in significant])
+    middle_s = lower_median([work.pace_s for work in significant])
+    return [(_bounded(work.pace_s, middle_s, bound), min(work.units, most)) for work in significant]
 
 
 def _bounded(pace_s: float, known_s: float, bound: float = SAMPLE_BOUND) -> float:
@@ -117,17 +119,17 @@
 
 
 @dataclass(frozen=True, slots=True)
-class _Word:
+class _SourceReport:
     """What a peer, or a zone's delegate, told last.
 
     Attributes:
         is_sum: whether it is of all nodes of the zone.
     """
 
-    work: Work
+    work: WorkSample
     zone: str
     is_sum: bool
-    heard_at: float
+    received_at: float
 
 
 @dataclass(slots=True)
@@ -135,16 +137,16 @@
     """How long one kind of work takes at one engine.
 
     Attributes:
-        found_s: seconds of one unit by what is known now, or 0 while nothing is.
-        lasting_s: the same over a longer time.
+        current_s: seconds of one unit by what is known now, or 0 while nothing is.
+        long_term_s: the same over a longer time.
     """
 
-    found_s: float = 0.0
-    lasting_s: float = 0.0
-    _own: Work = NO_WORK
+    current_s: float = 0.0
+    long_term_s: float = 0.0
+    _own: WorkSample = NO_WORK
     _own_at: float = 0.0
-    _words: dict[str, _Word] = field(default_factory=dict)
-    _settled_at: float = 0.0
+    _reports: dict[str, _SourceReport] = field(default_factory=dict)
+    _updated_at: float = 0.0
     _since: float = 0.0
 
     def record(self, units: float, elapsed_s: float, known_s: float, now: float) -> None:
@@ -153,85 +155,87 @@
         if known_s:
             pace_s = _bounded(pace_s, known_s)
         earlier = self.own_work(now)
-        self._own = Work(earlier.units + units, earlier.seconds + pace_s * units)
+        self._own = WorkSample(earlier.units + units, earlier.seconds + pace_s * units)
         self._own_at = now
 
-    def own_work(self, now: float) -> Work:
+    def own_work(self, now: float) -> WorkSample:
         """Return what this node observed lately."""
-        return self._own.faded(now - self._own_at) if self._own.units else NO_WORK
+        return self._own.decayed(now - self._own_at) if self._own.units else NO_WORK
 
-    def hear(self, node: str, zone: str, work: Work, now: float) -> None:
+    def apply_report(self, node: str, zone: str, work: WorkSample, now: float) -> None:
         """Replace what a node told before, or a zone where the node is empty."""
         source = node or f"zone {zone}"
-        if work.tells:
-            self._words[source] = _Word(work, zone, not node, now)
+        if work.is_significant:
+            self._reports[source] = _SourceReport(work, zone, not node, now)
         else:
-            self._words.pop(source, None)
+            self._reports.pop(source, None)
 
-    def zone_work(self, zone: str, now: float) -> Work:
+    def zone_work(self, zone: str, now: float) -> WorkSample:
         """Return what this node and the heard nodes of its zone observed lately."""
-        words = (w for w in self._words.values() if w.zone == zone and not w.is_sum)
-        heard = (word.work.faded(now - word.heard_at) for word in words)
-        works = [work for work in (self.own_work(now), *heard) if work.tells]
-        return combined(works)
+        reports = (w for w in self._reports.values() if w.zone == zone and not w.is_sum)
+        heard = (report.work.decayed(now - report.received_at) for report in reports)
+        works = [work for work in (self.own_work(now), *heard) if work.is_significant]
+        return merge_sources(works)
 
     def sources(self) -> int:
         """Return how many sources besides this node told of it lately."""
-        return len(self._words)
+        return len(self._reports)
 
-    def settle(self, known_s: float, now: float) -> None:
+    def update_estimates(self, known_s: float, now: float) -> None:
         """Work out the pace anew; without one of its own it begins from a known one."""
-        if self._words:
-            self._drop_old_words(now)
+        if self._reports:
+            self._drop_old_reports(now)
         work = self._work(now)
-        if not work.tells:
-            self._rest(now)
+        if not work.is_significant:
+            self._fall_back(now)
             return
-        before_s = self.lasting_s or known_s or work.pace_s
-        known_work_s = max(0.0, KNOWN_WORK_S - work.seconds)
+        before_s = self.long_term_s or known_s or work.pace_s
+        known_work_s = max(0.0, FULL_EVIDENCE_S - work.seconds)
         units = work.units + known_work_s / before_s
-        self.found_s = (work.seconds + known_work_s) / units
-        if not self.lasting_s:
-            self.lasting_s, self._since = self.found_s, now
+        self.current_s = (work.seconds + known_work_s) / units
+        if not self.long_term_s:
+            self.long_term_s, self._since = self.current_s, now
         else:
             # The mean of all that was found until there is enough of it.
-            known_for_s = max(LEAST_KNOWN_S, now - self._since)
-            share = (now - self._settled_at) / min(LASTING_S, known_for_s)
-            self.lasting_s += min(1.0, share) * (self.found_s - self.lasting_s)
-        self._settled_at = now
+            known_for_s = max(MIN_HISTORY_S, now - self._since)
+            share = (now - self._updated_at) / min(LONG_TERM_S, known_for_s)
+            self.long_term_s += min(1.0, share) * (self.current_s - self.long_term_s)
+        self._updated_at = now
 
-    def _rest(self, now: float) -> None:
+    def _fall_back(self, now: float) -> None:
         """Go back to the pace that lasted, and forget it in the end."""
-        if now - self._settled_at > LASTING_LIFETIME_S:
-            self.lasting_s = 0.0
-        self.found_s = self.lasting_s
+        if now - self._updated_at > LONG_TERM_LIFETIME_S:
+            self.long_term_s = 0.0
+        self.current_s = self.long_term_s
 
-    def _drop_old_words(self, now: float) -> None:
-        limit = now - WORD_LIFETIME_S
-        for source in [s for s, word in self._words.items() if word.heard_at < limit]:
-            del self._words[source]
+    def _drop_old_reports(self, now: float) -> None:
+        limit = now - REPORT_LIFETIME_S
+        for source in [s for s, report in self._reports.items() if report.received_at < limit]:
+            del self._reports[source]
 
-    def _work(self, now: float) -> Work:
+    def _work(self, now: float) -> WorkSample:
         own = self.own_work(now)
-        if not self._words:
+        if not self._reports:
             return own
-        nodes: list[Work] = [own]
-        zones: list[Work] = []
-        for word in self._words.values():
-            (zones if word.is_sum else nodes).append(word.work.faded(now - word.heard_at))
-        local = combined(nodes)
-        return joined_zones([local, *zones]) if zones else local
+        nodes: list[WorkSample] = [own]
+        zones: list[WorkSample] = []
+        for report in self._reports.values():
+            (zones if report.is_sum else nodes).append(
+                report.work.decayed(now - report.received_at)
+            )
+        local = merge_sources(nodes)
+        return merge_zones([local, *zones]) if zones else local
 
 
 @dataclass(slots=True)
-class EngineModel:
+class EngineSpeed:
     """How fast one incarnation of an engine works.
 
     Attributes:
         reading: of a prompt token.
         event: of an event of a stream after the first one.
         answer: of a whole answer, in a slot of its own.
-        reading_s: seconds to read a prompt token that decisions use, or 0 for the service's.
+        read_s_per_token: seconds to read a prompt token that decisions use, or 0 for the service's.
         slowness: how many times the reading time of the service's engines it takes.
         answer_slowness: the same of whole answers.
         home_weight: how many shared parts have their home there, beside other engines.
@@ -242,7 +246,7 @@
     reading: Pace = field(default_factory=Pace)
     event: Pace = field(default_factory=Pace)
     answer: Pace = field(default_factory=Pace)
-    reading_s: float = 0.0
+    read_s_per_token: float = 0.0
     slowness: float = 1.0
     answer_slowness: float = 1.0
     home_weight: float = 1.0
--- a/liftrill/gateway/engines/service_speeds.py
+++ b/liftrill/gateway/engines/service_speeds.py
@@ -6,7 +6,7 @@
 
 from liftrill import constants
 from liftrill.gateway.engines.engine_table import EngineView
-from liftrill.gateway.engines.service_model import Pace, middle
+from liftrill.gateway.engines.service_model import Pace, lower_median
 
 # Engines that differ less from the service's are taken for alike: so much the estimates of
 # equal engines differ, and what is decided for engines that are alike must not waver.
@@ -67,34 +67,34 @@
     """The middle of a service's engines, to which each of them is compared.
 
     Attributes:
-        reading_s: seconds to read a prompt token.
-        knows_reading: whether that was observed.
+        read_s_per_token: seconds to read a prompt token.
+        has_read_estimate: whether that was observed.
         event_s: seconds between two events of a stream, or 0 while not known.
         answer_s: seconds of a whole answer, or 0 while not known.
         pause_tokens: what is read at most within one pause, or infinity while not known.
         pauses: the prompt tokens that could be read within long pauses of streams lately.
     """
 
-    reading_s: float = 1.0 / constants.FIRST_READING_TOKENS_PER_S
-    knows_reading: bool = False
+    read_s_per_token: float = 1.0 / constants.FIRST_READING_TOKENS_PER_S
+    has_read_estimate: bool = False
     event_s: float = 0.0
     answer_s: float = 0.0
     pause_tokens: float = math.inf
-    settled_at: float = -math.inf
+    updated_at: float = -math.inf
     pauses: deque[float] = field(default_factory=lambda: deque(maxlen=PAUSES_KEPT))
 
-    def settle(self, views: list[EngineView], now: float) -> list[SpeedChange]:
+    def update_estimates(self, views: list[EngineView], now: float) -> list[SpeedChange]:
         """Work out the paces of the engines anew, and return which were found to differ."""
-        elapsed_s = max(0.0, now - self.settled_at)
-        self.settled_at = now
-        models = [view.model for view in views]
-        known_s = self.reading_s if self.knows_reading else 0.0
-        found_s = _settled([model.reading for model in models], known_s, now)
-        if found_s:
-            self.reading_s, self.knows_reading = found_s, True
-        self.event_s = _settled([model.event for model in models], self.event_s, now)
-        self.answer_s = _settled([model.answer for model in models], self.answer_s, now)
-        self._settle_pauses(elapsed_s)
+        elapsed_s = max(0.0, now - self.updated_at)
+        self.updated_at = now
+        speeds = [view.speed for view in views]
+        known_s = self.read_s_per_token if self.has_read_estimate else 0.0
+        current_s = _update_paces([model.reading for model in speeds], known_s, now)
+        if current_s:
+            self.read_s_per_token, self.has_read_estimate = current_s, True
+        self.event_s = _update_paces([model.event for model in speeds], self.event_s, now)
+        self.answer_s = _update_paces([model.answer for model in speeds], self.answer_s, now)
+        self._update_pause_bound(elapsed_s)
         return self._compare(views, now)
 
     def note_pause(self, tokens: float) -> None:
@@ -104,29 +104,31 @@
 
     def figures(self, service: str, views: list[EngineView]) -> SpeedFigures:
         """Return how fast the engines are."""
-        paces = [view.model.reading.found_s or self.reading_s for view in views]
-        slow = sum(max(v.model.slowness, v.model.answer_slowness) > 1.0 for v in views)
-        rates = (1.0 / max(paces), 1.0 / self.reading_s, 1.0 / min(paces))
+        paces = [view.speed.reading.current_s or self.read_s_per_token for view in views]
+        slow = sum(max(v.speed.slowness, v.speed.answer_slowness) > 1.0 for v in views)
+        rates = (1.0 / max(paces), 1.0 / self.read_s_per_token, 1.0 / min(paces))
         return SpeedFigures(service, rates, slow)
 
     def is_uneven(self, view: EngineView) -> bool:
         """Return whether an engine differs from the others, or did until a while ago."""
-        model = view.model
+        model = view.speed
         return (
             model.slowness != 1.0
             or model.answer_slowness != 1.0
-            or _differs(model.reading.lasting_s, self.reading_s)
-            or _differs(model.answer.lasting_s, self.answer_s)
+            or _differs(model.reading.long_term_s, self.read_s_per_token)
+            or _differs(model.answer.long_term_s, self.answer_s)
         )
 
     def _compare(self, views: list[EngineView], now: float) -> list[SpeedChange]:
         changes: list[SpeedChange] = []
         for view in views:
-            model = view.model
+            model = view.speed
             before, answer_before = model.slowness, model.answer_slowness
-            model.slowness = _slowness(model.reading, self.reading_s, before)
+            model.slowness = _slowness(model.reading, self.read_s_per_token, before)
             model.answer_slowness = _slowness(model.answer, self.answer_s, answer_before)
-            model.reading_s = self.reading_s * model.slowness if self.knows_reading else 0.0
+            model.read_s_per_token = (
+                self.read_s_per_token * model.slowness if self.has_read_estimate else 0.0
+            )
             model.home_weight = _home_weight(model.slowness)
             if (before > 1.0) != (model.slowness > 1.0):
                 changes.append(_change(view, "reading", model.slowness, model.reading, now))
@@ -134,7 +136,7 @@
                 changes.append(_change(view, "answer", model.answer_slowness, model.answer, now))
         return changes
 
-    def _settle_pauses(self, elapsed_s: float) -> None:
+    def _update_pause_bound(self, elapsed_s: float) -> None:
         if len(self.pauses) < LEAST_PAUSES:
             return
         ordered = sorted(self.pauses)
@@ -146,19 +148,19 @@
         self.pause_tokens = max(seen_tokens, kept_tokens)
 
 
-def _settled(paces: list[Pace], known_s: float, now: float) -> float:
+def _update_paces(paces: list[Pace], known_s: float, now: float) -> float:
     """Work out some paces, and return the middle one of those that are known."""
     for pace in paces:
-        pace.settle(known_s, now)
-    found = [pace.found_s for pace in paces if pace.found_s]
-    return middle(found) if found else known_s
+        pace.update_estimates(known_s, now)
+    found = [pace.current_s for pace in paces if pace.current_s]
+    return lower_median(found) if found else known_s
 
 
 def _slowness(pace: Pace, middle_s: float, before: float) -> float:
     """Return how many times as long as the middle one an engine takes, 1 where alike."""
-    if not pace.found_s or not middle_s:
+    if not pace.current_s or not middle_s:
         return 1.0
-    found = pace.found_s / middle_s
+    found = pace.current_s / middle_s
     factor = UNEVEN_FACTOR if before == 1.0 else EVEN_FACTOR
     return found if found > factor or found < 1.0 / factor else 1.0
 
@@ -176,4 +178,4 @@
 
 def _change(view: EngineView, work: str, slowness: float, pace: Pace, now: float) -> SpeedChange:
     own_s = pace.own_work(now).seconds
-    return SpeedChange(view, work, slowness, pace.found_s, own_s, pace.sources())
+    return SpeedChange(view, work, slowness, pace.current_s, own_s, pace.sources())
--- a/liftrill/gateway/engines/shared_parts.py
+++ b/liftrill/gateway/engines/shared_parts.py
@@ -59,7 +59,7 @@
 
 def _is_stored(directory: PrefixDirectory, number: int, now: float) -> bool:
     """Return whether a part can be fetched from a store by the time that an engine asks."""
-    if directory.is_settled(number, now):
+    if directory.is_stored(number, now):
         return True
     return directory.is_saved(number, now) and directory.holder(number, now) != 0
 
--- a/liftrill/gateway/engines/speed_board.py
+++ b/liftrill/gateway/engines/speed_board.py
@@ -5,7 +5,7 @@
 
 from liftrill import constants
 from liftrill.gateway.engines.engine_table import EngineTable, EngineView
-from liftrill.gateway.engines.service_model import NO_WORK, Pace, Work
+from liftrill.gateway.engines.service_model import NO_WORK, Pace, WorkSample
 from liftrill.gateway.engines.service_speeds import ServiceSpeeds, SpeedChange, SpeedFigures
 
 # Samples of less than this say more of the way to an engine than of its reading.
@@ -14,7 +14,7 @@
 LEAST_EVENTS = 2
 # How often paces are worked out anew: a slow engine is felt before callers leave, and what it
 # costs is small beside the requests.
-SETTLE_S = 0.5
+UPDATE_INTERVAL_S = 0.5
 # From which share of the pause target on some streams are late, and from which all are: what
 # waits at an engine is known to about a fifth (guess).
 SOME_LATE_SHARE = 0.5
@@ -22,7 +22,7 @@
 # Of more engines only those are told of that differ from the others: they fill a datagram.
 MANY_ROWS = 32
 MOST_ROWS = 96
-CAREFUL_READING_S = 1.0 / constants.PREFILL_TOKENS_PER_SECOND
+CONSERVATIVE_READ_S_PER_TOKEN = 1.0 / constants.PREFILL_TOKENS_PER_SECOND
 
 
 @dataclass(frozen=True, slots=True)
@@ -37,8 +37,8 @@
     """
 
     engine: int
-    reading: Work = NO_WORK
-    answers: Work = NO_WORK
+    reading: WorkSample = NO_WORK
+    answers: WorkSample = NO_WORK
     pause_tokens: int = 0
 
     @property
@@ -47,7 +47,7 @@
         return self.reading.seconds + self.answers.seconds
 
 
-class SpeedBoard:
+class SpeedEstimator:
     """How fast engines are, in seconds of their own work.
 
     Attributes:
@@ -63,28 +63,30 @@
 
     # What decisions ask
 
-    def reading_s(self, view: EngineView) -> float:
+    def read_s_per_token(self, view: EngineView) -> float:
         """Return the seconds in which an engine reads one prompt token."""
-        return view.model.reading_s or self._service(view.record.service).reading_s
+        return view.speed.read_s_per_token or self._service(view.record.service).read_s_per_token
 
-    def careful_reading_s(self, view: EngineView) -> float:
+    def conservative_read_s_per_token(self, view: EngineView) -> float:
         """Return the same, for what must not come too late: what is not known counts as slow."""
-        if view.model.reading_s:
-            return view.model.reading_s
+        if view.speed.read_s_per_token:
+            return view.speed.read_s_per_token
         service = self._service(view.record.service)
-        return service.reading_s if service.knows_reading else CAREFUL_READING_S
+        return (
+            service.read_s_per_token if service.has_read_estimate else CONSERVATIVE_READ_S_PER_TOKEN
+        )
 
-    def service_reading_s(self, service: str) -> float:
+    def service_read_s_per_token(self, service: str) -> float:
         """Return the same of the service's engines, in the middle."""
-        return self._service(service).reading_s
+        return self._service(service).read_s_per_token
 
-    def knows_reading(self, service: str) -> bool:
+    def has_read_estimate(self, service: str) -> bool:
         """Return whether anything was observed of how fast a service's engines read."""
-        return self._service(service).knows_reading
+        return self._service(service).has_read_estimate
 
-    def foresees_pauses(self, service: str) -> bool:
+    def predicts_pauses(self, service: str) -> bool:
         """Return whether the pauses of a service's streams are to be kept short, and can be."""
-        return bool(self.pause_targets_s.get(service)) and self.knows_reading(service)
+        return bool(self.pause_targets_s.get(service)) and self.has_read_estimate(service)
 
     def late_streams(self, view: EngineView, to_read: int, is_stream: bool) -> float:
         """Return how many streams a prompt is expected to make late by pauses at an engine.
@@ -95,14 +97,14 @@
         """
         name = view.record.service
         service, target_s = self._service(name), self.pause_targets_s[name]
-        reading_s = view.model.reading_s or service.reading_s
+        read_s_per_token = view.speed.read_s_per_token or service.read_s_per_token
         waiting_tokens = view.waiting_tokens
         most_tokens = service.pause_tokens
-        pause_s = service.event_s + min(waiting_tokens + to_read, most_tokens) * reading_s
+        pause_s = service.event_s + min(waiting_tokens + to_read, most_tokens) * read_s_per_token
         if pause_s <= SOME_LATE_SHARE * target_s:
             return 0.0
         after = _late_share(pause_s, target_s)
-        before_s = service.event_s + min(waiting_tokens, most_tokens) * reading_s
+        before_s = service.event_s + min(waiting_tokens, most_tokens) * read_s_per_token
         before = _late_share(before_s, target_s)
         return view.requests * (after - before) + (before if is_stream else 0.0)
 
@@ -117,9 +119,9 @@
             return
         service = self._service(view.record.service)
         # Also bounded by the first belief: what waited ahead may have been read meanwhile.
-        known_s = view.model.reading.found_s or service.reading_s
-        view.model.reading.record(tokens, elapsed_s, known_s, now)
-        self._settle_if_due(view.record.service, None, now)
+        known_s = view.speed.reading.current_s or service.read_s_per_token
+        view.speed.reading.record(tokens, elapsed_s, known_s, now)
+        self._update_if_due(view.record.service, None, now)
 
     def record_stream(
         self, view: EngineView, events: int, elapsed_s: float, longest_pause_s: float, now: float
@@ -130,22 +132,22 @@
         if events < LEAST_EVENTS or steady_s <= 0.0 or not self._is_sound(view, elapsed_s, now):
             return
         service = self._service(view.record.service)
-        pace = view.model.event
-        pace.record(events - 1, steady_s, pace.found_s or service.event_s, now)
-        if service.knows_reading and service.event_s:
+        pace = view.speed.event
+        pace.record(events - 1, steady_s, pace.current_s or service.event_s, now)
+        if service.has_read_estimate and service.event_s:
             read_s = max(0.0, longest_pause_s - service.event_s)
-            self._note_pause(view, read_s / self.reading_s(view))
-        self._settle_if_due(view.record.service, None, now)
+            self._note_pause(view, read_s / self.read_s_per_token(view))
+        self._update_if_due(view.record.service, None, now)
 
     def record_answer(self, view: EngineView, elapsed_s: float, requests: int, now: float) -> None:
         """Note how long a whole answer took, where so many requests were there with it."""
         if not self._is_sound(view, elapsed_s, now):
             return
         own_s = elapsed_s / max(1.0, requests / max(1, view.record.slots))
-        pace = view.model.answer
-        known_s = pace.found_s or self._service(view.record.service).answer_s
+        pace = view.speed.answer
+        known_s = pace.current_s or self._service(view.record.service).answer_s
         pace.record(1.0, own_s, known_s, now)
-        self._settle_if_due(view.record.service, None, now)
+        self._update_if_due(view.record.service, None, now)
 
     # What nodes tell each other
 
@@ -157,26 +159,26 @@
         """Return what this node and the heard nodes of its zone observed lately."""
         return self._rows(lambda pace: pace.zone_work(zone, now))
 
-    def told(self) -> None:
+    def reset_longest_pauses(self) -> None:
         """Begin anew with the pauses to tell of."""
         self._longest_pauses.clear()
 
-    def hear(self, node: str, zone: str, rows: Iterable[SpeedRow], now: float) -> None:
+    def apply_report(self, node: str, zone: str, rows: Iterable[SpeedRow], now: float) -> None:
         """Replace what a node told of some engines, or a zone where the node is empty."""
         for row in rows:
             view = self._engines.by_number(row.engine)
             if view is None:
                 continue
-            model = view.model
-            model.reading.hear(node, zone, row.reading, now)
-            model.answer.hear(node, zone, row.answers, now)
+            model = view.speed
+            model.reading.apply_report(node, zone, row.reading, now)
+            model.answer.apply_report(node, zone, row.answers, now)
             self._service(view.record.service).note_pause(row.pause_tokens)
 
-    def _rows(self, work_of: Callable[[Pace], Work]) -> list[SpeedRow]:
+    def _rows(self, work_of: Callable[[Pace], WorkSample]) -> list[SpeedRow]:
         found: list[tuple[EngineView, SpeedRow]] = []
         for view in self._engines:
-            reading, answers = work_of(view.model.reading), work_of(view.model.answer)
-            if reading.tells or answers.tells:
+            reading, answers = work_of(view.speed.reading), work_of(view.speed.answer)
+            if reading.is_significant or answers.is_significant:
                 pause_tokens = int(self._longest_pauses.get(view.number, 0.0))
                 found.append((view, SpeedRow(view.number, reading, answers, pause_tokens)))
         if len(found) > MANY_ROWS:
@@ -195,9 +197,9 @@
         by_service = self._by_service()
         for service, views in by_service.items():
             for view in views:
-                if view.loads_weights(now):
-                    view.model.disturbed_at = now
-            self._settle_if_due(service, views, now)
+                if view.is_loading_weights(now):
+                    view.speed.disturbed_at = now
+            self._update_if_due(service, views, now)
         for gone in self._services.keys() - by_service.keys():
             del self._services[gone]
         changes, self._changes = self._changes, []
@@ -214,11 +216,11 @@
             found.setdefault(view.record.service, []).append(view)
         return found
 
-    def _settle_if_due(self, name: str, views: list[EngineView] | None, now: float) -> None:
+    def _update_if_due(self, name: str, views: list[EngineView] | None, now: float) -> None:
         service = self._service(name)
-        if now - service.settled_at >= SETTLE_S:
+        if now - service.updated_at >= UPDATE_INTERVAL_S:
             views = self._engines.of_service(name) if views is None else views
-            self._changes.extend(service.settle(views, now))
+            self._changes.extend(service.update_estimates(views, now))
 
     def _note_pause(self, view: EngineView, tokens: float) -> None:
         self._service(view.record.service).note_pause(tokens)
@@ -227,9 +229,9 @@
 
     def _is_sound(self, view: EngineView, elapsed_s: float, now: float) -> bool:
         """Return whether what ran for some time until now shows how fast an engine is."""
-        if view.loads_weights(now):
-            view.model.disturbed_at = now
-        return elapsed_s > 0.0 and now - elapsed_s > view.model.disturbed_at
+        if view.is_loading_weights(now):
+            view.speed.disturbed_at = now
+        return elapsed_s > 0.0 and now - elapsed_s > view.speed.disturbed_at
 
     def _service(self, name: str) -> ServiceSpeeds:
         service = self._services.get(name)
--- a/liftrill/gateway/forwarder.py
+++ b/liftrill/gateway/forwarder.py
@@ -133,7 +133,7 @@
     def outlook(self, request: OpaqueRequest) -> Outlook:
         """Return what engines mean for a request that waits."""
         is_overloaded = self._selector.guard.stands(request.service)
-        return Outlook(self._selector.reading_s(request), is_overloaded)
+        return Outlook(self._selector.prompt_read_s(request), is_overloaded)
 
     def try_spend_retry(self, request: OpaqueRequest) -> bool:
         """Spend one repeat of the service's budget."""
@@ -269,8 +269,8 @@
         view = self._engines.get(start.choice.engine_id)
         if view is not None:
             view.breaker.record_start(now)
-            view.standing.note_sent(now)
-            reading_s = start.choice.expected_tokens * self._ports.speeds.reading_s(view)
+            view.condition.note_sent(now)
+            reading_s = start.choice.expected_tokens * self._ports.speeds.read_s_per_token(view)
             if reading_s >= constants.TOLD_READING_LEAST_S:
                 self.reading_begun(view, start.choice.expected_tokens)
         self._ports.record_sent(start.choice, request, first)
@@ -282,7 +282,7 @@
     def _may_send(self, view: EngineView, choice: events.EngineChoice) -> bool:
         """Return whether an engine that was chosen before still takes what is sent to it now."""
         now = clock.now_s()
-        if not self._ports.beliefs_hold(now) or view.wants_nothing(now):
+        if not self._ports.beliefs_hold(now) or view.rejects_requests(now):
             return False
         return self._ports.limits.may_send(view.at, choice.permit, now)
 
@@ -309,7 +309,7 @@
             view.breaker.record_failure(now)
         elif isinstance(event, events.WholeAnswer | events.EventArrived):
             view.breaker.record_success()
-            view.standing.note_answered(sent_at)
+            view.condition.note_answered(sent_at)
 
     async def run_lost(
         self, machine: DeliveryMachine, view: EngineView, times: AttemptTimes
@@ -364,4 +364,4 @@
             view.breaker.record_abandoned()
         else:
             view.breaker.record_abandoned()
-            view.loading_until = max(view.loading_until, now + REFUSED_PAUSE_SECONDS)
+            view.paused_until = max(view.paused_until, now + REFUSED_PAUSE_SECONDS)
--- a/liftrill/gateway/gateway.py
+++ b/liftrill/gateway/gateway.py
@@ -33,7 +33,7 @@
 from liftrill.gateway.decision_log import DecisionLog, rounded_age
 from liftrill.gateway.engines.engine_limits import LimitMessage
 from liftrill.gateway.engines.engine_selector import EngineSelector
-from liftrill.gateway.engines.engine_standing import EngineWord
+from liftrill.gateway.engines.engine_standing import EngineSignal
 from liftrill.gateway.engines.engine_table import EngineNotice, EngineTable, EngineView
 from liftrill.gateway.engines.engine_update import EngineUpdate
 from liftrill.gateway.fleet_record import FleetRecord
@@ -506,7 +506,7 @@
             incarnation=member.incarnation,
         )
 
-    def hear_engine(self, word: EngineWord) -> None:
+    def hear_engine(self, word: EngineSignal) -> None:
         """Take in what an engine says of itself in an answer to this node."""
         self._gossip.hear(word)
 
@@ -522,7 +522,7 @@
     def _on_loads(self, report: LoadReport) -> None:
         now = clock.now_s()
         of_zone = report.zone == self.settings.zone
-        self._beliefs.selector.parts.directory.hear(report.kept, now, of_zone)
+        self._beliefs.selector.parts.directory.apply_updates(report.kept, now, of_zone)
         self._quotas.hear(report, now)
         if report.kept:
             self.forwarder.lines.changed()
@@ -613,7 +613,7 @@
             now = clock.now_s()
             members = self._membership.members()
             topology = topology_for(members)
-            kept = self._beliefs.selector.parts.directory.news(now)
+            kept = self._beliefs.selector.parts.directory.updates(now)
             words = topology.own_word(own, self._loads, kept, members)
             has_load = any(word.report.loads or word.report.kept for word in words)
             is_due = now - reported_at >= IDLE_REPORT_S
@@ -712,7 +712,7 @@
             self._beat(now)
             self._measure_capacity(now)
             self._beliefs.expire(now)
-            self._engines.standings.expire((view.standing for view in self._engines), now)
+            self._engines.conditions.expire((view.condition for view in self._engines), now)
             self.metrics.limited_engines.set(len(self._limits.in_force()))
             self._limits.expire((view.at for view in self._engines), now)
             self._follower.reconsider()
--- a/liftrill/gateway/gateway_metrics.py
+++ b/liftrill/gateway/gateway_metrics.py
@@ -8,7 +8,7 @@
 from liftrill.errors import ResultCode
 from liftrill.gateway import delivery_events as events
 from liftrill.gateway.delivery import DeliveryMachine
-from liftrill.gateway.engines.engine_standing import EngineWord
+from liftrill.gateway.engines.engine_standing import EngineSignal
 from liftrill.gateway.engines.service_speeds import SpeedFigures
 from liftrill.gateway.opaque_request import OpaqueRequest
 from liftrill.gateway.peers.node_capacity import NodeWord
@@ -156,11 +156,11 @@
         """Count a request by how it ended."""
         self.outcomes.labels(outcome).inc()
 
-    def count_word(self, word: EngineWord) -> None:
+    def count_word(self, word: EngineSignal) -> None:
         """Count an answer in which an engine says that it leaves, wants rest or names a limit."""
         if word.leaving:
             self.engine_words.labels("leaving").inc()
-        if word.rest_s:
+        if word.backoff_s:
             self.engine_words.labels("rest").inc()
         if word.limit_per_s is not None:
             self.engine_words.labels("limit").inc()
--- a/liftrill/gateway/peers/engine_gossip.py
+++ b/liftrill/gateway/peers/engine_gossip.py
@@ -17,7 +17,7 @@
     LimitMessage,
     LimitPeers,
 )
-from liftrill.gateway.engines.engine_standing import EngineWord
+from liftrill.gateway.engines.engine_standing import EngineSignal
 from liftrill.gateway.engines.engine_table import EngineTable
 from liftrill.gateway.engines.engine_update import EngineUpdate
 from liftrill.gateway.gateway_metrics import GatewayMetrics
@@ -52,10 +52,10 @@
         self._log = log
         self._metrics = metrics
 
-    def hear(self, word: EngineWord) -> None:
+    def hear(self, word: EngineSignal) -> None:
         """Take in what an engine says of itself in an answer to this node."""
         self._metrics.count_word(word)
-        if word.rest_s:
+        if word.backoff_s:
             self._log.engine_rests(word)
         if word.limit_per_s is not None:
             self._log.engine_limit_named(word)
@@ -63,7 +63,7 @@
         engine = self._engines.incarnation(word.engine)
         if engine is not None:
             self._limits.note_answer(engine, word.limit_per_s, word.permit, now)
-        if self._engines.hear(word, now):
+        if self._engines.apply_signal(word, now):
             self._note_leaving(word.engine, word.source)
             self._peers.tell_leaving([word.engine])
 
@@ -71,11 +71,11 @@
         """Take in what a peer tells."""
         now = clock.now_s()
         for engine in update.leaving:
-            if self._engines.hear(EngineWord(engine, "peer", leaving=True), now):
+            if self._engines.apply_signal(EngineSignal(engine, "peer", leaving=True), now):
                 self._note_leaving(engine, "peer")
         for limit in update.limits:
             self._limits.merge(limit, now)
-        for record in self._engines.learn_unwritten(update, now):
+        for record in self._engines.merge_unrecorded_state(update, now):
             self._log.belief("engine_withheld", engine=record.engine_id, revision=record.revision)
 
     def tell_joiner(self, joiner: Member) -> None:
@@ -101,7 +101,7 @@
         return self._membership.own.node_id in few
 
     def _tell(self, node: str, with_all_weights: bool = False) -> None:
-        update = self._engines.unwritten(with_all_weights)
+        update = self._engines.unrecorded_state(with_all_weights)
         self._peers.send_update(replace(update, limits=self._limits.in_force()), node)
 
     def _note_leaving(self, engine: EngineAddress, source: str) -> None:
--- a/liftrill/gateway/peers/load_board.py
+++ b/liftrill/gateway/peers/load_board.py
@@ -130,7 +130,7 @@
         counted = tuple(
             (view, load)
             for view, load in known
-            if view is not None and view.is_meant_by(load.number)
+            if view is not None and view.matches_number(load.number)
         )
         for view, load in counted:
             view.peer_load.add(load)
@@ -146,4 +146,4 @@
     """Return the own load on an engine, without the tokens that peers were told of at once."""
     load = view.own_load
     waiting_tokens = max(0, load.waiting_tokens - told_tokens)
-    return replace(load, waiting_tokens=waiting_tokens, number=view.told_number)
+    return replace(load, waiting_tokens=waiting_tokens, number=view.advertised_number)
--- a/liftrill/gateway/peers/load_codec.py
+++ b/liftrill/gateway/peers/load_codec.py
@@ -11,8 +11,8 @@
 
 from liftrill.coordination.quota import QuotaReport
 from liftrill.gateway.engines.engine_table import EngineLoad
-from liftrill.gateway.engines.prefix_directory import KeptPart, PartStage
-from liftrill.gateway.engines.service_model import Work
+from liftrill.gateway.engines.prefix_directory import PartLocation, PartStage
+from liftrill.gateway.engines.service_model import WorkSample
 from liftrill.gateway.engines.speed_board import SpeedRow
 from liftrill.gateway.peers.load_exchange import LoadReport, LoadScope
 from liftrill.gateway.peers.node_capacity import NodeWord
@@ -74,7 +74,7 @@
     report: LoadReport,
     quota_nodes: int,
     loads: list[tuple[str, EngineLoad]],
-    kept: list[KeptPart],
+    kept: list[PartLocation],
     spent: list[tuple[str, float]],
 ) -> messages.Datagram:
     rows = [
@@ -125,7 +125,7 @@
         message.held_alone,
         fillvalue=0,
     )
-    kept = tuple(KeptPart(part, engine, _stage(*flags)) for part, engine, *flags in rows)
+    kept = tuple(PartLocation(part, engine, _stage(*flags)) for part, engine, *flags in rows)
     quota = _quota(message) if message.spent_by_nodes else None
     word = _word_from_load(message.node_load) if message.HasField("node_load") else None
     return LoadReport(scope, message.sender, message.zone, loads, kept, quota, node_word=word)
@@ -174,8 +174,8 @@
     rows = tuple(
         SpeedRow(
             row.engine,
-            Work(row.read_tokens, row.read_milliseconds / MILLISECONDS),
-            Work(row.answers / HUNDREDTHS, row.answer_milliseconds / MILLISECONDS),
+            WorkSample(row.read_tokens, row.read_milliseconds / MILLISECONDS),
+            WorkSample(row.answers / HUNDREDTHS, row.answer_milliseconds / MILLISECONDS),
             row.pause_tokens,
         )
         for row in message.speeds
--- a/liftrill/gateway/peers/load_exchange.py
+++ b/liftrill/gateway/peers/load_exchange.py
@@ -17,7 +17,7 @@
 from liftrill.coordination import rendezvous
 from liftrill.coordination.membership_messages import Member
 from liftrill.coordination.quota import QuotaReport
-from liftrill.gateway.engines.prefix_directory import KeptNews, KeptPart
+from liftrill.gateway.engines.prefix_directory import PartLocation, PartUpdates
 from liftrill.gateway.engines.speed_board import SpeedRow
 from liftrill.gateway.peers.able_nodes import able
 from liftrill.gateway.peers.load_board import LoadBoard, LoadByEngine
@@ -55,7 +55,7 @@
     node: str
     zone: str
     loads: LoadByEngine
-    kept: tuple[KeptPart, ...] = ()
+    kept: tuple[PartLocation, ...] = ()
     quota: QuotaReport | None = None
     speeds: tuple[SpeedRow, ...] = ()
     node_word: NodeWord | None = None
@@ -78,7 +78,7 @@
 
     @abstractmethod
     def own_word(
-        self, own: Member, board: LoadBoard, kept: KeptNews, members: list[Member]
+        self, own: Member, board: LoadBoard, kept: PartUpdates, members: list[Member]
     ) -> list[SendLoads]:
         """Return what a node tells of its own accord."""
 
@@ -95,7 +95,7 @@
         return SHORTEST_INTERVAL_S
 
     def own_word(
-        self, own: Member, board: LoadBoard, kept: KeptNews, members: list[Member]
+        self, own: Member, board: LoadBoard, kept: PartUpdates, members: list[Member]
     ) -> list[SendLoads]:
         """Return one report for all others."""
         report = LoadReport(LoadScope.NODE, own.node_id, own.zone, board.own_loads(), kept.own)
@@ -115,7 +115,7 @@
         return min(LONGEST_INTERVAL_S, max(SHORTEST_INTERVAL_S, local * INTERVAL_PER_NODE_S))
 
     def own_word(
-        self, own: Member, board: LoadBoard, kept: KeptNews, members: list[Member]
+        self, own: Member, board: LoadBoard, kept: PartUpdates, members: list[Member]
     ) -> list[SendLoads]:
         """Return a report for the zone, and the delegate's sum for the other zones."""
         report = LoadReport(LoadScope.NODE, own.node_id, own.zone, board.own_loads(), kept.own)
--- a/liftrill/gateway/peers/node_capacity.py
+++ b/liftrill/gateway/peers/node_capacity.py
@@ -9,7 +9,7 @@
 from collections.abc import Sequence
 from dataclasses import dataclass, field
 
-from liftrill.gateway.engines.service_model import middle
+from liftrill.gateway.engines.service_model import lower_median
 from liftrill.gateway.peers.peer_silence import SILENT_AFTER_S
 from liftrill.gateway.settings import MachineLimits
 
@@ -121,7 +121,7 @@
     @property
     def late_s(self) -> float:
         """Return by how much the loop, or what comes over the link, is late."""
-        arrival_s = middle(self._arrivals_s) if self._arrivals_s else 0.0
+        arrival_s = lower_median(self._arrivals_s) if self._arrivals_s else 0.0
         return max(self.lag_s, min(arrival_s, LONGEST_LAG_S))
 
     def note_request(self, body_bytes: int, arrival_s: float) -> None:
@@ -249,14 +249,14 @@
         return NodeWord(0.0, 0.0)
     capacity = sum(word.capacity_cores for word in words)
     used = sum(word.used_cores for word in words)
-    return NodeWord(capacity, used, middle(word.late_s for word in words))
+    return NodeWord(capacity, used, lower_median(word.late_s for word in words))
 
 
 def _median_word(words: list[NodeWord]) -> NodeWord:
     if not words:
         return NodeWord(0.0, 0.0)
     return NodeWord(
-        middle(word.capacity_cores for word in words),
-        middle(word.used_cores for word in words),
-        middle(word.late_s for word in words),
+        lower_median(word.capacity_cores for word in words),
+        lower_median(word.used_cores for word in words),
+        lower_median(word.late_s for word in words),
     )
--- a/liftrill/gateway/peers/speed_exchange.py
+++ b/liftrill/gateway/peers/speed_exchange.py
@@ -7,7 +7,7 @@
 import math
 from dataclasses import dataclass, replace
 
-from liftrill.gateway.engines.speed_board import SpeedBoard
+from liftrill.gateway.engines.speed_board import SpeedEstimator
 from liftrill.gateway.peers.load_exchange import LoadReport, LoadScope, SendLoads
 
 # Often enough that an engine's recovery is known within two seconds.
@@ -22,7 +22,7 @@
         zone: of this node.
     """
 
-    board: SpeedBoard
+    board: SpeedEstimator
     zone: str
     _told_at: float = -math.inf
 
@@ -32,15 +32,15 @@
             return []
         self._told_at = now
         words = [SendLoads(self._report(word.report, now), word.members) for word in loads]
-        self.board.told()
+        self.board.reset_longest_pauses()
         return [word for word in words if word.report.speeds and word.members]
 
     def hear(self, report: LoadReport, now: float) -> None:
         """Take in what a node, or the nodes of another zone, observed."""
         if report.scope is LoadScope.NODE:
-            self.board.hear(report.node, report.zone, report.speeds, now)
+            self.board.apply_report(report.node, report.zone, report.speeds, now)
         elif report.zone != self.zone:
-            self.board.hear("", report.zone, report.speeds, now)
+            self.board.apply_report("", report.zone, report.speeds, now)
 
     def _report(self, loads: LoadReport, now: float) -> LoadReport:
         if loads.scope is LoadScope.NODE:
--- a/liftrill/gateway/weight_controller.py
+++ b/liftrill/gateway/weight_controller.py
@@ -219,7 +219,9 @@
 
     def _tell(self, view: EngineView, model: str, version: int, loading: bool) -> None:
         sequence = notice_sequence(self._fence, next(_counter))
-        notice = EngineNotice(view.engine_id, model, version, loading, sequence, view.told_number)
+        notice = EngineNotice(
+            view.engine_id, model, version, loading, sequence, view.advertised_number
+        )
         self._spawn(self._send_notices([notice]))
 
     def _spawn(self, work: Awaitable[object]) -> None:
--- a/liftrill/gateway/weight_rollout.py
+++ b/liftrill/gateway/weight_rollout.py
@@ -192,7 +192,7 @@
         for load in self.loads.values():
             if now < load.next_at or load.state is LoadState.ORDERED:
                 continue
-            if known[load.engine_id].standing.defers_orders(now):
+            if known[load.engine_id].condition.defers_weight_orders(now):
                 continue
             if load.state is LoadState.DRAINING:
                 if self._is_drained(load, known[load.engine_id], now):
@@ -235,7 +235,7 @@
         return [self._announce(view, model, version, now) for view in chosen]
 
     def _may_order(self, view: EngineView, now: float) -> bool:
-        if view.engine_id in self.loads or view.standing.defers_orders(now):
+        if view.engine_id in self.loads or view.condition.defers_weight_orders(now):
             return False
         return now >= self._not_before.get(view.engine_id, 0.0)
 
