--- a/liftrill/gateway/engines/service_model.py
+++ b/liftrill/gateway/engines/service_model.py
@@ -52,7 +52,7 @@
         """The seconds that one unit took."""
         return self.seconds / self.units
 
-    def decayed(self, elapsed_s: float) -> "Work":
+    def decayed(self, elapsed_s: float) -> "WorkSample":
         """Return what of it counts after some time."""
         factor = math.exp(-max(0.0, elapsed_s) / RECENT_S)
         return WorkSample(self.units * factor, self.seconds * factor)
