--- a/features/steps/engine_limit_steps.py
+++ b/features/steps/engine_limit_steps.py
@@ -324,7 +324,7 @@
 @then("a request is refused at once, with the time until there is a permit again")
 def step_refused_at_once(context):
     assert choose_at(context, context.now) is Unavailable.RESTING
-    left_s = context.node.selector.room_in_s(opaque_request(), context.now)
+    left_s = context.node.selector.capacity_wait_s(opaque_request(), context.now)
     assert isinstance(choose_at(context, context.now + left_s + 0.01), EngineChoice)
     assert 0.5 / context.limit < left_s <= 1.0 / context.limit, left_s
 
--- a/features/steps/engine_speeds_steps.py
+++ b/features/steps/engine_speeds_steps.py
@@ -197,7 +197,7 @@
 @then("nothing is known of engine 0")
 def step_unknown(context):
     fleet = context.fleet
-    model = fleet.view(0).model
+    model = fleet.view(0).speed
     assert not model.reading.current_s and model.slowness == 1.0, model
     assert fleet.speeds.read_s_per_token(fleet.view(0)) == fleet.speeds.service_read_s_per_token(
         "service-1"
@@ -206,7 +206,7 @@
 
 @then("no evidence of engine 0 is left but what it lasted at")
 def step_lasted(context):
-    reading = context.fleet.view(0).model.reading
+    reading = context.fleet.view(0).speed.reading
     assert not reading.sources() and reading.current_s == reading.long_term_s, reading
 
 
--- a/features/steps/engine_word_steps.py
+++ b/features/steps/engine_word_steps.py
@@ -269,7 +269,7 @@
 @then("a request is refused after {seconds:g} s, with {left:g} s until the first rest is over")
 def step_refused(context, seconds, left):
     assert choice_after(context, seconds) is Unavailable.RESTING
-    backoff_s = context.node.selector.room_in_s(opaque_request(), seconds)
+    backoff_s = context.node.selector.capacity_wait_s(opaque_request(), seconds)
     assert abs(backoff_s - left) < 0.001, backoff_s
 
 
--- a/features/steps/gateway_overload_steps.py
+++ b/features/steps/gateway_overload_steps.py
@@ -33,10 +33,10 @@
 class Unbounded:
     """Lets any wait pass."""
 
-    def longest_wait(self, request, least_wait_s, now):
+    def max_wait_s(self, request, least_wait_s, now):
         return math.inf
 
-    def stands(self, service):
+    def is_overloaded(self, service):
         return False
 
 
--- a/features/steps/gateway_quota_steps.py
+++ b/features/steps/gateway_quota_steps.py
@@ -8,7 +8,7 @@
 from features.gateway_support import opaque_request
 from liftrill.coordination.quota import FleetSize, QuotaLimit
 from liftrill.coordination.store_mirror import StoreMirror
-from liftrill.gateway.admission.quota_gate import units_of
+from liftrill.gateway.admission.quota_gate import request_units
 from liftrill.gateway.decision_log import DecisionLog
 from liftrill.gateway.fleet_record import FLEET_KEY, FleetRecord
 from liftrill.gateway.leadership import LEADER_KEY
@@ -22,12 +22,12 @@
 
 @then("a request of 110 + 20 tokens counts {units:d}")
 def step_prompt_counts(context, units):
-    assert units_of(context.quota, opaque_request()) == units
+    assert request_units(context.quota, opaque_request()) == units
 
 
 @then("a request without a prompt counts {units:d}")
 def step_plain_counts(context, units):
-    assert units_of(context.quota, opaque_request(model=None)) == units
+    assert request_units(context.quota, opaque_request(model=None)) == units
 
 
 class FleetNode:
--- a/features/steps/room_steps.py
+++ b/features/steps/room_steps.py
@@ -14,11 +14,15 @@
 from features.room_replay import CallerSink, Replay, run_virtual
 from liftrill import clock
 from liftrill.gateway import delivery_events as events
-from liftrill.gateway.admission.coming_back import REFUSED_KEPT, ReturningCallers, ReturnTimes
-from liftrill.gateway.admission.line import Place, Standing, WaitingLine
+from liftrill.gateway.admission.coming_back import (
+    MAX_REFUSED_REQUESTS,
+    RefusedRequests,
+    RetrySchedule,
+)
+from liftrill.gateway.admission.line import QueueEntry, RequestQueue, RetryStatus
 from liftrill.gateway.admission.overload import OverloadGuard
 from liftrill.gateway.admission.retry_allowance import RetryAllowance
-from liftrill.gateway.admission.room import EngineRoom
+from liftrill.gateway.admission.room import CapacityFilter
 from liftrill.gateway.decision_log import DecisionLog
 from liftrill.gateway.engines.engine_selector import EngineSelector
 from liftrill.gateway.engines.engine_table import EngineLoad, EngineTable, EngineView
@@ -32,17 +36,17 @@
 SERVICE = "service-1"
 
 
-def place(urgency=1, tenant="a", tokens=100, latest=2.0, standing=Standing.NEW):
-    return Place(urgency, tenant, tokens, latest, until=10.0, since=0.0, standing=standing)
+def place(urgency=1, tenant="a", tokens=100, latest=2.0, standing=RetryStatus.NEW):
+    return QueueEntry(urgency, tenant, tokens, latest, until=10.0, since=0.0, standing=standing)
 
 
 def places(line, count):
     """Return who gets the next places that come free."""
     found = []
     for _ in range(count):
-        waiter = line.came_free()
+        waiter = line.capacity_freed()
         found.append(waiter)
-        assert line.took(waiter, 0.0) is None
+        assert line.dispatched(waiter, 0.0) is None
     return found
 
 
@@ -51,9 +55,9 @@
 
 @given("a line in which wait, in this order")
 def step_line(context):
-    context.line, context.names = WaitingLine(), {}
+    context.line, context.names = RequestQueue(), {}
     for row in context.table:
-        standing = Standing[row["standing"].upper()]
+        standing = RetryStatus[row["standing"].upper()]
         urgency, tokens, latest = int(row["urgency"]), int(row["tokens"]), float(row["latest"])
         waiter = context.line.join(place(urgency, row["tenant"], tokens, latest, standing))
         context.names[waiter.number] = row["name"]
@@ -67,7 +71,7 @@
 
 @given("a line with {many:d} requests of 1000 tokens of tenant large and {few:d} of tenant small")
 def step_two_tenants(context, many, few):
-    context.line = WaitingLine()
+    context.line = RequestQueue()
     for tenant, count in (("large", many), ("small", few)):
         for _ in range(count):
             context.line.join(place(tenant=tenant, tokens=1000))
@@ -75,13 +79,13 @@
 
 @then("of the first {count:d} places {few:d} go to small")
 def step_small_gets(context, count, few):
-    found = [w.place.tenant for w in places(context.line, count)]
+    found = [w.entry.tenant for w in places(context.line, count)]
     assert found.count("small") == few, found
 
 
 @given("a line with {many:d} urgent requests and {few:d} others")
 def step_urgent_and_others(context, many, few):
-    context.line = WaitingLine()
+    context.line = RequestQueue()
     for urgency, count in ((0, many), (1, few)):
         for _ in range(count):
             context.line.join(place(urgency))
@@ -89,7 +93,7 @@
 
 @then("of the first {count:d} places {few:d} go to the others")
 def step_others_get(context, count, few):
-    found = [w.place.urgency for w in places(context.line, count)]
+    found = [w.entry.urgency for w in places(context.line, count)]
     assert found.count(1) == few, found
 
 
@@ -99,7 +103,7 @@
     tenant=st.sampled_from("abc"),
     tokens=st.integers(1, 9_000),
     latest=st.floats(0.1, 2.0),
-    standing=st.sampled_from(list(Standing)),
+    standing=st.sampled_from(list(RetryStatus)),
 )
 STEPS = st.one_of(
     st.tuples(st.just("join"), PLACES),
@@ -111,18 +115,18 @@
     """Carry out a step; return who is newly asked, and whom the step was about."""
     if kind == "join":
         line.join(what)
-        return line.ask_untried(), None
+        return line.start_untried_round(), None
     if kind == "free":
-        return line.came_free(), None
+        return line.capacity_freed(), None
     if kind == "ask all":
-        return line.ask_all(0.0), None
+        return line.start_full_round(0.0), None
     among = list(line._waiters.values()) if kind == "leave" else asked
     if not among:
         return None, None
     waiter = among[what % len(among)]
     if kind == "took":
-        return line.took(waiter, 0.0), waiter
-    return (line.leave if kind == "leave" else line.found_nothing)(waiter), waiter
+        return line.dispatched(waiter, 0.0), waiter
+    return (line.leave if kind == "leave" else line.found_no_capacity)(waiter), waiter
 
 
 @then("it is so in {count:d} histories drawn at random")
@@ -130,9 +134,9 @@
     @settings(max_examples=count, deadline=None, derandomize=True)
     @drawn(st.lists(STEPS, max_size=60))
     def check(steps):
-        line, asked = WaitingLine(), []
+        line, asked = RequestQueue(), []
         for kind, what in steps:
-            unasked = [w for w in line._waiters.values() if w.asked_in is None]
+            unasked = [w for w in line._waiters.values() if w.wake_round is None]
             woken, about = next_step(line, asked, kind, what)
             if about in asked:
                 asked.remove(about)
@@ -141,23 +145,23 @@
             if kind == "free" and unasked:
                 assert woken in unasked, (kind, what)
             # Exactly those are asked that were woken, and each of them is still there.
-            assert [w for w in line._waiters.values() if w.asked_in] == sorted(
+            assert [w for w in line._waiters.values() if w.wake_round] == sorted(
                 asked, key=lambda w: w.number
             )
         served = 0
         while len(line):
-            for waiter in asked or [line.ask_all(0.0)]:
-                line.took(waiter, 0.0)
+            for waiter in asked or [line.start_full_round(0.0)]:
+                line.dispatched(waiter, 0.0)
                 served += 1
-            asked = [w for w in line._waiters.values() if w.asked_in]
-        assert line.came_free() is None
+            asked = [w for w in line._waiters.values() if w.wake_round]
+        assert line.capacity_freed() is None
 
     check()
 
 
 @given("a line with a request of urgency 1 that found nothing")
 def step_found_nothing(context):
-    context.line = WaitingLine()
+    context.line = RequestQueue()
     context.waiter = context.line.join(place(1))
 
 
@@ -171,7 +175,7 @@
     if hasattr(context, "crowd"):
         context.actions.append(context.crowd.free_place)
     else:
-        assert context.line.came_free() is context.waiter
+        assert context.line.capacity_freed() is context.waiter
 
 
 @then("one of urgency 1 that arrives must wait, and one of urgency 0 need not")
@@ -182,28 +186,28 @@
 
 @when("the request that was asked finds nothing")
 def step_asked_finds_nothing(context):
-    assert context.line.found_nothing(context.waiter) is None
+    assert context.line.found_no_capacity(context.waiter) is None
 
 
 @given("a line in which {parts:d} requests wait for a part to be read, and {room:d} for room")
 def step_part_line(context, parts, room):
-    context.line = WaitingLine()
+    context.line = RequestQueue()
     for _ in range(parts):
-        context.line.join(replace(place(), needs_room=False))
+        context.line.join(replace(place(), needs_capacity=False))
     for _ in range(room):
         context.line.join(place(2))
 
 
 @when("the part was read, and all of the {count:d} find it")
 def step_part_read(context, count):
-    context.asked = [context.line.was_read(0.0)]
-    while context.asked[-1] is not None and not context.asked[-1].place.needs_room:
-        context.asked.append(context.line.took(context.asked[-1], 0.0))
+    context.asked = [context.line.prompt_read(0.0)]
+    while context.asked[-1] is not None and not context.asked[-1].entry.needs_capacity:
+        context.asked.append(context.line.dispatched(context.asked[-1], 0.0))
 
 
 @then("the {count:d} were asked one after the other, without any other sign")
 def step_all_parts_asked(context, count):
-    assert sum(not w.place.needs_room for w in context.asked if w) == count
+    assert sum(not w.entry.needs_capacity for w in context.asked if w) == count
 
 
 # In the gateway
@@ -266,7 +270,7 @@
 
     def free_place(self):
         self.view.own_load.add(EngineLoad(1, 0, 1_000), -1)
-        self.forwarder.lines.came_free(SERVICE)
+        self.forwarder.lines.capacity_freed(SERVICE)
 
     def free_silently(self):
         self.view.own_load = EngineLoad(-10, 0, -100_000)
@@ -370,10 +374,10 @@
 def step_drained_line(context, rate, count):
     context.crowd = Crowd()
     context.crowd.forwarder._places.log = Mock()
-    line = context.crowd.forwarder.lines.line(SERVICE)
+    line = context.crowd.forwarder.lines.queue(SERVICE)
     now = clock.now_s()
     for number in range(2 * rate):
-        line.took(line.join(place()), now - (2 * rate - number) / rate)
+        line.dispatched(line.join(place()), now - (2 * rate - number) / rate)
     for _ in range(count):
         line.join(place())
 
@@ -401,7 +405,7 @@
 @then("with a target of {target:g} s a wait of up to {wait:g} s is sent into")
 def step_bound(context, target, wait):
     request = opaque_request(replace(route_rule(), target_seconds=target))
-    assert abs(OverloadGuard().longest_wait(request, 0.0, 0.0) - wait) < 1e-9
+    assert abs(OverloadGuard().max_wait_s(request, 0.0, 0.0) - wait) < 1e-9
 
 
 @given("a service whose urgent requests have a target of {tight:g} s, and others of {wide:g} s")
@@ -415,7 +419,7 @@
 
 def bounds(context, least_wait_s, now):
     kinds = [replace(kind, received_at=now) for kind in context.kinds]
-    return [round(context.guard.longest_wait(kind, least_wait_s, now), 3) for kind in kinds]
+    return [round(context.guard.max_wait_s(kind, least_wait_s, now), 3) for kind in kinds]
 
 
 @then("in a short burst both may be sent into waits of up to {wait:g} s")
@@ -427,7 +431,7 @@
 def step_queue_stands(context):
     for tenth in range(10):
         bounds(context, 1.0, tenth / 10)
-    assert context.guard.stands(SERVICE)
+    assert context.guard.is_overloaded(SERVICE)
 
 
 @then("the urgent may be sent into waits of up to {tight:g} s, and others of up to {wide:g} s")
@@ -450,7 +454,7 @@
 
 @given("an engine of 90000 tokens of which running requests have 85000")
 def step_engine_memory(context):
-    context.room, context.guard = EngineRoom(), OverloadGuard()
+    context.room, context.guard = CapacityFilter(), OverloadGuard()
     context.view = EngineView(engine_record("e0"), own_load=EngineLoad(9, 0, 85_000))
 
 
@@ -458,7 +462,7 @@
     request = replace(opaque_request(), prompt=PromptShape("model", (), 9_900, 100))
     request = replace(request, priority=urgency)
     args = (context.guard, request, [context.view], {"e0": 0.0}, 90_000, 0.0)
-    return bool(context.room.with_room(*args))
+    return bool(context.room.engines_with_capacity(*args))
 
 
 @then("a request of 10000 tokens fits, of whatever urgency")
@@ -524,14 +528,14 @@
 
 @given("a node that sends {rate:d} requests a second")
 def step_sends(context, rate):
-    context.times = ReturnTimes()
+    context.times = RetrySchedule()
     for number in range(10 * rate):
         context.times.note_sent(number / rate)
 
 
 @when("{count:d} callers with {patience:g} s of patience are refused at once")
 def step_refused_together(context, count, patience):
-    context.waits = [context.times.draw_s(0.3, patience, 10.0) for _ in range(count)]
+    context.waits = [context.times.next_retry_s(0.3, patience, 10.0) for _ in range(count)]
 
 
 @when(
@@ -539,8 +543,8 @@
     " and there is room after {room:g} s"
 )
 def step_refused_without_room(context, count, patience, room):
-    times = ReturnTimes()
-    context.waits = [times.draw_s(room, patience, 10.0) for _ in range(count)]
+    times = RetrySchedule()
+    context.waits = [times.next_retry_s(room, patience, 10.0) for _ in range(count)]
 
 
 @then("they are told times of {least:g} s or more that are all different")
@@ -563,28 +567,28 @@
 
 @given("a caller that was told to come back in {seconds:g} s")
 def step_told(context, seconds):
-    context.returning, context.request = ReturningCallers(), opaque_request(body=b"same")
-    context.returning.note_told(context.request, seconds, 0.0)
+    context.returning, context.request = RefusedRequests(), opaque_request(body=b"same")
+    context.returning.record_refusal(context.request, seconds, 0.0)
 
 
 @when("it comes after {at:g} s and is told to come back in {seconds:g} s")
 def step_told_again(context, at, seconds):
-    assert context.returning.standing(context.request, at) is Standing.CAME_EARLY
-    context.returning.note_told(context.request, seconds, at)
+    assert context.returning.standing(context.request, at) is RetryStatus.CAME_EARLY
+    context.returning.record_refusal(context.request, seconds, at)
 
 
 @then("after {at:g} s it counts as {standing}")
 def step_standing(context, at, standing):
     again = replace(context.request, request_id="another")
     found = context.returning.standing(again, at)
-    assert found is Standing[standing.upper().replace(" ", "_")], found
+    assert found is RetryStatus[standing.upper().replace(" ", "_")], found
 
 
 @when("it waits in line from {at:g} s on, and is asked twice in vain")
 def step_asked_in_vain(context, at):
     async def play():
         crowd = Crowd()
-        crowd.forwarder._places.returning = context.returning
+        crowd.forwarder._places.refused_requests = context.returning
         await asyncio.sleep(at)
         request = replace(context.request, received_at=clock.now_s())
         context.standings = []
@@ -593,7 +597,7 @@
             context.standings.append(held.standing)
             waiting = asyncio.ensure_future(crowd.forwarder.lines.wait(request, held))
             await asyncio.sleep(0.01)
-            crowd.forwarder.lines.came_free(SERVICE)
+            crowd.forwarder.lines.capacity_freed(SERVICE)
             await waiting
 
     run_virtual(play())
@@ -601,20 +605,20 @@
 
 @then("it still goes before new ones")
 def step_still_first(context):
-    assert context.standings == [Standing.CAME_BACK] * 3, context.standings
+    assert context.standings == [RetryStatus.CAME_BACK] * 3, context.standings
 
 
 @when("{count:d} callers are refused")
 def step_many_refused(context, count):
-    context.returning = ReturningCallers()
+    context.returning = RefusedRequests()
     for number in range(count):
         request = opaque_request(body=b"%d" % number)
-        context.returning.note_told(request, 1.0, number / 1000)
+        context.returning.record_refusal(request, 1.0, number / 1000)
 
 
 @then("{count:d} of them are remembered")
 def step_remembered(context, count):
-    assert len(context.returning._due) == count == REFUSED_KEPT
+    assert len(context.returning._due) == count == MAX_REFUSED_REQUESTS
 
 
 # Replays
--- a/liftrill/gateway/admission/coming_back.py
+++ b/liftrill/gateway/admission/coming_back.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
-from liftrill.gateway.admission.line import Standing
+from liftrill.gateway.admission.line import RetryStatus
 from liftrill.gateway.fading_rate import FadingRate
 from liftrill.gateway.opaque_request import OpaqueRequest
 
@@ -18,7 +18,7 @@
 SENT_AVERAGE_S = 2.0
 # How many refused requests are remembered: 0.2 MB at the most (200 bytes each). They are known
 # by their fingerprints, since a request that is sent again has another id.
-REFUSED_KEPT = 1_024
+MAX_REFUSED_REQUESTS = 1_024
 # Larger ones are new whenever they come: hashing 16 KB takes some 20 microseconds (guess).
 LARGEST_BODY_BYTES = 16 * 1024
 # For how long after its time a caller still counts as coming back: two connections' time.
@@ -32,7 +32,7 @@
 
 
 @dataclass(slots=True)
-class ReturnTimes:
+class RetrySchedule:
     """When the refused callers of one service are to come back: one after the other.
 
     Each has a place behind those that were refused before it, as long as this node took lately
@@ -46,28 +46,28 @@
         """Note that a request was sent to an engine."""
         self._sent.record(1.0, now)
 
-    def draw_s(self, room_in_s: float, patience_s: float, now: float) -> float:
+    def next_retry_s(self, capacity_wait_s: float, patience_s: float, now: float) -> float:
         """Return a time: not before there is room, and within patience where that can be.
 
         Who would have a place later than it waits has none, and comes late in its patience.
         """
-        latest_s = patience_s if room_in_s < patience_s else LATE_SPREAD * room_in_s
+        latest_s = patience_s if capacity_wait_s < patience_s else LATE_SPREAD * capacity_wait_s
         sent_per_s = self._sent.per_s(now) or 0.0
-        place_at = max(self._last_at, now + room_in_s)
+        place_at = max(self._last_at, now + capacity_wait_s)
         place_s = 1.0 / sent_per_s if sent_per_s else latest_s
         if place_at + place_s > now + latest_s:
-            return random.uniform(max(room_in_s, latest_s / 2), latest_s)
+            return random.uniform(max(capacity_wait_s, latest_s / 2), latest_s)
         self._last_at = place_at + place_s
         return place_at - now + random.uniform(0.0, place_s)
 
 
 @dataclass(slots=True)
-class ReturningCallers:
+class RefusedRequests:
     """The requests that were refused for want of room lately, and when they are to come back."""
 
     _due: OrderedDict[bytes, tuple[float, float]] = field(default_factory=OrderedDict)
 
-    def note_told(self, request: OpaqueRequest, wait_s: float, now: float) -> None:
+    def record_refusal(self, request: OpaqueRequest, wait_s: float, now: float) -> None:
         """Note when a refused caller is to come back; who came early keeps its first time."""
         if len(request.body) > LARGEST_BODY_BYTES:
             return
@@ -76,23 +76,23 @@
         if known is not None and now < known[0] - EARLY_SHARE * known[1]:
             due, wait_s = known
         self._due[request.fingerprint] = (due, wait_s)
-        if len(self._due) > REFUSED_KEPT:
+        if len(self._due) > MAX_REFUSED_REQUESTS:
             self._due.popitem(last=False)
 
-    def standing(self, request: OpaqueRequest, now: float) -> Standing:
+    def standing(self, request: OpaqueRequest, now: float) -> RetryStatus:
         """Return whether a caller is new, or came back when it was told to, or earlier."""
         # Nothing is hashed while nobody was refused.
         if not self._due or len(request.body) > LARGEST_BODY_BYTES:
-            return Standing.NEW
+            return RetryStatus.NEW
         due, wait_s = self._due.get(request.fingerprint, (0.0, 0.0))
         if not due or now > due + COMES_WITHIN_S:
             self._forget_old(now)
-            return Standing.NEW
+            return RetryStatus.NEW
         if now < due - EARLY_SHARE * wait_s:
-            return Standing.CAME_EARLY
+            return RetryStatus.CAME_EARLY
         # It goes first once: who asks the same on and on does not.
         del self._due[request.fingerprint]
-        return Standing.CAME_BACK
+        return RetryStatus.CAME_BACK
 
     def _forget_old(self, now: float) -> None:
         while self._due and now > next(iter(self._due.values()))[0] + COMES_WITHIN_S:
@@ -100,27 +100,27 @@
 
 
 @dataclass(slots=True)
-class ComingBack:
+class RetryAfterPolicy:
     """When the refused callers of a node are to come back.
 
     Attributes:
-        room_in_s: in how long a request is sent to an engine again, if nothing more comes.
-        line_wait_s: how long it takes until those that wait before it have places.
+        capacity_wait_s: in how long a request is sent to an engine again, if nothing more comes.
+        queue_wait_s: how long it takes until those that wait before it have places.
         returning: those that were told to.
     """
 
-    room_in_s: Callable[[OpaqueRequest], float]
-    line_wait_s: Callable[[OpaqueRequest, float], float]
-    returning: ReturningCallers = field(default_factory=ReturningCallers)
-    _times: dict[str, ReturnTimes] = field(default_factory=dict)
-    _full: set[str] = field(default_factory=set)
+    capacity_wait_s: Callable[[OpaqueRequest], float]
+    queue_wait_s: Callable[[OpaqueRequest, float], float]
+    refused_requests: RefusedRequests = field(default_factory=RefusedRequests)
+    _times: dict[str, RetrySchedule] = field(default_factory=dict)
+    _full_services: set[str] = field(default_factory=set)
 
     def note_choice(self, service: str, is_full: bool) -> None:
         """Note whether the engines of a service had room for the last request."""
         if is_full:
-            self._full.add(service)
+            self._full_services.add(service)
         else:
-            self._full.discard(service)
+            self._full_services.discard(service)
 
     def note_sent(self, service: str, now: float) -> None:
         """Note that a request was sent to an engine."""
@@ -130,13 +130,15 @@
         """Return when a refused caller should come back."""
         share_s = RETRY_AFTER_TARGET_SHARE * request.route.target_seconds
         wait_s = min(max(share_s, SHORTEST_RETRY_AFTER_S), LONGEST_RETRY_AFTER_S)
-        if request.service not in self._full:
+        if request.service not in self._full_services:
             return wait_s
         patience_s = request.patience_s(now)
-        room_in_s = self.room_in_s(request) + self.line_wait_s(request, now)
-        wait_s = self._of(request.service).draw_s(max(wait_s, room_in_s), patience_s, now)
-        self.returning.note_told(request, wait_s, now)
+        capacity_wait_s = self.capacity_wait_s(request) + self.queue_wait_s(request, now)
+        wait_s = self._of(request.service).next_retry_s(
+            max(wait_s, capacity_wait_s), patience_s, now
+        )
+        self.refused_requests.record_refusal(request, wait_s, now)
         return wait_s
 
-    def _of(self, service: str) -> ReturnTimes:
-        return self._times.setdefault(service, ReturnTimes())
+    def _of(self, service: str) -> RetrySchedule:
+        return self._times.setdefault(service, RetrySchedule())
--- a/liftrill/gateway/admission/engine_lines.py
+++ b/liftrill/gateway/admission/engine_lines.py
@@ -4,7 +4,7 @@
 from dataclasses import dataclass, field
 
 from liftrill import clock
-from liftrill.gateway.admission.line import Place, Waiter, WaitingLine
+from liftrill.gateway.admission.queue import QueueEntry, RequestQueue, Waiter
 from liftrill.gateway.opaque_request import OpaqueRequest
 
 # What engines refused for, and what other nodes no longer have there, passes without a signal:
@@ -16,89 +16,89 @@
 class _Waiting:
     """A request in its line, and what wakes it."""
 
-    line: WaitingLine
+    queue: RequestQueue
     waiter: Waiter
     woken: asyncio.Event = field(default_factory=asyncio.Event)
 
 
-class EngineLines:
+class ServiceQueues:
     """One line for each service; requests are known by their identity in this process."""
 
     def __init__(self) -> None:
-        self._lines: dict[str, WaitingLine] = {}
+        self._queues: dict[str, RequestQueue] = {}
         self._by_request: dict[int, _Waiting] = {}
         self._by_waiter: dict[Waiter, _Waiting] = {}
 
-    def line(self, service: str) -> WaitingLine:
+    def queue(self, service: str) -> RequestQueue:
         """Return the line of a service."""
-        return self._lines.setdefault(service, WaitingLine())
+        return self._queues.setdefault(service, RequestQueue())
 
     def depth_and_age_s(self, now: float) -> tuple[int, float]:
         """Return how many requests wait, and for how long the first one has."""
-        since = [s for line in self._lines.values() if (s := line.oldest_since()) is not None]
+        since = [s for queue in self._queues.values() if (s := queue.oldest_since()) is not None]
         return len(self._by_request), now - min(since, default=now)
 
     def must_wait(self, request: OpaqueRequest) -> bool:
         """Return whether a place that may be free is someone else's."""
-        line = self._lines.get(request.service)
-        if not line:
+        queue = self._queues.get(request.service)
+        if not queue:
             return False
         waiting = self._by_request.get(id(request))
-        return line.must_wait(request.priority, waiting.waiter if waiting else None)
+        return queue.must_wait(request.priority, waiting.waiter if waiting else None)
 
-    def came_free(self, service: str) -> None:
+    def capacity_freed(self, service: str) -> None:
         """Wake whoever is next, now that a place came free at an engine of a service."""
-        line = self._lines.get(service)
-        if line:
-            self._wake(line.came_free())
+        queue = self._queues.get(service)
+        if queue:
+            self._wake(queue.capacity_freed())
 
-    def was_read(self, service: str) -> None:
+    def prompt_read(self, service: str) -> None:
         """Wake those that may go on, now that an engine of a service has read a prompt."""
-        line = self._lines.get(service)
-        if line:
-            self._wake(line.was_read(clock.now_s()))
+        queue = self._queues.get(service)
+        if queue:
+            self._wake(queue.prompt_read(clock.now_s()))
 
-    def changed(self) -> None:
+    def wake_all(self) -> None:
         """Ask all that wait, in their order: what they wait for may be there."""
         now = clock.now_s()
-        for line in self._lines.values():
-            if line:
-                self._wake(line.ask_all(now))
+        for queue in self._queues.values():
+            if queue:
+                self._wake(queue.start_full_round(now))
 
-    def place_of(self, request: OpaqueRequest) -> Place | None:
+    def entry_of(self, request: OpaqueRequest) -> QueueEntry | None:
         """Return what a request waits with, or None where it does not."""
         waiting = self._by_request.get(id(request))
-        return waiting.waiter.place if waiting else None
+        return waiting.waiter.entry if waiting else None
 
-    async def wait(self, request: OpaqueRequest, place: Place) -> None:
+    async def wait(self, request: OpaqueRequest, entry: QueueEntry) -> None:
         """Wait until a request is to try, or its time to wait is over."""
         waiting = self._by_request.get(id(request))
         if waiting is None:
-            waiting = self._join(request, place)
+            waiting = self._join(request, entry)
         else:
-            waiting.waiter.place = place
-            self._wake(waiting.line.found_nothing(waiting.waiter))
-        while waiting.waiter.asked_in is None and (left := place.until - clock.now_s()) > 0:
+            waiting.waiter.entry = entry
+            self._wake(waiting.queue.found_no_capacity(waiting.waiter))
+        while waiting.waiter.wake_round is None and (left := entry.until - clock.now_s()) > 0:
             await self._sleep(waiting, min(left, ASK_AGAIN_S))
 
-    def took(self, request: OpaqueRequest) -> None:
+    def dispatched(self, request: OpaqueRequest) -> None:
         """Note that a request was sent to an engine."""
         waiting = self._forget(request)
         if waiting is not None:
-            self._wake(waiting.line.took(waiting.waiter, clock.now_s()))
+            self._wake(waiting.queue.dispatched(waiting.waiter, clock.now_s()))
 
     def leave(self, request: OpaqueRequest) -> None:
         """Note that a request waits no more, whatever became of it."""
         waiting = self._forget(request)
         if waiting is not None:
-            self._wake(waiting.line.leave(waiting.waiter))
+            self._wake(waiting.queue.leave(waiting.waiter))
 
-    def _join(self, request: OpaqueRequest, place: Place) -> _Waiting:
-        line = self.line(request.service)
-        waiting = _Waiting(line, line.join(place))
+    def _join(self, request: OpaqueRequest, entry: QueueEntry) -> _Waiting:
+        queue = self.queue(request.service)
+        waiting = _Waiting(queue, queue.join(entry))
         self._by_request[id(request)] = waiting
         self._by_waiter[waiting.waiter] = waiting
-        self._wake(line.ask_untried())
+        self._wake(queue.start_untried_round())
         return waiting
 
     async def _sleep(self, waiting: _Waiting, seconds: float) -> None:
@@ -108,8 +108,8 @@
                 await waiting.woken.wait()
         except TimeoutError:
             now = clock.now_s()
-            if waiting.line.asked_all_s(now) >= ASK_AGAIN_S:
-                self._wake(waiting.line.ask_all(now))
+            if waiting.queue.since_full_round_s(now) >= ASK_AGAIN_S:
+                self._wake(waiting.queue.start_full_round(now))
 
     def _forget(self, request: OpaqueRequest) -> _Waiting | None:
         waiting = self._by_request.pop(id(request), None)
--- a/liftrill/gateway/admission/overload.py
+++ b/liftrill/gateway/admission/overload.py
@@ -15,7 +15,7 @@
 # What share of the waiting tokens is urgent follows from the last fifty requests or so.
 SENT_WEIGHT = 0.02
 # A tenth of what waits is taken to delay the most urgent at least: the prompt being read does.
-LEAST_URGENT_SHARE = 0.1
+MIN_URGENT_SHARE = 0.1
 # A queue counts as gone below this share of the wait that is still in time.
 RELIEVED_SHARE = 0.5
 # How much longer the most urgent may wait by this count: engines take them in before the others
@@ -34,12 +34,12 @@
 
     standing_s: float = constants.STANDING_QUEUE_S
     relieved_s: float = constants.RELIEVED_QUEUE_S
-    stands: bool = False
+    is_standing: bool = False
     _since: float | None = None
 
     def note(self, least_wait_s: float, good_wait_s: float, now: float) -> None:
         """Take in the shortest wait, beside the longest one that is still in time."""
-        if self.stands:
+        if self.is_standing:
             turning = least_wait_s < RELIEVED_SHARE * good_wait_s
             after_s = self.relieved_s
         else:
@@ -51,12 +51,12 @@
         if self._since is None:
             self._since = now
         if now - self._since >= after_s:
-            self.stands = not self.stands
+            self.is_standing = not self.is_standing
             self._since = None
 
 
 @dataclass(frozen=True, slots=True)
-class OverloadTurn:
+class OverloadChange:
     """A service that enters or leaves overload, and by what.
 
     Attributes:
@@ -70,7 +70,7 @@
     good_wait_s: float
 
 
-def _tell_nobody(turn: OverloadTurn) -> None:
+def _ignore_change(change: OverloadChange) -> None:
     """Leave a turn untold."""
 
 
@@ -79,19 +79,19 @@
     """Decides which waits at an engine a request may be sent into.
 
     Attributes:
-        good_share: share of a request's target that it may wait and still be in time.
+        timely_wait_share: share of a request's target that it may wait and still be in time.
         urgent_factor: how much longer the most urgent requests may wait by this count:
             engines take them in before the others that wait.
-        longest_wait_s: what nothing waits for, not even in a short burst: callers leave.
-        longest_targets: the same in targets of a request.
+        burst_wait_limit_s: what nothing waits for, not even in a short burst: callers leave.
+        burst_wait_limit_targets: the same in targets of a request.
         turned: whom to tell when a service enters or leaves overload.
     """
 
-    good_share: float = constants.GOOD_WAIT_TARGET_SHARE
+    timely_wait_share: float = constants.GOOD_WAIT_TARGET_SHARE
     urgent_factor: float = URGENT_WAIT_FACTOR
-    longest_wait_s: float = constants.LONGEST_ENGINE_WAIT_S
-    longest_targets: float = constants.LONGEST_ENGINE_WAIT_TARGETS
-    turned: Callable[[OverloadTurn], None] = _tell_nobody
+    burst_wait_limit_s: float = constants.LONGEST_ENGINE_WAIT_S
+    burst_wait_limit_targets: float = constants.LONGEST_ENGINE_WAIT_TARGETS
+    on_change: Callable[[OverloadChange], None] = _ignore_change
     _queues: dict[str, StandingQueue] = field(default_factory=dict)
     _least_urgent: dict[str, int] = field(default_factory=dict)
     # By service and urgency: the tokens of the requests that were sent lately.
@@ -100,7 +100,7 @@
     _targets_s: dict[str, dict[int, float]] = field(default_factory=dict)
     _least_waits_s: dict[str, float] = field(default_factory=dict)
 
-    def room_in_s(self, request: OpaqueRequest) -> float:
+    def capacity_wait_s(self, request: OpaqueRequest) -> float:
         """Return in how long what waits at the least busy engine now is read.
 
         Callers that arrive meanwhile take the room that comes free sooner: who comes back for
@@ -116,24 +116,24 @@
         self._least_urgent[request.service] = least
         return request.priority < least
 
-    def stands(self, service: str) -> bool:
+    def is_overloaded(self, service: str) -> bool:
         """Return whether the shortest queue of a service has been long for a while."""
         queue = self._queues.get(service)
-        return queue is not None and queue.stands
+        return queue is not None and queue.is_standing
 
-    def longest_wait(self, request: OpaqueRequest, least_wait_s: float, now: float) -> float:
+    def max_wait_s(self, request: OpaqueRequest, least_wait_s: float, now: float) -> float:
         """Return the longest wait that a request may be sent into, in seconds."""
         target_s = self._bounding_target_s(request)
-        good_s = self.good_share * target_s
+        good_s = self.timely_wait_share * target_s
         queue = self._queues.setdefault(request.service, StandingQueue())
-        stood = queue.stands
+        was_standing = queue.is_standing
         queue.note(least_wait_s, good_s, now)
         self._least_waits_s[request.service] = least_wait_s
-        if queue.stands != stood:
-            self.turned(OverloadTurn(request.service, queue.stands, least_wait_s, good_s))
-        if not queue.stands:
-            return min(self.longest_wait_s, self.longest_targets * target_s)
-        longest_s = max(good_s * self._urgency(request), self._overtaking_wait_s(request))
+        if queue.is_standing != was_standing:
+            self.on_change(OverloadChange(request.service, queue.is_standing, least_wait_s, good_s))
+        if not queue.is_standing:
+            return min(self.burst_wait_limit_s, self.burst_wait_limit_targets * target_s)
+        longest_s = max(good_s * self._urgency_factor(request), self._priority_wait_s(request))
         # What it has waited already is gone from its target.
         return max(0.0, longest_s - (now - request.received_at))
 
@@ -154,16 +154,16 @@
             sent[priority] *= 1.0 - SENT_WEIGHT
         sent[request.priority] = sent.get(request.priority, 0.0) + SENT_WEIGHT * tokens
 
-    def _overtaking_wait_s(self, request: OpaqueRequest) -> float:
+    def _priority_wait_s(self, request: OpaqueRequest) -> float:
         """Return the wait in which only so much is as urgent as a request can bear, or 0."""
         sent = self._sent_tokens.get(request.service, {})
         total = sum(sent.values())
         if not total or not self.is_more_urgent(request):
             return 0.0
         urgent = sum(tokens for priority, tokens in sent.items() if priority <= request.priority)
-        share = max(LEAST_URGENT_SHARE, urgent / total)
-        good_s = self.good_share * request.route.target_seconds
-        return min(self.longest_wait_s, good_s / share)
+        share = max(MIN_URGENT_SHARE, urgent / total)
+        good_s = self.timely_wait_share * request.route.target_seconds
+        return min(self.burst_wait_limit_s, good_s / share)
 
-    def _urgency(self, request: OpaqueRequest) -> float:
+    def _urgency_factor(self, request: OpaqueRequest) -> float:
         return self.urgent_factor if self.is_more_urgent(request) else 1.0
--- a/liftrill/gateway/admission/places.py
+++ b/liftrill/gateway/admission/places.py
@@ -3,15 +3,15 @@
 from collections.abc import Callable
 from dataclasses import dataclass, replace
 
-from liftrill.gateway.admission.coming_back import ReturningCallers
-from liftrill.gateway.admission.engine_lines import EngineLines
-from liftrill.gateway.admission.line import Place
+from liftrill.gateway.admission.coming_back import RefusedRequests
+from liftrill.gateway.admission.engine_lines import ServiceQueues
+from liftrill.gateway.admission.queue import QueueEntry
 from liftrill.gateway.decision_log import DecisionLog
 from liftrill.gateway.opaque_request import OpaqueRequest
 
 
 @dataclass(frozen=True, slots=True)
-class Outlook:
+class QueueForecast:
     """What engines mean for a request that waits.
 
     Attributes:
@@ -24,42 +24,42 @@
 
 
 @dataclass(slots=True)
-class PlacesInLine:
+class QueueAdmission:
     """Gives requests their places in the lines of a node."""
 
-    lines: EngineLines
-    returning: ReturningCallers
-    outlook: Callable[[OpaqueRequest], Outlook]
+    queues: ServiceQueues
+    refused_requests: RefusedRequests
+    forecast: Callable[[OpaqueRequest], QueueForecast]
     log: DecisionLog
 
-    def place(
-        self, request: OpaqueRequest, until: float, for_room: bool, now: float
-    ) -> Place | None:
+    def entry(
+        self, request: OpaqueRequest, until: float, for_capacity: bool, now: float
+    ) -> QueueEntry | None:
         """Return what a request waits with, or None where its turn would come too late."""
-        known = self.lines.place_of(request)
+        known = self.queues.entry_of(request)
         if known is not None:
-            return replace(known, needs_room=for_room)
-        outlook = self.outlook(request)
-        latest_start = request.received_at + request.route.target_seconds - outlook.prompt_read_s
+            return replace(known, needs_capacity=for_capacity)
+        forecast = self.forecast(request)
+        latest_start = request.received_at + request.route.target_seconds - forecast.prompt_read_s
         turn_at = now + self.wait_s(request, now)
-        in_vain = turn_at > until or (outlook.is_overloaded and turn_at > latest_start)
-        if for_room and in_vain:
+        in_vain = turn_at > until or (forecast.is_overloaded and turn_at > latest_start)
+        if for_capacity and in_vain:
             self.log.not_queued(request, turn_at - now, min(until, latest_start) - now)
             return None
-        return Place(
+        return QueueEntry(
             urgency=request.priority,
             tenant=request.tenant,
             tokens=_tokens(request),
             latest_start=latest_start,
             until=until,
             since=now,
-            standing=self.returning.standing(request, now),
-            needs_room=for_room,
+            standing=self.refused_requests.standing(request, now),
+            needs_capacity=for_capacity,
         )
 
     def wait_s(self, request: OpaqueRequest, now: float) -> float:
         """Return how long it takes until those that go before a request have places."""
-        return self.lines.line(request.service).wait_s(request.priority, now)
+        return self.queues.queue(request.service).wait_s(request.priority, now)
 
 
 def _tokens(request: OpaqueRequest) -> int:
--- a/liftrill/gateway/admission/quota_gate.py
+++ b/liftrill/gateway/admission/quota_gate.py
@@ -16,15 +16,15 @@
 
 # A tenant counts as limited until it was refused nothing for so long: two refusals further
 # apart are told as two spells (guess).
-LIMITED_FOR_S = 2.0
+LIMITED_PERIOD_END_S = 2.0
 # How many tenants have figures of their own; the rest share one.
-COUNTED_TENANTS = 32
+MAX_LABELLED_TENANTS = 32
 OTHER_TENANTS = "other"
 
-TellSpending = Callable[[SpendingNotice], None]
+SendSpending = Callable[[SpendingNotice], None]
 
 
-def units_of(quota: Quota, request: OpaqueRequest) -> float:
+def request_units(quota: Quota, request: OpaqueRequest) -> float:
     """Return what a request counts under a limit."""
     if not quota.counts_tokens:
         return 1.0
@@ -35,7 +35,7 @@
 
 
 @dataclass(slots=True)
-class _Spell:
+class _LimitedPeriod:
     """A time in which a tenant was refused."""
 
     since: float
@@ -55,10 +55,10 @@
     buckets: SharedBuckets
     log: DecisionLog
     metrics: GatewayMetrics
-    tell: TellSpending
+    send_notice: SendSpending
     _quotas: dict[str, Quota] = field(default_factory=dict)
-    _spells: dict[str, _Spell] = field(default_factory=dict)
-    _counted: set[str] = field(default_factory=set)
+    _limited_periods: dict[str, _LimitedPeriod] = field(default_factory=dict)
+    _labelled_tenants: set[str] = field(default_factory=set)
 
     def configure(self, view: ConfigurationView, now: float) -> None:
         """Put the limits of a configuration in force."""
@@ -70,7 +70,7 @@
         quota = self._quotas.get(request.tenant)
         if quota is None:
             return None
-        units = units_of(quota, request)
+        units = request_units(quota, request)
         patience_s = request.patience_s(now)
         verdict = self.buckets.try_take(request.tenant, units, now, patience_s)
         if verdict.wait_s > 0.0:
@@ -78,14 +78,14 @@
             why = f"tenant {request.tenant} has {verdict.left:.0f} left, asked for {units:.0f}"
             return AdmissionRefusal(ResultCode.QUOTA_EXCEEDED, verdict.wait_s, why)
         if verdict.notice is not None:
-            self.tell(verdict.notice)
+            self.send_notice(verdict.notice)
         return None
 
     def record_repeat(self, request: OpaqueRequest, now: float) -> None:
         """Count a request that is sent once more: it may run twice."""
         quota = self._quotas.get(request.tenant)
         if quota is not None:
-            self.buckets.take_anyway(request.tenant, units_of(quota, request), now)
+            self.buckets.take_anyway(request.tenant, request_units(quota, request), now)
 
     def record_not_run(self, request: OpaqueRequest, runs: int, now: float) -> None:
         """Give back what a request had taken for some runs that were none."""
@@ -93,33 +93,33 @@
         if quota is None:
             return
         for _ in range(runs):
-            units = units_of(quota, request)
+            units = request_units(quota, request)
             notice = self.buckets.give_back(request.tenant, units, now)
             if notice is not None:
-                self.tell(notice)
+                self.send_notice(notice)
 
-    def hear(self, report: LoadReport, now: float) -> None:
+    def apply_report(self, report: LoadReport, now: float) -> None:
         """Take in what a node or a zone spent."""
         if report.quota is None:
             return
         node = report.node if report.scope is LoadScope.NODE else ""
         self.buckets.hear(QuotaSource(report.zone, node), report.quota, now)
 
-    def add_to(self, word: SendLoads, now: float) -> SendLoads:
+    def with_quota(self, message: SendLoads, now: float) -> SendLoads:
         """Return a word to other nodes with what was spent by whom it is of."""
-        quota = self._report(word.report, now)
-        return replace(word, report=replace(word.report, quota=quota))
+        quota = self._report(message.report, now)
+        return replace(message, report=replace(message.report, quota=quota))
 
     def expire(self, now: float) -> None:
         """Tell of the tenants that are refused nothing any more."""
-        for tenant, spell in list(self._spells.items()):
-            if now - spell.last_at > LIMITED_FOR_S:
-                del self._spells[tenant]
+        for tenant, spell in list(self._limited_periods.items()):
+            if now - spell.last_at > LIMITED_PERIOD_END_S:
+                del self._limited_periods[tenant]
                 lasted_s = round(spell.last_at - spell.since, 2)
                 self.log.belief(
                     "quota_free", tenant=tenant, lasted_s=lasted_s, refused=spell.refused
                 )
-        self.metrics.limited_tenants.set(len(self._spells))
+        self.metrics.limited_tenants.set(len(self._limited_periods))
 
     def _report(self, report: LoadReport, now: float) -> QuotaReport:
         if report.scope is LoadScope.NODE:
@@ -127,9 +127,9 @@
         return self.buckets.zone_report(report.zone, now)
 
     def _note_refusal(self, tenant: str, left: float, now: float) -> None:
-        spell = self._spells.get(tenant)
+        spell = self._limited_periods.get(tenant)
         if spell is None:
-            spell = self._spells[tenant] = _Spell(now, now)
+            spell = self._limited_periods[tenant] = _LimitedPeriod(now, now)
             limit = self._quotas[tenant].limit
             self.log.belief(
                 "quota_limited",
@@ -145,7 +145,10 @@
         self.metrics.quota_refusals.labels(self._label(tenant)).inc()
 
     def _label(self, tenant: str) -> str:
-        if tenant not in self._counted and len(self._counted) >= COUNTED_TENANTS:
+        if (
+            tenant not in self._labelled_tenants
+            and len(self._labelled_tenants) >= MAX_LABELLED_TENANTS
+        ):
             return OTHER_TENANTS
-        self._counted.add(tenant)
+        self._labelled_tenants.add(tenant)
         return tenant
--- a/liftrill/gateway/admission/room.py
+++ b/liftrill/gateway/admission/room.py
@@ -10,12 +10,12 @@
 
 
 @dataclass(slots=True)
-class EngineRoom:
+class CapacityFilter:
     """Decides at which engines a request does not wait too long, nor lacks memory."""
 
     _most_urgent: dict[str, int] = field(default_factory=dict)
 
-    def with_room(
+    def engines_with_capacity(
         self,
         guard: OverloadGuard,
         request: OpaqueRequest,
@@ -27,7 +27,7 @@
         """Return the engines with room, by the wait expected at each and its memory."""
         most_urgent = self._most_urgent.get(request.service, request.priority)
         self._most_urgent[request.service] = min(most_urgent, request.priority)
-        longest_s = guard.longest_wait(request, min(waits_s.values()), now)
+        longest_s = guard.max_wait_s(request, min(waits_s.values()), now)
         memory = self._memory_share(request) * cache_tokens
         return [
             view
--- a/liftrill/gateway/delivery_run.py
+++ b/liftrill/gateway/delivery_run.py
@@ -7,8 +7,8 @@
 
 from liftrill import clock
 from liftrill.gateway import delivery_events as events
-from liftrill.gateway.admission.engine_lines import EngineLines
-from liftrill.gateway.admission.line import Place
+from liftrill.gateway.admission.engine_lines import ServiceQueues
+from liftrill.gateway.admission.line import QueueEntry
 from liftrill.gateway.decision_log import DecisionLog
 from liftrill.gateway.delivery import (
     FIRST_SERVER_ERROR,
@@ -38,12 +38,14 @@
     """
 
     def __init__(self, log: DecisionLog, metrics: GatewayMetrics) -> None:
-        self.lines = EngineLines()
+        self.lines = ServiceQueues()
         self.log = log
         self.metrics = metrics
 
     @abstractmethod
-    def place_in_line(self, request: OpaqueRequest, until: float, for_room: bool) -> Place | None:
+    def place_in_line(
+        self, request: OpaqueRequest, until: float, for_room: bool
+    ) -> QueueEntry | None:
         """Return what a request waits with, or None where waiting is in vain."""
 
     @abstractmethod
@@ -146,7 +148,7 @@
         if self._view is not None:
             self._view.own_load.add(self._load, -1)
             self._view = None
-            self._owner.lines.came_free(self._machine.request.service)
+            self._owner.lines.capacity_freed(self._machine.request.service)
 
     def give_up(self) -> None:
         """Note that the caller has gone, unless the request had ended before."""
@@ -245,7 +247,7 @@
             self._view.own_load.add(self._load)
             self._tokens_ahead = self._view.waiting_tokens
             self._requests_there = self._view.requests
-        self._owner.lines.took(machine.request)
+        self._owner.lines.dispatched(machine.request)
         return await self._noted(await self._until_overdue(self._attempt.open()))
 
     async def _wait_for_engine(self, for_room: bool) -> events.DeliveryEvent:
--- a/liftrill/gateway/engines/engine_selector.py
+++ b/liftrill/gateway/engines/engine_selector.py
@@ -7,7 +7,7 @@
 from liftrill import constants
 from liftrill.coordination.permits import DECISION_WAIT_S
 from liftrill.gateway.admission.overload import OverloadGuard
-from liftrill.gateway.admission.room import EngineRoom
+from liftrill.gateway.admission.room import CapacityFilter
 from liftrill.gateway.delivery import Unavailable
 from liftrill.gateway.delivery_events import EngineAddress, EngineChoice
 from liftrill.gateway.engines.engine_limits import EngineLimits
@@ -65,7 +65,7 @@
         self._prompt_policy = prompt_policy or PromptCost(self.speeds, services=self.parts.services)
         self._plain_policy = plain_policy or LeastLoaded(lambda: self.parts.nodes)
         self.guard = OverloadGuard()
-        self.room = EngineRoom()
+        self.capacity_filter = CapacityFilter()
         self.limits = EngineLimits()
 
     def choose(
@@ -150,7 +150,7 @@
     def _choose_for_prompt(
         self, request: OpaqueRequest, prompt: PromptShape, ready: list[EngineView], now: float
     ) -> EngineChoice | Unavailable:
-        roomy = self._with_room(request, ready, now)
+        roomy = self._with_capacity(request, ready, now)
         if not roomy:
             return Unavailable.FULL
         candidates = self._candidates(request, prompt, roomy, now)
@@ -165,18 +165,20 @@
             return choice
         return replace(choice, backup=self._backup(chosen, candidates))
 
-    def _with_room(
+    def _with_capacity(
         self, request: OpaqueRequest, ready: list[EngineView], now: float
     ) -> list[EngineView]:
         """Return the engines at which a request does not wait too long, nor lacks memory."""
         waits_s = {view.engine_id: self.expected_wait_s(view) for view in ready}
         memory = self.parts.profile(request.service).cache_tokens
-        return self.room.with_room(self.guard, request, ready, waits_s, memory, now)
+        return self.capacity_filter.engines_with_capacity(
+            self.guard, request, ready, waits_s, memory, now
+        )
 
-    def room_in_s(self, request: OpaqueRequest, now: float) -> float:
+    def capacity_wait_s(self, request: OpaqueRequest, now: float) -> float:
         """Return in how long an engine takes a request again, if nothing more comes."""
         blocked_s = self.blocked_s(request.service, now)
-        return max(blocked_s, self.guard.room_in_s(request))
+        return max(blocked_s, self.guard.capacity_wait_s(request))
 
     def blocked_s(self, service: str, now: float) -> float:
         """Return in how long the first engine of a service takes something, or 0 if one does."""
--- a/liftrill/gateway/engines/service_speeds.py
+++ b/liftrill/gateway/engines/service_speeds.py
@@ -89,11 +89,11 @@
         self.updated_at = now
         speeds = [view.speed for view in views]
         known_s = self.read_s_per_token if self.has_read_estimate else 0.0
-        current_s = _update_paces([model.reading for model in speeds], known_s, now)
+        current_s = _update_paces([speed.reading for speed in speeds], known_s, now)
         if current_s:
             self.read_s_per_token, self.has_read_estimate = current_s, True
-        self.event_s = _update_paces([model.event for model in speeds], self.event_s, now)
-        self.answer_s = _update_paces([model.answer for model in speeds], self.answer_s, now)
+        self.event_s = _update_paces([speed.event for speed in speeds], self.event_s, now)
+        self.answer_s = _update_paces([speed.answer for speed in speeds], self.answer_s, now)
         self._update_pause_bound(elapsed_s)
         return self._compare(views, now)
 
@@ -111,29 +111,29 @@
 
     def is_uneven(self, view: EngineView) -> bool:
         """Return whether an engine differs from the others, or did until a while ago."""
-        model = view.speed
+        speed = view.speed
         return (
-            model.slowness != 1.0
-            or model.answer_slowness != 1.0
-            or _differs(model.reading.long_term_s, self.read_s_per_token)
-            or _differs(model.answer.long_term_s, self.answer_s)
+            speed.slowness != 1.0
+            or speed.answer_slowness != 1.0
+            or _differs(speed.reading.long_term_s, self.read_s_per_token)
+            or _differs(speed.answer.long_term_s, self.answer_s)
         )
 
     def _compare(self, views: list[EngineView], now: float) -> list[SpeedChange]:
         changes: list[SpeedChange] = []
         for view in views:
-            model = view.speed
-            before, answer_before = model.slowness, model.answer_slowness
-            model.slowness = _slowness(model.reading, self.read_s_per_token, before)
-            model.answer_slowness = _slowness(model.answer, self.answer_s, answer_before)
-            model.read_s_per_token = (
-                self.read_s_per_token * model.slowness if self.has_read_estimate else 0.0
+            speed = view.speed
+            before, answer_before = speed.slowness, speed.answer_slowness
+            speed.slowness = _slowness(speed.reading, self.read_s_per_token, before)
+            speed.answer_slowness = _slowness(speed.answer, self.answer_s, answer_before)
+            speed.read_s_per_token = (
+                self.read_s_per_token * speed.slowness if self.has_read_estimate else 0.0
             )
-            model.home_weight = _home_weight(model.slowness)
-            if (before > 1.0) != (model.slowness > 1.0):
-                changes.append(_change(view, "reading", model.slowness, model.reading, now))
-            if (answer_before > 1.0) != (model.answer_slowness > 1.0):
-                changes.append(_change(view, "answer", model.answer_slowness, model.answer, now))
+            speed.home_weight = _home_weight(speed.slowness)
+            if (before > 1.0) != (speed.slowness > 1.0):
+                changes.append(_change(view, "reading", speed.slowness, speed.reading, now))
+            if (answer_before > 1.0) != (speed.answer_slowness > 1.0):
+                changes.append(_change(view, "answer", speed.answer_slowness, speed.answer, now))
         return changes
 
     def _update_pause_bound(self, elapsed_s: float) -> None:
--- a/liftrill/gateway/engines/speed_board.py
+++ b/liftrill/gateway/engines/speed_board.py
@@ -169,9 +169,9 @@
             view = self._engines.by_number(row.engine)
             if view is None:
                 continue
-            model = view.speed
-            model.reading.apply_report(node, zone, row.reading, now)
-            model.answer.apply_report(node, zone, row.answers, now)
+            speed = view.speed
+            speed.reading.apply_report(node, zone, row.reading, now)
+            speed.answer.apply_report(node, zone, row.answers, now)
             self._service(view.record.service).note_pause(row.pause_tokens)
 
     def _rows(self, work_of: Callable[[Pace], WorkSample]) -> list[SpeedRow]:
--- a/liftrill/gateway/forwarder.py
+++ b/liftrill/gateway/forwarder.py
@@ -6,10 +6,10 @@
 
 from liftrill import clock, constants
 from liftrill.gateway import delivery_events as events
-from liftrill.gateway.admission.coming_back import ComingBack
-from liftrill.gateway.admission.line import Place
-from liftrill.gateway.admission.overload import OverloadTurn
-from liftrill.gateway.admission.places import Outlook, PlacesInLine
+from liftrill.gateway.admission.coming_back import RetryAfterPolicy
+from liftrill.gateway.admission.line import QueueEntry
+from liftrill.gateway.admission.overload import OverloadChange
+from liftrill.gateway.admission.places import QueueAdmission, QueueForecast
 from liftrill.gateway.admission.quota_gate import QuotaGate
 from liftrill.gateway.admission.retry_allowance import RetryAllowance
 from liftrill.gateway.begin_limits import BeginLimits
@@ -71,7 +71,7 @@
         self.speeds = selector.speeds
         self.limits = selector.limits
         self.must_wait: Callable[[OpaqueRequest], bool] = _never
-        self.coming_back = ComingBack(self._room_in_s, _no_wait_s)
+        self.coming_back = RetryAfterPolicy(self._room_in_s, _no_wait_s)
         self._selector = selector
         self._allowance = allowance
         self._quotas = quotas
@@ -126,14 +126,14 @@
         """Call a listener whenever `begin_by` may have changed."""
         self._selector.when_weights_named(listener)
 
-    def when_overload_turns(self, listener: Callable[[OverloadTurn], None]) -> None:
+    def when_overload_turns(self, listener: Callable[[OverloadChange], None]) -> None:
         """Call a listener whenever a service enters or leaves overload."""
-        self._selector.guard.turned = listener
+        self._selector.guard.on_change = listener
 
-    def outlook(self, request: OpaqueRequest) -> Outlook:
+    def outlook(self, request: OpaqueRequest) -> QueueForecast:
         """Return what engines mean for a request that waits."""
-        is_overloaded = self._selector.guard.stands(request.service)
-        return Outlook(self._selector.prompt_read_s(request), is_overloaded)
+        is_overloaded = self._selector.guard.is_overloaded(request.service)
+        return QueueForecast(self._selector.prompt_read_s(request), is_overloaded)
 
     def try_spend_retry(self, request: OpaqueRequest) -> bool:
         """Spend one repeat of the service's budget."""
@@ -177,7 +177,7 @@
         return self.coming_back.retry_after_s(request, now)
 
     def _room_in_s(self, request: OpaqueRequest) -> float:
-        return self._selector.room_in_s(request, clock.now_s())
+        return self._selector.capacity_wait_s(request, clock.now_s())
 
 
 def _tell_nobody(view: EngineView, tokens: int) -> None:
@@ -203,8 +203,10 @@
     ) -> None:
         super().__init__(log, metrics)
         ports.must_wait = self.lines.must_wait
-        self._places = PlacesInLine(self.lines, ports.coming_back.returning, ports.outlook, log)
-        ports.coming_back.line_wait_s = self._places.wait_s
+        self._places = QueueAdmission(
+            self.lines, ports.coming_back.refused_requests, ports.outlook, log
+        )
+        ports.coming_back.queue_wait_s = self._places.wait_s
         ports.when_overload_turns(self._tell_overload)
         self._quarantine = quarantine
         self._end_check = EngineEndCheck(transport, quarantine.engine_ended)
@@ -244,11 +246,13 @@
         self.log.request_abandoned(machine)
         self.metrics.count_outcome("caller_gone")
 
-    def place_in_line(self, request: OpaqueRequest, until: float, for_room: bool) -> Place | None:
+    def place_in_line(
+        self, request: OpaqueRequest, until: float, for_room: bool
+    ) -> QueueEntry | None:
         """Return what a request waits with, or None where waiting is in vain."""
-        return self._places.place(request, until, for_room, clock.now_s())
+        return self._places.entry(request, until, for_room, clock.now_s())
 
-    def _tell_overload(self, turn: OverloadTurn) -> None:
+    def _tell_overload(self, turn: OverloadChange) -> None:
         depth, age_s = self.lines.depth_and_age_s(clock.now_s())
         self.log.belief(
             "overload" if turn.overloaded else "overload_over",
@@ -334,7 +338,7 @@
     def note_prompt_read(self, machine: DeliveryMachine, tokens: int, elapsed_s: float) -> None:
         """Note that the newest attempt's engine has read the prompt, and how fast."""
         self._ports.record_read(machine.attempts[-1], machine.request, tokens, elapsed_s)
-        self.lines.was_read(machine.request.service)
+        self.lines.prompt_read(machine.request.service)
 
     def note_slot_held(self, machine: DeliveryMachine, held_s: float) -> None:
         """Note for how long a request held a slot of its engine."""
--- a/liftrill/gateway/gateway.py
+++ b/liftrill/gateway/gateway.py
@@ -189,7 +189,7 @@
             engines, ports, self._allowance, transport, log, metrics, self._quarantine
         )
         self.forwarder.reading_begun = self._tell_reading
-        link.wake_waiting = self.forwarder.lines.changed
+        link.wake_waiting = self.forwarder.lines.wake_all
         self._leadership = self._new_leadership()
         self._controller = self._new_controller(orders, targets)
         self._fleet_record = FleetRecord(
@@ -392,7 +392,7 @@
         self._beliefs.apply(change, known_until)
         self._take_quarantine(change)
         self._announce_if_newer(before)
-        self.forwarder.lines.changed()
+        self.forwarder.lines.wake_all()
 
     def store_era_began(self, era: int) -> None:
         """Note that an answer of the store names a later era: it came back from an older copy."""
@@ -517,15 +517,15 @@
         until = clock.now_s() + constants.LOADING_BELIEF_SECONDS
         self._engines.apply_notice(notice, until)
         if not notice.loading:
-            self.forwarder.lines.changed()
+            self.forwarder.lines.wake_all()
 
     def _on_loads(self, report: LoadReport) -> None:
         now = clock.now_s()
         of_zone = report.zone == self.settings.zone
         self._beliefs.selector.parts.directory.apply_updates(report.kept, now, of_zone)
-        self._quotas.hear(report, now)
+        self._quotas.apply_report(report, now)
         if report.kept:
-            self.forwarder.lines.changed()
+            self.forwarder.lines.wake_all()
         if report.scope is LoadScope.NODE:
             self._silence.note(report.node, now)
             self._loads.take(report.node, report.loads, now, report.zone)
@@ -618,7 +618,7 @@
             has_load = any(word.report.loads or word.report.kept for word in words)
             is_due = now - reported_at >= IDLE_REPORT_S
             if has_load or had_load or is_due:
-                words = [self._quotas.add_to(word, now) for word in words]
+                words = [self._quotas.with_quota(word, now) for word in words]
                 self._peers.send_loads([self._add_capacity(word, now) for word in words])
                 reported_at = now
             self._peers.send_loads(self._speeds.words(words, now))
