--- a/features/steps/engine_send_steps.py
+++ b/features/steps/engine_send_steps.py
@@ -15,8 +15,8 @@
 from liftrill.gateway.admission.retry_allowance import RetryAllowance
 from liftrill.gateway.decision_log import DecisionLog
 from liftrill.gateway.delivery_events import EngineChoice, StartAttempt
+from liftrill.gateway.engines.engine_condition import EngineSignal
 from liftrill.gateway.engines.engine_selector import EngineSelector
-from liftrill.gateway.engines.engine_standing import EngineSignal
 from liftrill.gateway.engines.engine_table import EngineTable, EngineView
 from liftrill.gateway.forwarder import Forwarder, ForwardingPorts
 from liftrill.gateway.gateway_metrics import GatewayMetrics
--- a/features/steps/engine_speeds_steps.py
+++ b/features/steps/engine_speeds_steps.py
@@ -9,10 +9,10 @@
 from features.uneven_engines import Replay
 from liftrill.coordination import rendezvous
 from liftrill.gateway.engines.engine_selector import EngineSelector
+from liftrill.gateway.engines.engine_speed import WorkSample
 from liftrill.gateway.engines.engine_table import EngineLoad, EngineTable
 from liftrill.gateway.engines.placement import Candidate, LeastLoaded
-from liftrill.gateway.engines.service_model import WorkSample
-from liftrill.gateway.engines.speed_board import SpeedRow
+from liftrill.gateway.engines.speed_estimator import SpeedRow
 from liftrill.gateway.opaque_request import PromptPart, PromptShape
 from liftrill.gateway.peers.load_codec import datagrams_from_report, speeds_from_message
 from liftrill.gateway.peers.load_exchange import LoadReport, LoadScope
--- a/features/steps/gateway_overload_steps.py
+++ b/features/steps/gateway_overload_steps.py
@@ -12,7 +12,7 @@
 from liftrill.gateway.delivery import StreamTimes, Unavailable
 from liftrill.gateway.engines.engine_selector import EngineSelector
 from liftrill.gateway.engines.engine_table import EngineLoad, EngineTable
-from liftrill.gateway.engines.speed_board import SpeedEstimator
+from liftrill.gateway.engines.speed_estimator import SpeedEstimator
 from liftrill.gateway.opaque_request import PromptPart, PromptShape
 from liftrill.gateway.records import ServiceProfile
 from liftrill.gateway.weight_targets import WeightTargets
--- a/features/steps/gateway_placement_steps.py
+++ b/features/steps/gateway_placement_steps.py
@@ -6,8 +6,8 @@
 
 from features.gateway_support import engine_record, opaque_request
 from liftrill.gateway.delivery import Unavailable
+from liftrill.gateway.engines.engine_condition import EngineSignal
 from liftrill.gateway.engines.engine_selector import EngineSelector
-from liftrill.gateway.engines.engine_standing import EngineSignal
 from liftrill.gateway.engines.engine_table import EngineLoad, EngineTable, engine_number
 from liftrill.gateway.engines.prefix_directory import PartLocation, PartStage, part_number
 from liftrill.gateway.opaque_request import PromptPart, PromptShape
--- a/features/steps/room_steps.py
+++ b/features/steps/room_steps.py
@@ -14,15 +14,15 @@
 from features.room_replay import CallerSink, Replay, run_virtual
 from liftrill import clock
 from liftrill.gateway import delivery_events as events
-from liftrill.gateway.admission.coming_back import (
+from liftrill.gateway.admission.capacity_filter import CapacityFilter
+from liftrill.gateway.admission.overload import OverloadGuard
+from liftrill.gateway.admission.request_queue import QueueEntry, RequestQueue, RetryStatus
+from liftrill.gateway.admission.retry_after import (
     MAX_REFUSED_REQUESTS,
     RefusedRequests,
     RetrySchedule,
 )
-from liftrill.gateway.admission.line import QueueEntry, RequestQueue, RetryStatus
-from liftrill.gateway.admission.overload import OverloadGuard
 from liftrill.gateway.admission.retry_allowance import RetryAllowance
-from liftrill.gateway.admission.room import CapacityFilter
 from liftrill.gateway.decision_log import DecisionLog
 from liftrill.gateway.engines.engine_selector import EngineSelector
 from liftrill.gateway.engines.engine_table import EngineLoad, EngineTable, EngineView
--- a/liftrill/gateway/admission/places.py
+++ b/liftrill/gateway/admission/queue_admission.py
@@ -3,9 +3,9 @@
 from collections.abc import Callable
 from dataclasses import dataclass, replace
 
-from liftrill.gateway.admission.coming_back import RefusedRequests
-from liftrill.gateway.admission.engine_lines import ServiceQueues
 from liftrill.gateway.admission.queue import QueueEntry
+from liftrill.gateway.admission.retry_after import RefusedRequests
+from liftrill.gateway.admission.service_queues import ServiceQueues
 from liftrill.gateway.decision_log import DecisionLog
 from liftrill.gateway.opaque_request import OpaqueRequest
 
--- a/liftrill/gateway/admission/coming_back.py
+++ b/liftrill/gateway/admission/retry_after.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
-from liftrill.gateway.admission.line import RetryStatus
+from liftrill.gateway.admission.request_queue import RetryStatus
 from liftrill.gateway.fading_rate import FadingRate
 from liftrill.gateway.opaque_request import OpaqueRequest
 
--- a/liftrill/gateway/decision_log.py
+++ b/liftrill/gateway/decision_log.py
@@ -14,7 +14,7 @@
 from liftrill.coordination.token_bucket import TokenBucket
 from liftrill.gateway import delivery_events as events
 from liftrill.gateway.delivery import AttemptTimes, DeliveryMachine
-from liftrill.gateway.engines.engine_standing import EngineSignal
+from liftrill.gateway.engines.engine_condition import EngineSignal
 from liftrill.gateway.opaque_request import OpaqueRequest
 
 MESSAGE_PREFIX = "liftrill:"
--- a/liftrill/gateway/delivery_run.py
+++ b/liftrill/gateway/delivery_run.py
@@ -7,8 +7,8 @@
 
 from liftrill import clock
 from liftrill.gateway import delivery_events as events
-from liftrill.gateway.admission.engine_lines import ServiceQueues
-from liftrill.gateway.admission.line import QueueEntry
+from liftrill.gateway.admission.request_queue import QueueEntry
+from liftrill.gateway.admission.service_queues import ServiceQueues
 from liftrill.gateway.decision_log import DecisionLog
 from liftrill.gateway.delivery import (
     FIRST_SERVER_ERROR,
--- a/liftrill/gateway/engines/engine_selector.py
+++ b/liftrill/gateway/engines/engine_selector.py
@@ -6,13 +6,12 @@
 
 from liftrill import constants
 from liftrill.coordination.permits import DECISION_WAIT_S
+from liftrill.gateway.admission.capacity_filter import CapacityFilter
 from liftrill.gateway.admission.overload import OverloadGuard
-from liftrill.gateway.admission.room import CapacityFilter
 from liftrill.gateway.delivery import Unavailable
 from liftrill.gateway.delivery_events import EngineAddress, EngineChoice
 from liftrill.gateway.engines.engine_limits import EngineLimits
 from liftrill.gateway.engines.engine_table import EngineTable, EngineView
-from liftrill.gateway.engines.part_keeping import BETWEEN_ZONES, SharedPartTracker
 from liftrill.gateway.engines.placement import (
     Candidate,
     LeastLoaded,
@@ -20,9 +19,10 @@
     PromptCost,
     cache_salt,
 )
+from liftrill.gateway.engines.shared_part_tracker import BETWEEN_ZONES, SharedPartTracker
 from liftrill.gateway.engines.shared_parts import SharedParts, find_shared_parts
 from liftrill.gateway.engines.slot_times import SlotTimes
-from liftrill.gateway.engines.speed_board import SpeedEstimator
+from liftrill.gateway.engines.speed_estimator import SpeedEstimator
 from liftrill.gateway.opaque_request import OpaqueRequest, PromptShape
 from liftrill.gateway.weight_targets import WeightTargets
 
--- a/liftrill/gateway/engines/engine_table.py
+++ b/liftrill/gateway/engines/engine_table.py
@@ -8,14 +8,14 @@
 from liftrill import clock, constants
 from liftrill.coordination.circuit import CircuitBreaker
 from liftrill.gateway.delivery_events import EngineAddress
-from liftrill.gateway.engines.engine_standing import (
+from liftrill.gateway.engines.engine_condition import (
     MAX_ENTRIES,
     EngineCondition,
     EngineConditions,
     EngineSignal,
 )
+from liftrill.gateway.engines.engine_speed import EngineSpeed
 from liftrill.gateway.engines.engine_update import EngineUpdate, SeenWeights, WithheldRecord
-from liftrill.gateway.engines.service_model import EngineSpeed
 from liftrill.gateway.records import EngineRecord
 
 
--- a/liftrill/gateway/engines/placement.py
+++ b/liftrill/gateway/engines/placement.py
@@ -12,7 +12,7 @@
 from liftrill.coordination import rendezvous
 from liftrill.gateway.engines.engine_table import EngineView
 from liftrill.gateway.engines.shared_parts import NOTHING_KEPT, SharedParts
-from liftrill.gateway.engines.speed_board import SpeedEstimator
+from liftrill.gateway.engines.speed_estimator import SpeedEstimator
 from liftrill.gateway.opaque_request import OpaqueRequest, PromptShape
 from liftrill.gateway.records import ServiceProfile
 
--- a/liftrill/gateway/engines/service_speeds.py
+++ b/liftrill/gateway/engines/service_speeds.py
@@ -5,8 +5,8 @@
 from dataclasses import dataclass, field
 
 from liftrill import constants
+from liftrill.gateway.engines.engine_speed import Pace, lower_median
 from liftrill.gateway.engines.engine_table import EngineView
-from liftrill.gateway.engines.service_model import Pace, lower_median
 
 # Engines that differ less from the service's are taken for alike: so much the estimates of
 # equal engines differ, and what is decided for engines that are alike must not waver.
--- a/liftrill/gateway/engines/speed_board.py
+++ b/liftrill/gateway/engines/speed_estimator.py
@@ -4,8 +4,8 @@
 from dataclasses import dataclass
 
 from liftrill import constants
+from liftrill.gateway.engines.engine_speed import NO_WORK, Pace, WorkSample
 from liftrill.gateway.engines.engine_table import EngineTable, EngineView
-from liftrill.gateway.engines.service_model import NO_WORK, Pace, WorkSample
 from liftrill.gateway.engines.service_speeds import ServiceSpeeds, SpeedChange, SpeedFigures
 
 # Samples of less than this say more of the way to an engine than of its reading.
--- a/liftrill/gateway/forwarder.py
+++ b/liftrill/gateway/forwarder.py
@@ -6,11 +6,11 @@
 
 from liftrill import clock, constants
 from liftrill.gateway import delivery_events as events
-from liftrill.gateway.admission.coming_back import RetryAfterPolicy
-from liftrill.gateway.admission.line import QueueEntry
 from liftrill.gateway.admission.overload import OverloadChange
-from liftrill.gateway.admission.places import QueueAdmission, QueueForecast
+from liftrill.gateway.admission.queue_admission import QueueAdmission, QueueForecast
 from liftrill.gateway.admission.quota_gate import QuotaGate
+from liftrill.gateway.admission.request_queue import QueueEntry
+from liftrill.gateway.admission.retry_after import RetryAfterPolicy
 from liftrill.gateway.admission.retry_allowance import RetryAllowance
 from liftrill.gateway.begin_limits import BeginLimits
 from liftrill.gateway.decision_log import DecisionLog
--- a/liftrill/gateway/gateway.py
+++ b/liftrill/gateway/gateway.py
@@ -31,9 +31,9 @@
 from liftrill.gateway.configuration_view import ConfigurationView
 from liftrill.gateway.currency import CurrencyOwner, CurrencyProver
 from liftrill.gateway.decision_log import DecisionLog, rounded_age
+from liftrill.gateway.engines.engine_condition import EngineSignal
 from liftrill.gateway.engines.engine_limits import LimitMessage
 from liftrill.gateway.engines.engine_selector import EngineSelector
-from liftrill.gateway.engines.engine_standing import EngineSignal
 from liftrill.gateway.engines.engine_table import EngineNotice, EngineTable, EngineView
 from liftrill.gateway.engines.engine_update import EngineUpdate
 from liftrill.gateway.fleet_record import FleetRecord
--- a/liftrill/gateway/gateway_metrics.py
+++ b/liftrill/gateway/gateway_metrics.py
@@ -8,7 +8,7 @@
 from liftrill.errors import ResultCode
 from liftrill.gateway import delivery_events as events
 from liftrill.gateway.delivery import DeliveryMachine
-from liftrill.gateway.engines.engine_standing import EngineSignal
+from liftrill.gateway.engines.engine_condition import EngineSignal
 from liftrill.gateway.engines.service_speeds import SpeedFigures
 from liftrill.gateway.opaque_request import OpaqueRequest
 from liftrill.gateway.peers.node_capacity import NodeWord
--- a/liftrill/gateway/peers/engine_gossip.py
+++ b/liftrill/gateway/peers/engine_gossip.py
@@ -11,13 +11,13 @@
 from liftrill.coordination.rendezvous import first, rank
 from liftrill.gateway.decision_log import DecisionLog
 from liftrill.gateway.delivery_events import EngineAddress
+from liftrill.gateway.engines.engine_condition import EngineSignal
 from liftrill.gateway.engines.engine_limits import (
     EngineLimit,
     EngineLimits,
     LimitMessage,
     LimitPeers,
 )
-from liftrill.gateway.engines.engine_standing import EngineSignal
 from liftrill.gateway.engines.engine_table import EngineTable
 from liftrill.gateway.engines.engine_update import EngineUpdate
 from liftrill.gateway.gateway_metrics import GatewayMetrics
--- a/liftrill/gateway/peers/load_codec.py
+++ b/liftrill/gateway/peers/load_codec.py
@@ -10,10 +10,10 @@
 from typing import TypeVar
 
 from liftrill.coordination.quota import QuotaReport
+from liftrill.gateway.engines.engine_speed import WorkSample
 from liftrill.gateway.engines.engine_table import EngineLoad
 from liftrill.gateway.engines.prefix_directory import PartLocation, PartStage
-from liftrill.gateway.engines.service_model import WorkSample
-from liftrill.gateway.engines.speed_board import SpeedRow
+from liftrill.gateway.engines.speed_estimator import SpeedRow
 from liftrill.gateway.peers.load_exchange import LoadReport, LoadScope
 from liftrill.gateway.peers.node_capacity import NodeWord
 from liftrill.messages import peer_pb2 as messages
--- a/liftrill/gateway/peers/load_exchange.py
+++ b/liftrill/gateway/peers/load_exchange.py
@@ -18,7 +18,7 @@
 from liftrill.coordination.membership_messages import Member
 from liftrill.coordination.quota import QuotaReport
 from liftrill.gateway.engines.prefix_directory import PartLocation, PartUpdates
-from liftrill.gateway.engines.speed_board import SpeedRow
+from liftrill.gateway.engines.speed_estimator import SpeedRow
 from liftrill.gateway.peers.able_nodes import able
 from liftrill.gateway.peers.load_board import LoadBoard, LoadByEngine
 from liftrill.gateway.peers.node_capacity import NodeWord
--- a/liftrill/gateway/peers/node_capacity.py
+++ b/liftrill/gateway/peers/node_capacity.py
@@ -9,7 +9,7 @@
 from collections.abc import Sequence
 from dataclasses import dataclass, field
 
-from liftrill.gateway.engines.service_model import lower_median
+from liftrill.gateway.engines.engine_speed import lower_median
 from liftrill.gateway.peers.peer_silence import SILENT_AFTER_S
 from liftrill.gateway.settings import MachineLimits
 
--- a/liftrill/gateway/peers/speed_exchange.py
+++ b/liftrill/gateway/peers/speed_exchange.py
@@ -7,7 +7,7 @@
 import math
 from dataclasses import dataclass, replace
 
-from liftrill.gateway.engines.speed_board import SpeedEstimator
+from liftrill.gateway.engines.speed_estimator import SpeedEstimator
 from liftrill.gateway.peers.load_exchange import LoadReport, LoadScope, SendLoads
 
 # Often enough that an engine's recovery is known within two seconds.
