--- a/liftrill/gateway/admission/queue_admission.py
+++ b/liftrill/gateway/admission/queue_admission.py
@@ -3,7 +3,7 @@
 from collections.abc import Callable
 from dataclasses import dataclass, replace
 
-from liftrill.gateway.admission.queue import QueueEntry
+from liftrill.gateway.admission.request_queue import QueueEntry
 from liftrill.gateway.admission.retry_after import RefusedRequests
 from liftrill.gateway.admission.service_queues import ServiceQueues
 from liftrill.gateway.decision_log import DecisionLog
--- a/liftrill/gateway/admission/service_queues.py
+++ b/liftrill/gateway/admission/service_queues.py
@@ -4,7 +4,7 @@
 from dataclasses import dataclass, field
 
 from liftrill import clock
-from liftrill.gateway.admission.queue import QueueEntry, RequestQueue, Waiter
+from liftrill.gateway.admission.request_queue import QueueEntry, RequestQueue, Waiter
 from liftrill.gateway.opaque_request import OpaqueRequest
 
 # What engines refused for, and what other nodes no longer have there, passes without a signal:
