--- a/liftrill/gateway/admission/overload.py
+++ b/liftrill/gateway/admission/overload.py
@@ -17,7 +17,7 @@
 # A tenth of what waits is taken to delay the most urgent at least: the prompt being read does.
 MIN_URGENT_SHARE = 0.1
 # A queue counts as gone below this share of the wait that is still in time.
-RELIEVED_SHARE = 0.5
+RELIEVED_WAIT_SHARE = 0.5
 # How much longer the most urgent may wait by this count: engines take them in before the others
 # that wait, so they wait for only a part of it (guess).
 URGENT_WAIT_FACTOR = 1.6
@@ -40,12 +40,12 @@
     def note(self, least_wait_s: float, good_wait_s: float, now: float) -> None:
         """Take in the shortest wait, beside the longest one that is still in time."""
         if self.is_standing:
-            turning = least_wait_s < RELIEVED_SHARE * good_wait_s
+            is_changing = least_wait_s < RELIEVED_WAIT_SHARE * good_wait_s
             after_s = self.relieved_s
         else:
-            turning = least_wait_s > good_wait_s
+            is_changing = least_wait_s > good_wait_s
             after_s = self.standing_s
-        if not turning:
+        if not is_changing:
             self._since = None
             return
         if self._since is None:
--- a/liftrill/gateway/admission/queue_admission.py
+++ b/liftrill/gateway/admission/queue_admission.py
@@ -42,8 +42,8 @@
         forecast = self.forecast(request)
         latest_start = request.received_at + request.route.target_seconds - forecast.prompt_read_s
         turn_at = now + self.wait_s(request, now)
-        in_vain = turn_at > until or (forecast.is_overloaded and turn_at > latest_start)
-        if for_capacity and in_vain:
+        is_too_late = turn_at > until or (forecast.is_overloaded and turn_at > latest_start)
+        if for_capacity and is_too_late:
             self.log.not_queued(request, turn_at - now, min(until, latest_start) - now)
             return None
         return QueueEntry(
--- a/liftrill/gateway/admission/quota_gate.py
+++ b/liftrill/gateway/admission/quota_gate.py
@@ -16,7 +16,7 @@
 
 # A tenant counts as limited until it was refused nothing for so long: two refusals further
 # apart are told as two spells (guess).
-LIMITED_PERIOD_END_S = 2.0
+LIMITED_PERIOD_GAP_S = 2.0
 # How many tenants have figures of their own; the rest share one.
 MAX_LABELLED_TENANTS = 32
 OTHER_TENANTS = "other"
@@ -113,7 +113,7 @@
     def expire(self, now: float) -> None:
         """Tell of the tenants that are refused nothing any more."""
         for tenant, spell in list(self._limited_periods.items()):
-            if now - spell.last_at > LIMITED_PERIOD_END_S:
+            if now - spell.last_at > LIMITED_PERIOD_GAP_S:
                 del self._limited_periods[tenant]
                 lasted_s = round(spell.last_at - spell.since, 2)
                 self.log.belief(
--- a/liftrill/gateway/admission/retry_after.py
+++ b/liftrill/gateway/admission/retry_after.py
@@ -11,8 +11,8 @@
 
 # When a refused caller is to come back; what is missing is mostly there by then.
 RETRY_AFTER_TARGET_SHARE = 0.5
-SHORTEST_RETRY_AFTER_S = 0.2
-LONGEST_RETRY_AFTER_S = 2.0
+MIN_RETRY_AFTER_S = 0.2
+MAX_RETRY_AFTER_S = 2.0
 # Over what time it is averaged how many requests are sent: long enough for a few at a small
 # node, and short beside the seconds that callers wait.
 SENT_AVERAGE_S = 2.0
@@ -20,15 +20,15 @@
 # by their fingerprints, since a request that is sent again has another id.
 MAX_REFUSED_REQUESTS = 1_024
 # Larger ones are new whenever they come: hashing 16 KB takes some 20 microseconds (guess).
-LARGEST_BODY_BYTES = 16 * 1024
+MAX_BODY_BYTES = 16 * 1024
 # For how long after its time a caller still counts as coming back: two connections' time.
-COMES_WITHIN_S = 2.0
+RETRY_WINDOW_S = 2.0
 # Callers round what they are told, and their clocks run a little fast.
-EARLY_SHARE = 0.1
+EARLY_TOLERANCE_SHARE = 0.1
 
 # Callers that are told a time later than they wait are spread over a third of it, so that those
 # who do come then don't come together.
-LATE_SPREAD = 4.0 / 3.0
+LATE_SPREAD_FACTOR = 4.0 / 3.0
 
 
 @dataclass(slots=True)
@@ -40,7 +40,7 @@
     """
 
     _sent: FadingRate = field(default_factory=lambda: FadingRate(SENT_AVERAGE_S))
-    _last_at: float = 0.0
+    _last_slot_end: float = 0.0
 
     def note_sent(self, now: float) -> None:
         """Note that a request was sent to an engine."""
@@ -51,14 +51,16 @@
 
         Who would have a place later than it waits has none, and comes late in its patience.
         """
-        latest_s = patience_s if capacity_wait_s < patience_s else LATE_SPREAD * capacity_wait_s
+        latest_s = (
+            patience_s if capacity_wait_s < patience_s else LATE_SPREAD_FACTOR * capacity_wait_s
+        )
         sent_per_s = self._sent.per_s(now) or 0.0
-        place_at = max(self._last_at, now + capacity_wait_s)
-        place_s = 1.0 / sent_per_s if sent_per_s else latest_s
-        if place_at + place_s > now + latest_s:
+        slot_at = max(self._last_slot_end, now + capacity_wait_s)
+        slot_s = 1.0 / sent_per_s if sent_per_s else latest_s
+        if slot_at + slot_s > now + latest_s:
             return random.uniform(max(capacity_wait_s, latest_s / 2), latest_s)
-        self._last_at = place_at + place_s
-        return place_at - now + random.uniform(0.0, place_s)
+        self._last_slot_end = slot_at + slot_s
+        return slot_at - now + random.uniform(0.0, slot_s)
 
 
 @dataclass(slots=True)
@@ -69,11 +71,11 @@
 
     def record_refusal(self, request: OpaqueRequest, wait_s: float, now: float) -> None:
         """Note when a refused caller is to come back; who came early keeps its first time."""
-        if len(request.body) > LARGEST_BODY_BYTES:
+        if len(request.body) > MAX_BODY_BYTES:
             return
         known = self._due.pop(request.fingerprint, None)
         due = now + wait_s
-        if known is not None and now < known[0] - EARLY_SHARE * known[1]:
+        if known is not None and now < known[0] - EARLY_TOLERANCE_SHARE * known[1]:
             due, wait_s = known
         self._due[request.fingerprint] = (due, wait_s)
         if len(self._due) > MAX_REFUSED_REQUESTS:
@@ -82,20 +84,20 @@
     def standing(self, request: OpaqueRequest, now: float) -> RetryStatus:
         """Return whether a caller is new, or came back when it was told to, or earlier."""
         # Nothing is hashed while nobody was refused.
-        if not self._due or len(request.body) > LARGEST_BODY_BYTES:
+        if not self._due or len(request.body) > MAX_BODY_BYTES:
             return RetryStatus.NEW
         due, wait_s = self._due.get(request.fingerprint, (0.0, 0.0))
-        if not due or now > due + COMES_WITHIN_S:
+        if not due or now > due + RETRY_WINDOW_S:
             self._forget_old(now)
             return RetryStatus.NEW
-        if now < due - EARLY_SHARE * wait_s:
+        if now < due - EARLY_TOLERANCE_SHARE * wait_s:
             return RetryStatus.CAME_EARLY
         # It goes first once: who asks the same on and on does not.
         del self._due[request.fingerprint]
         return RetryStatus.CAME_BACK
 
     def _forget_old(self, now: float) -> None:
-        while self._due and now > next(iter(self._due.values()))[0] + COMES_WITHIN_S:
+        while self._due and now > next(iter(self._due.values()))[0] + RETRY_WINDOW_S:
             self._due.popitem(last=False)
 
 
@@ -112,7 +114,7 @@
     capacity_wait_s: Callable[[OpaqueRequest], float]
     queue_wait_s: Callable[[OpaqueRequest, float], float]
     refused_requests: RefusedRequests = field(default_factory=RefusedRequests)
-    _times: dict[str, RetrySchedule] = field(default_factory=dict)
+    _schedules: dict[str, RetrySchedule] = field(default_factory=dict)
     _full_services: set[str] = field(default_factory=set)
 
     def note_choice(self, service: str, is_full: bool) -> None:
@@ -124,21 +126,21 @@
 
     def note_sent(self, service: str, now: float) -> None:
         """Note that a request was sent to an engine."""
-        self._of(service).note_sent(now)
+        self._schedule(service).note_sent(now)
 
     def retry_after_s(self, request: OpaqueRequest, now: float) -> float:
         """Return when a refused caller should come back."""
         share_s = RETRY_AFTER_TARGET_SHARE * request.route.target_seconds
-        wait_s = min(max(share_s, SHORTEST_RETRY_AFTER_S), LONGEST_RETRY_AFTER_S)
+        wait_s = min(max(share_s, MIN_RETRY_AFTER_S), MAX_RETRY_AFTER_S)
         if request.service not in self._full_services:
             return wait_s
         patience_s = request.patience_s(now)
         capacity_wait_s = self.capacity_wait_s(request) + self.queue_wait_s(request, now)
-        wait_s = self._of(request.service).next_retry_s(
+        wait_s = self._schedule(request.service).next_retry_s(
             max(wait_s, capacity_wait_s), patience_s, now
         )
         self.refused_requests.record_refusal(request, wait_s, now)
         return wait_s
 
-    def _of(self, service: str) -> RetrySchedule:
-        return self._times.setdefault(service, RetrySchedule())
+    def _schedule(self, service: str) -> RetrySchedule:
+        return self._schedules.setdefault(service, RetrySchedule())
--- a/liftrill/gateway/admission/service_queues.py
+++ b/liftrill/gateway/admission/service_queues.py
@@ -9,7 +9,7 @@
 
 # What engines refused for, and what other nodes no longer have there, passes without a signal:
 # all that wait are asked again this often.
-ASK_AGAIN_S = 0.06
+WAKE_ALL_INTERVAL_S = 0.06
 
 
 @dataclass(slots=True)
@@ -79,7 +79,7 @@
             waiting.waiter.entry = entry
             self._wake(waiting.queue.found_no_capacity(waiting.waiter))
         while waiting.waiter.wake_round is None and (left := entry.until - clock.now_s()) > 0:
-            await self._sleep(waiting, min(left, ASK_AGAIN_S))
+            await self._sleep(waiting, min(left, WAKE_ALL_INTERVAL_S))
 
     def dispatched(self, request: OpaqueRequest) -> None:
         """Note that a request was sent to an engine."""
@@ -108,7 +108,7 @@
                 await waiting.woken.wait()
         except TimeoutError:
             now = clock.now_s()
-            if waiting.queue.since_full_round_s(now) >= ASK_AGAIN_S:
+            if waiting.queue.since_full_round_s(now) >= WAKE_ALL_INTERVAL_S:
                 self._wake(waiting.queue.start_full_round(now))
 
     def _forget(self, request: OpaqueRequest) -> _Waiting | None:
--- a/liftrill/gateway/engines/cache_retention.py
+++ b/liftrill/gateway/engines/cache_retention.py
@@ -8,7 +8,7 @@
 # Over how long a node's own traffic is averaged: it sees few of a large fleet's requests.
 AVERAGE_S = 10.0
 # Share of the estimate that is relied on: traffic is not spread evenly (guess).
-RELIED_SHARE = 0.7
+RELIABLE_SHARE = 0.7
 
 
 @dataclass(slots=True)
@@ -34,4 +34,4 @@
         if own_rate is None:
             return self.first_s
         rate = max(1.0, own_rate * nodes)
-        return min(self.longest_s, RELIED_SHARE * free_tokens / rate)
+        return min(self.longest_s, RELIABLE_SHARE * free_tokens / rate)
--- a/liftrill/gateway/engines/engine_end_check.py
+++ b/liftrill/gateway/engines/engine_end_check.py
@@ -9,7 +9,7 @@
 
 # How long what follows a broken attempt waits for the answer: a port in use or free answers
 # within a round trip, and a machine that says nothing tells nothing.
-LONGEST_WAIT_S = 0.1
+MAX_WAIT_S = 0.1
 
 
 class EngineEndCheck:
@@ -29,7 +29,7 @@
             task = asyncio.ensure_future(self._ask(view))
             self._running[view.number] = task
             task.add_done_callback(lambda _: self._running.pop(view.number, None))
-        await asyncio.wait({task}, timeout=LONGEST_WAIT_S)
+        await asyncio.wait({task}, timeout=MAX_WAIT_S)
 
     async def _ask(self, view: EngineView) -> None:
         if await self._transport.has_ended(view.record.address):
--- a/liftrill/gateway/engines/engine_limits.py
+++ b/liftrill/gateway/engines/engine_limits.py
@@ -173,19 +173,19 @@
 
     def __init__(self) -> None:
         self.peers: LimitPeers = NoLimitPeers()
-        self._known: dict[EngineAddress, _LimitState] = {}
+        self._states: dict[EngineAddress, _LimitState] = {}
         self._issuer = PermitIssuer()
         self._numbers = itertools.count(random.randrange(FIRST_REQUEST_NUMBERS))
         self._expired_at = 0.0
 
     def in_force(self) -> tuple[EngineLimit, ...]:
         """Return the limits that hold."""
-        return tuple(known.limit for known in self._known.values() if known.limit.in_force)
+        return tuple(state.limit for state in self._states.values() if state.limit.in_force)
 
     def is_limited(self, engine: EngineAddress) -> bool:
         """Return whether an engine gets requests with permits only."""
-        known = self._known.get(engine)
-        return known is not None and known.limit.in_force
+        state = self._states.get(engine)
+        return state is not None and state.limit.in_force
 
     def may_send(self, engine: EngineAddress, permit: Permit | None, now: float) -> bool:
         """Return whether a request that was given a permit, or none, may be sent now."""
@@ -197,22 +197,22 @@
 
     def wait_s(self, engine: EngineAddress, user: str, now: float) -> float:
         """Return in how long a request may get a permit for an engine, or 0 if it may now."""
-        if not self._known or not self.is_limited(engine):
+        if not self._states or not self.is_limited(engine):
             return 0.0
-        holder = self._known[engine].holder
+        holder = self._states[engine].holder
         if holder.has_permit(now) or holder.is_pending(user, now):
             return 0.0
         return holder.wait_s(now)
 
     def is_pending(self, engine: EngineAddress, user: str, now: float) -> bool:
         """Return whether a request waits for a permit that was asked for."""
-        known = self._known.get(engine)
-        return known is not None and known.holder.is_pending(user, now)
+        state = self._states.get(engine)
+        return state is not None and state.holder.is_pending(user, now)
 
     def claim(self, engine: EngineAddress, user: str, now: float) -> Permit | None:
         """Take a permit that this node holds."""
-        known = self._known.get(engine)
-        return known.holder.claim(user, now) if known is not None else None
+        state = self._states.get(engine)
+        return state.holder.claim(user, now) if state is not None else None
 
     def obtain(
         self, engine: EngineAddress, user: str, patience_s: float, may_wait: bool, now: float
@@ -228,15 +228,15 @@
         self, engine: EngineAddress, user: str, patience_s: float, may_wait: bool, now: float
     ) -> None:
         """Ask for a permit; this node itself answers at once, another only who may wait."""
-        known = self._known[engine]
+        state = self._states[engine]
         issuer = self.peers.issuer(engine)
         if issuer != self.peers.own and not may_wait:
             return
-        if known.holder.user:
+        if state.holder.user:
             self.peers.permit_unanswered(engine, issuer)
         number = next(self._numbers)
-        known.holder.ask(number, user, now)
-        request = PermitRequest(known.limit, number, patience_s)
+        state.holder.ask(number, user, now)
+        request = PermitRequest(state.limit, number, patience_s)
         if issuer == self.peers.own:
             self._take_response(issuer, self._respond(request, now), now)
         else:
@@ -260,17 +260,17 @@
 
     def merge(self, limit: EngineLimit, now: float) -> None:
         """Take in what a peer knows of a limit."""
-        known = self._known.get(limit.engine)
-        if known is None:
+        state = self._states.get(limit.engine)
+        if state is None:
             if limit.in_force:
                 self._set_limit(limit, "peer", now)
             return
-        known.updated_at = now
-        is_newer = limit.serial > known.limit.serial
-        if is_newer and (limit.in_force or known.limit.in_force):
+        state.updated_at = now
+        is_newer = limit.serial > state.limit.serial
+        if is_newer and (limit.in_force or state.limit.in_force):
             self._set_limit(limit, "peer", now)
         elif is_newer:
-            known.limit = limit
+            state.limit = limit
 
     def take(self, node: str, message: LimitMessage, now: float) -> None:
         """Take in a message from another node."""
@@ -286,44 +286,44 @@
 
     def expire(self, in_records: Iterable[EngineAddress], now: float) -> None:
         """Forget the limits of engines that are in no record and were not heard of for long."""
-        if not self._known or now - self._expired_at < EXPIRY_INTERVAL_S:
+        if not self._states or now - self._expired_at < EXPIRY_INTERVAL_S:
             return
         self._expired_at = now
         for engine in in_records:
-            known = self._known.get(engine)
-            if known is not None and known.limit.in_force:
-                known.updated_at = now
-        for engine, known in list(self._known.items()):
-            if now - known.updated_at > RETENTION_S:
+            state = self._states.get(engine)
+            if state is not None and state.limit.in_force:
+                state.updated_at = now
+        for engine, state in list(self._states.items()):
+            if now - state.updated_at > RETENTION_S:
                 self._forget(engine)
 
     def _apply_named_limit(self, engine: EngineAddress, rate_per_s: float, now: float) -> None:
-        known = self._known.get(engine)
-        if known is not None and known.limit.in_force:
-            known.updated_at = now
-            if known.limit.rate_per_s != rate_per_s:
-                self._set_limit(replace(known.limit, rate_per_s=rate_per_s), "answer", now)
+        state = self._states.get(engine)
+        if state is not None and state.limit.in_force:
+            state.updated_at = now
+            if state.limit.rate_per_s != rate_per_s:
+                self._set_limit(replace(state.limit, rate_per_s=rate_per_s), "answer", now)
             return
-        serial = known.limit.serial + 1 if known is not None else 1
+        serial = state.limit.serial + 1 if state is not None else 1
         limit = EngineLimit(engine, rate_per_s, serial)
         self._set_limit(limit, "answer", now)
         self.peers.broadcast(limit)
 
     def _set_limit(self, limit: EngineLimit, source: str, now: float) -> None:
-        known = self._known.get(limit.engine)
-        if known is None:
-            self._known[limit.engine] = _LimitState(limit, now)
-            if len(self._known) > MAX_ENTRIES:
-                self._forget(min(self._known, key=lambda engine: self._known[engine].updated_at))
+        state = self._states.get(limit.engine)
+        if state is None:
+            self._states[limit.engine] = _LimitState(limit, now)
+            if len(self._states) > MAX_ENTRIES:
+                self._forget(min(self._states, key=lambda engine: self._states[engine].updated_at))
         else:
-            known.limit, known.updated_at = limit, now
+            state.limit, state.updated_at = limit, now
         if not limit.in_force:
             self._issuer.stop(limit.engine)
         self.peers.limit_changed(limit, source)
         self.peers.permits_changed()
 
     def _forget(self, engine: EngineAddress) -> None:
-        del self._known[engine]
+        del self._states[engine]
         self._issuer.stop(engine)
 
     # Permits that this node issues
@@ -331,8 +331,8 @@
     def _respond(self, request: PermitRequest, now: float) -> PermitResponse:
         """Answer a request as the issuer, where this node is the one."""
         engine = request.limit.engine
-        known = self._known.get(engine)
-        limit = known.limit if known is not None else request.limit
+        state = self._states.get(engine)
+        limit = state.limit if state is not None else request.limit
         is_issuer = self.peers.issuer(engine) == self.peers.own
         share = self.peers.issuing_share() if is_issuer else 0.0
         decision = self._issuer.decide(
@@ -347,14 +347,14 @@
 
     def _take_response(self, node: str, response: PermitResponse, now: float) -> None:
         engine = response.limit.engine
-        known = self._known.get(engine)
-        if known is None:
+        state = self._states.get(engine)
+        if state is None:
             return
-        if response.limit.serial == known.limit.serial:
+        if response.limit.serial == state.limit.serial:
             # The issuer receives each number that the engine names.
-            known.limit = response.limit
-        user = known.holder.user
-        if not known.holder.decided(response.decision, node, now):
+            state.limit = response.limit
+        user = state.holder.user
+        if not state.holder.decided(response.decision, node, now):
             return
         if response.decision.granted:
             self.peers.permit_granted()
@@ -362,16 +362,16 @@
             self.peers.permit_refused(engine, user, node, response.decision.wait_s)
 
     def _take_receipt(self, receipt: PermitReceipt, now: float) -> None:
-        known = self._known.get(receipt.engine)
-        if known is None or not known.limit.in_force:
+        state = self._states.get(receipt.engine)
+        if state is None or not state.limit.in_force:
             return
         if receipt.rate_per_s is not None:
-            known.updated_at = now
-            known.limit = replace(known.limit, rate_per_s=receipt.rate_per_s)
+            state.updated_at = now
+            state.limit = replace(state.limit, rate_per_s=receipt.rate_per_s)
         ended = self._issuer.take_receipt(
             receipt.engine, receipt.run, receipt.issued_at, receipt.rate_per_s is not None, now
         )
         if ended:
-            limit = replace(known.limit, serial=known.limit.serial + 1, in_force=False)
+            limit = replace(state.limit, serial=state.limit.serial + 1, in_force=False)
             self._set_limit(limit, "permits", now)
             self.peers.broadcast(limit)
--- a/liftrill/gateway/engines/engine_selector.py
+++ b/liftrill/gateway/engines/engine_selector.py
@@ -33,7 +33,7 @@
 
     salt: str
     shared: SharedParts
-    replaced_s: float
+    outdated_s: float
 
 
 class EngineSelector:
@@ -73,31 +73,31 @@
         request: OpaqueRequest,
         excluded: frozenset[str],
         now: float,
-        quietest: bool = False,
+        least_loaded: bool = False,
     ) -> EngineChoice | Unavailable:
         """Return an engine, one with the fewest requests if asked to, or why there is none."""
-        able = [v for v in self._engines.of_service(request.service) if not v.leaving]
-        left = [view for view in able if view.engine_id not in excluded]
-        if able and not left:
+        serving = [v for v in self._engines.of_service(request.service) if not v.leaving]
+        untried = [view for view in serving if view.engine_id not in excluded]
+        if serving and not untried:
             return Unavailable.NONE_LEFT
-        floor = self._version_floor(able, request)
-        ready = [view for view in left if self._is_ready(view, request, floor, now)]
+        floor = self._version_floor(serving, request)
+        ready = [view for view in untried if self._is_ready(view, request, floor, now)]
         # One that an engine turned away has waited already.
         may_wait = not excluded and now + DECISION_WAIT_S < request.waits_until
         while ready:
-            choice = self._choose_ready(request, ready, now, quietest)
+            choice = self._choose_ready(request, ready, now, least_loaded)
             if isinstance(choice, Unavailable) or not self.limits.is_limited(choice.engine):
                 return choice
             permitted = self._with_permit(choice, request, ready, may_wait, now)
             if permitted is not None:
                 return permitted
             ready = [view for view in ready if view.engine_id != choice.engine_id]
-        return self._none_ready(request, left, now)
+        return self._unavailable_reason(request, untried, now)
 
     def _choose_ready(
-        self, request: OpaqueRequest, ready: list[EngineView], now: float, quietest: bool
+        self, request: OpaqueRequest, ready: list[EngineView], now: float, least_loaded: bool
     ) -> EngineChoice | Unavailable:
-        if quietest:
+        if least_loaded:
             fewest = min(view.requests for view in ready)
             ready = [view for view in ready if view.requests == fewest]
         if request.prompt is None:
@@ -129,15 +129,15 @@
         is_pending = any(self.limits.is_pending(at, user, now) for at in limited)
         return Unavailable.NONE_READY if may_wait and is_pending else None
 
-    def _none_ready(
-        self, request: OpaqueRequest, left: list[EngineView], now: float
+    def _unavailable_reason(
+        self, request: OpaqueRequest, untried: list[EngineView], now: float
     ) -> Unavailable:
         """Return whether waiting may help: not where all take nothing for longer than that."""
-        blocked_s = self._blocked_s(left, request.request_id, now)
+        blocked_s = self._blocked_s(untried, request.request_id, now)
         if not blocked_s:
             return Unavailable.NONE_READY
-        is_in_vain = now + blocked_s > request.waits_until
-        return Unavailable.RESTING if is_in_vain else Unavailable.NONE_READY
+        outlasts_request = now + blocked_s > request.waits_until
+        return Unavailable.RESTING if outlasts_request else Unavailable.NONE_READY
 
     def _blocked_s(self, views: list[EngineView], user: str, now: float) -> float:
         """Return in how long the first of some engines takes a request, or 0 if one does."""
@@ -150,15 +150,15 @@
     def _choose_for_prompt(
         self, request: OpaqueRequest, prompt: PromptShape, ready: list[EngineView], now: float
     ) -> EngineChoice | Unavailable:
-        roomy = self._with_capacity(request, ready, now)
-        if not roomy:
+        with_capacity = self._with_capacity(request, ready, now)
+        if not with_capacity:
             return Unavailable.FULL
-        candidates = self._candidates(request, prompt, roomy, now)
+        candidates = self._candidates(request, prompt, with_capacity, now)
         chosen = self._prompt_policy.choose(request, candidates, self._zone)
-        behind_reading = chosen.shared.reader == chosen.view.number
+        waits_for_reader = chosen.shared.reader == chosen.view.number
         # Among many engines, peers tell of a reading too late to wait for its end.
-        few_engines = len(roomy) < constants.MANY_ENGINES
-        if behind_reading and few_engines and now < self._hold_until(request):
+        few_engines = len(with_capacity) < constants.MANY_ENGINES
+        if waits_for_reader and few_engines and now < self._reading_wait_until(request):
             return Unavailable.NONE_READY
         choice = self._prompt_choice(chosen, prompt, now)
         if not self._wants_backup(request):
@@ -182,8 +182,8 @@
 
     def blocked_s(self, service: str, now: float) -> float:
         """Return in how long the first engine of a service takes something, or 0 if one does."""
-        able = [view for view in self._engines.of_service(service) if not view.leaving]
-        return self._blocked_s(able, "", now)
+        serving = [view for view in self._engines.of_service(service) if not view.leaving]
+        return self._blocked_s(serving, "", now)
 
     def prompt_read_s(self, request: OpaqueRequest) -> float:
         """Return how long an engine that keeps nothing of a prompt takes to read it."""
@@ -199,7 +199,7 @@
         record = view.record
         return self.slot_times.wait_s(record.service, view.requests, record.slots)
 
-    def _hold_until(self, request: OpaqueRequest) -> float:
+    def _reading_wait_until(self, request: OpaqueRequest) -> float:
         """Return until when a request waits for a part that another one is having read."""
         share = constants.READING_WAIT_TARGET_SHARE
         return request.received_at + share * request.route.target_seconds
@@ -213,7 +213,7 @@
             return None
         if broken.backup is not None and not view.matches_number(broken.backup.number):
             return None
-        if not self._goes_on(view, request.prompt.model, broken.weight_version, now):
+        if not self._accepts_run(view, request.prompt.model, broken.weight_version, now):
             return None
         if view.condition.is_backing_off(now):
             return None
@@ -242,7 +242,7 @@
         """Call a listener whenever `begin_by` may have changed."""
         self._targets.when_named(listener)
 
-    def _goes_on(self, view: EngineView, model: str, version: int, now: float) -> bool:
+    def _accepts_run(self, view: EngineView, model: str, version: int, now: float) -> bool:
         """Return whether an engine takes runs of some weights now."""
         if view.leaving or view.withdrawn or view.weight_version(model) != version:
             return False
@@ -257,7 +257,7 @@
         candidates = [
             Candidate(other, broken.cache_salt)
             for other in self._engines.of_service(request.service)
-            if other.engine_id != broken.engine_id and self._goes_on(other, model, version, now)
+            if other.engine_id != broken.engine_id and self._accepts_run(other, model, version, now)
         ]
         here = next((c for c in candidates if c.view is view), None)
         return self._backup(here, candidates) if here else None
@@ -287,7 +287,7 @@
         best = min(others, key=order)
         return EngineAddress(best.view.engine_id, best.view.record.address, best.view.number)
 
-    def _version_floor(self, able: list[EngineView], request: OpaqueRequest) -> int:
+    def _version_floor(self, serving: list[EngineView], request: OpaqueRequest) -> int:
         """Return the lowest version to use, as far as versions of unknown age decide it.
 
         Weights may have been out of use since before this process began. The engines show
@@ -296,7 +296,7 @@
         if request.prompt is None:
             return 0
         model = request.prompt.model
-        reached = max((view.weight_version(model) for view in able), default=0)
+        reached = max((view.weight_version(model) for view in serving), default=0)
         return min(self._targets.preferred(model), reached)
 
     def _is_ready(self, view: EngineView, request: OpaqueRequest, floor: int, now: float) -> bool:
@@ -338,7 +338,7 @@
                     scope.shared,
                     move_s,
                     holder,
-                    scope.replaced_s,
+                    scope.outdated_s,
                     self._slot_wait_s(view),
                 )
             )
@@ -349,16 +349,16 @@
     ) -> _Scope:
         """Return what a weight version means for a prompt."""
         salt = cache_salt(request.tenant, request.isolated, prompt.model, version)
-        replaced_s = max(0.0, now - self._targets.replaced_at(prompt.model, version))
+        outdated_s = max(0.0, now - self._targets.replaced_at(prompt.model, version))
 
         def is_source(number: int) -> bool:
             # An engine that has other weights by now, or is about to, is not asked: what it
             # keeps for runs that went on may have been made under either.
             view = self._engines.by_number(number)
-            return view is not None and self._goes_on(view, prompt.model, version, now)
+            return view is not None and self._accepts_run(view, prompt.model, version, now)
 
         shared = find_shared_parts(self.parts.directory, salt, prompt, now, is_source)
-        return _Scope(salt, shared, replaced_s)
+        return _Scope(salt, shared, outdated_s)
 
     def _holder(self, view: EngineView, shared: SharedParts) -> EngineView | None:
         """Return another engine to fetch the shared parts from, or None for the store."""
--- a/liftrill/gateway/engines/engine_speed.py
+++ b/liftrill/gateway/engines/engine_speed.py
@@ -143,8 +143,8 @@
 
     current_s: float = 0.0
     long_term_s: float = 0.0
-    _own: WorkSample = NO_WORK
-    _own_at: float = 0.0
+    _own_work: WorkSample = NO_WORK
+    _own_work_at: float = 0.0
     _reports: dict[str, _SourceReport] = field(default_factory=dict)
     _updated_at: float = 0.0
     _since: float = 0.0
@@ -155,12 +155,12 @@
         if known_s:
             pace_s = _bounded(pace_s, known_s)
         earlier = self.own_work(now)
-        self._own = WorkSample(earlier.units + units, earlier.seconds + pace_s * units)
-        self._own_at = now
+        self._own_work = WorkSample(earlier.units + units, earlier.seconds + pace_s * units)
+        self._own_work_at = now
 
     def own_work(self, now: float) -> WorkSample:
         """Return what this node observed lately."""
-        return self._own.decayed(now - self._own_at) if self._own.units else NO_WORK
+        return self._own_work.decayed(now - self._own_work_at) if self._own_work.units else NO_WORK
 
     def apply_report(self, node: str, zone: str, work: WorkSample, now: float) -> None:
         """Replace what a node told before, or a zone where the node is empty."""
@@ -185,7 +185,7 @@
         """Work out the pace anew; without one of its own it begins from a known one."""
         if self._reports:
             self._drop_old_reports(now)
-        work = self._work(now)
+        work = self._merged_work(now)
         if not work.is_significant:
             self._fall_back(now)
             return
@@ -213,7 +213,7 @@
         for source in [s for s, report in self._reports.items() if report.received_at < limit]:
             del self._reports[source]
 
-    def _work(self, now: float) -> WorkSample:
+    def _merged_work(self, now: float) -> WorkSample:
         own = self.own_work(now)
         if not self._reports:
             return own
--- a/liftrill/gateway/engines/placement.py
+++ b/liftrill/gateway/engines/placement.py
@@ -19,7 +19,7 @@
 SALT_DIGEST_BYTES = 8
 # Among how many plain engines a request chooses where many nodes choose at once: two already
 # avoid most of a queue, and hardly any node sends where all the others do.
-PLAIN_CHOICES = 2
+PLAIN_CANDIDATES = 2
 
 
 def cache_salt(tenant: str, isolated: bool, model: str, version: int) -> str:
@@ -42,7 +42,7 @@
         shared: what is known of its shared parts in that scope.
         move_s: how long it takes to fetch them.
         holder: the engine to fetch them from, or None for the store.
-        replaced_s: for how long newer weights than it has have been named.
+        outdated_s: for how long newer weights than it has have been named.
         slot_wait_s: how long a request waits there until a slot is free.
     """
 
@@ -51,7 +51,7 @@
     shared: SharedParts = NOTHING_KEPT
     move_s: float = 0.0
     holder: EngineView | None = None
-    replaced_s: float = 0.0
+    outdated_s: float = 0.0
     slot_wait_s: float = 0.0
 
 
@@ -81,9 +81,9 @@
     def choose(self, request: OpaqueRequest, candidates: list[Candidate], zone: str) -> Candidate:
         """Return the engine with the least expected completion."""
         key = request.request_id.encode()
-        if self.nodes() > self.many_nodes and len(candidates) > PLAIN_CHOICES:
+        if self.nodes() > self.many_nodes and len(candidates) > PLAIN_CANDIDATES:
             by_id = {candidate.view.engine_id: candidate for candidate in candidates}
-            candidates = [by_id[name] for name in rendezvous.rank(key, by_id)[:PLAIN_CHOICES]]
+            candidates = [by_id[name] for name in rendezvous.rank(key, by_id)[:PLAIN_CANDIDATES]]
 
         def order(candidate: Candidate) -> tuple[float, bool, tuple[int, str]]:
             view = candidate.view
@@ -108,40 +108,40 @@
 
     Attributes:
         speeds: how fast engines are.
-        least_move_s: the least that moving a shared part costs: engines answer this much later.
-        engines_per_beginning: engines of a scope for each one that reads the beginning of
+        min_move_s: the least that moving a shared part costs: engines answer this much later.
+        engines_per_prefix_reader: engines of a scope for each one that reads the beginning of
             many prompts.
         reread_factor: how much dearer reading a shared part again is than waiting as long.
-        rare_factor: the same for a part of few prompts that nobody is known to read.
+        rare_reread_factor: the same for a part of few prompts that nobody is known to read.
         long_prompt_s: a prompt that takes longer to read makes the streams that run on its
             engine pause, longer than their callers allow, where no route declares a pause.
         pause_share: what each such stream adds, as a share of the time to read.
-        replaced_wait_s: how long a wait is better than weights that were replaced some time
+        outdated_penalty_s: how long a wait is better than weights that were replaced some time
             ago: what is made on them is worth less.
-        replaced_grace_s: for how long after their replacement weights are as good as new.
+        outdated_grace_s: for how long after their replacement weights are as good as new.
         memory_share: share of an engine's memory from which running requests count too.
         many_engines: with more, and so more nodes, loads are known so late that all nodes
             would send to the engine that the last reports show idle.
-        few_choices: among how many engines, others for each prompt, that is avoided.
-        far_s: how long a wait is better than any other engine then, at most.
-        far_share: the same as a share of the request's target: others wait there as well.
+        preferred_engines: among how many engines, others for each prompt, that is avoided.
+        overflow_penalty_s: how long a wait is better than any other engine then, at most.
+        overflow_penalty_share: the same as a share of the request's target: others wait there as well.
         services: what the operator declares of engines, by service.
     """
 
     speeds: SpeedEstimator
-    least_move_s: float = 0.015
-    engines_per_beginning: int = 5
+    min_move_s: float = 0.015
+    engines_per_prefix_reader: int = 5
     reread_factor: float = constants.REREAD_FACTOR
-    rare_factor: float = constants.RARE_REREAD_FACTOR
+    rare_reread_factor: float = constants.RARE_REREAD_FACTOR
     long_prompt_s: float = constants.LONG_PROMPT_S
     pause_share: float = constants.LONG_PROMPT_PAUSE_SHARE
-    replaced_wait_s: float = constants.REPLACED_WEIGHTS_S
-    replaced_grace_s: float = constants.REPLACED_WEIGHTS_GRACE_S
+    outdated_penalty_s: float = constants.REPLACED_WEIGHTS_S
+    outdated_grace_s: float = constants.REPLACED_WEIGHTS_GRACE_S
     memory_share: float = 0.6
     many_engines: int = constants.MANY_ENGINES
-    few_choices: int = constants.FEW_CHOICES
-    far_s: float = constants.FAR_S
-    far_share: float = constants.FAR_TARGET_SHARE
+    preferred_engines: int = constants.FEW_CHOICES
+    overflow_penalty_s: float = constants.FAR_S
+    overflow_penalty_share: float = constants.FAR_TARGET_SHARE
     services: Mapping[str, ServiceProfile] = field(default_factory=dict)
 
     def choose(self, request: OpaqueRequest, candidates: list[Candidate], zone: str) -> Candidate:
@@ -149,28 +149,30 @@
         key = affinity_key(request) or request.request_id.encode()
         by_id = {candidate.view.engine_id: candidate for candidate in candidates}
         homes = self._homes(request, candidates, key)
-        best, least_s = candidates[0], math.inf
+        best, lowest_cost_s = candidates[0], math.inf
         is_large = len(candidates) > self.many_engines
-        few = self.few_choices if is_large else len(candidates)
-        far_s = min(self.far_s, self.far_share * request.route.target_seconds)
+        preferred_count = self.preferred_engines if is_large else len(candidates)
+        overflow_penalty_s = min(
+            self.overflow_penalty_s, self.overflow_penalty_share * request.route.target_seconds
+        )
         predicts_pauses = self.speeds.predicts_pauses(request.service)
         for place, engine_id in enumerate(rendezvous.rank(key, by_id)):
             candidate = by_id[engine_id]
             to_read = tokens_to_read(request, candidate)
-            cost_s = self._until_read_s(candidate, to_read)
+            cost_s = self._read_delay_s(candidate, to_read)
             if predicts_pauses:
                 late = self.speeds.late_streams(candidate.view, to_read, request.is_stream)
                 # A stream with a long pause is late, as is one whose first event comes late.
                 cost_s += late * request.route.target_seconds
             else:
-                cost_s += self._pauses_s(candidate, to_read)
+                cost_s += self._pause_cost_s(candidate, to_read)
             if homes[candidate.scope] != engine_id:
-                cost_s += self._sharing_s(request, candidate, is_large)
-                cost_s += far_s if place >= few else 0.0
-            if candidate.replaced_s > self.replaced_grace_s:
-                cost_s += self.replaced_wait_s
-            if cost_s < least_s:
-                best, least_s = candidate, cost_s
+                cost_s += self._missing_parts_cost_s(request, candidate, is_large)
+                cost_s += overflow_penalty_s if place >= preferred_count else 0.0
+            if candidate.outdated_s > self.outdated_grace_s:
+                cost_s += self.outdated_penalty_s
+            if cost_s < lowest_cost_s:
+                best, lowest_cost_s = candidate, cost_s
         return best
 
     def _homes(
@@ -190,9 +192,9 @@
         """
         first = candidates[0]
         unread = first_unread(request, first) or key
-        beginnings = max(1, len(candidates) // self.engines_per_beginning)
-        if beginnings > 1 and unread != key:
-            unread += b"%d" % (xxhash.xxh3_64_intdigest(key) % beginnings)
+        prefix_readers = max(1, len(candidates) // self.engines_per_prefix_reader)
+        if prefix_readers > 1 and unread != key:
+            unread += b"%d" % (xxhash.xxh3_64_intdigest(key) % prefix_readers)
         else:
             for candidate in candidates:
                 if candidate.view.number == first.shared.reader:
@@ -202,7 +204,7 @@
         assert home is not None
         return home
 
-    def _until_read_s(self, candidate: Candidate, to_read: int) -> float:
+    def _read_delay_s(self, candidate: Candidate, to_read: int) -> float:
         """Return what an engine does before it begins a prompt, and how much longer it reads."""
         view = candidate.view
         read_s_per_token = self.speeds.read_s_per_token(view)
@@ -212,17 +214,19 @@
         extra_s = read_s_per_token - self.speeds.service_read_s_per_token(view.record.service)
         return until_s + to_read * extra_s
 
-    def _sharing_s(self, request: OpaqueRequest, candidate: Candidate, is_large: bool) -> float:
+    def _missing_parts_cost_s(
+        self, request: OpaqueRequest, candidate: Candidate, is_large: bool
+    ) -> float:
         """Return what it costs to have the shared parts at an engine that lacks them."""
         missing = request.shared_tokens - candidate.shared.kept_tokens
         if not missing:
-            return max(self.least_move_s, candidate.move_s)
+            return max(self.min_move_s, candidate.move_s)
         read_s_per_token = self.speeds.read_s_per_token(candidate.view)
         if is_large and not candidate.shared.reader:
-            return self._rare_reading(request, missing) * read_s_per_token
+            return self._reread_cost_tokens(request, missing) * read_s_per_token
         return missing * self.reread_factor * read_s_per_token
 
-    def _rare_reading(self, request: OpaqueRequest, missing_tokens: int) -> float:
+    def _reread_cost_tokens(self, request: OpaqueRequest, missing_tokens: int) -> float:
         """Return what it costs, in tokens, that others may begin to read the parts elsewhere.
 
         What many prompts have in common is being asked for all the time. The last shared
@@ -231,9 +235,9 @@
         assert request.prompt is not None
         rare_tokens = min(missing_tokens, request.prompt.shared_parts[-1].tokens)
         common_tokens = missing_tokens - rare_tokens
-        return common_tokens * self.reread_factor + rare_tokens * self.rare_factor
+        return common_tokens * self.reread_factor + rare_tokens * self.rare_reread_factor
 
-    def _pauses_s(self, candidate: Candidate, to_read: int) -> float:
+    def _pause_cost_s(self, candidate: Candidate, to_read: int) -> float:
         """Return what the pauses of other streams there cost, if the prompt is long."""
         read_s = to_read * self.speeds.read_s_per_token(candidate.view)
         if read_s < self.long_prompt_s:
--- a/liftrill/gateway/engines/service_speeds.py
+++ b/liftrill/gateway/engines/service_speeds.py
@@ -14,18 +14,18 @@
 # One that was found uneven is taken for alike again below this.
 EVEN_FACTOR = 1.12
 # Steps of the weights of homes in a doubling of the speed.
-HOME_STEPS = 2
+HOME_WEIGHT_STEPS = 2
 # Streams whose pauses are remembered of a service, its peers' included (guess).
-PAUSES_KEPT = 128
+MAX_PAUSES = 128
 # With fewer, nothing is known of the longest pause that prompts cause.
-LEAST_PAUSES = 8
+MIN_PAUSES = 8
 # Pauses in which fewer tokens could be read show no prompt.
-LEAST_PAUSE_TOKENS = 2_000
+MIN_PAUSE_TOKENS = 2_000
 # Share of these pauses that are shorter than the bound: the others may have stalled, or lost
 # their memory to more urgent ones and been read anew (guess).
 PAUSE_QUANTILE = 0.75
 # After which a bound that was seen counts a third: pauses that are avoided aren't seen.
-PAUSE_BOUND_FADING_S = 120.0
+PAUSE_BOUND_DECAY_S = 120.0
 
 
 @dataclass(frozen=True, slots=True)
@@ -81,7 +81,7 @@
     answer_s: float = 0.0
     pause_tokens: float = math.inf
     updated_at: float = -math.inf
-    pauses: deque[float] = field(default_factory=lambda: deque(maxlen=PAUSES_KEPT))
+    pauses: deque[float] = field(default_factory=lambda: deque(maxlen=MAX_PAUSES))
 
     def update_estimates(self, views: list[EngineView], now: float) -> list[SpeedChange]:
         """Work out the paces of the engines anew, and return which were found to differ."""
@@ -99,7 +99,7 @@
 
     def note_pause(self, tokens: float) -> None:
         """Note how many prompt tokens an engine could read within a pause of a stream."""
-        if tokens >= LEAST_PAUSE_TOKENS:
+        if tokens >= MIN_PAUSE_TOKENS:
             self.pauses.append(tokens)
 
     def figures(self, service: str, views: list[EngineView]) -> SpeedFigures:
@@ -137,15 +137,15 @@
         return changes
 
     def _update_pause_bound(self, elapsed_s: float) -> None:
-        if len(self.pauses) < LEAST_PAUSES:
+        if len(self.pauses) < MIN_PAUSES:
             return
         ordered = sorted(self.pauses)
-        seen_tokens = ordered[int(PAUSE_QUANTILE * (len(ordered) - 1))]
+        observed_tokens = ordered[int(PAUSE_QUANTILE * (len(ordered) - 1))]
         if math.isinf(self.pause_tokens):
-            self.pause_tokens = seen_tokens
+            self.pause_tokens = observed_tokens
             return
-        kept_tokens = self.pause_tokens * math.exp(-elapsed_s / PAUSE_BOUND_FADING_S)
-        self.pause_tokens = max(seen_tokens, kept_tokens)
+        kept_tokens = self.pause_tokens * math.exp(-elapsed_s / PAUSE_BOUND_DECAY_S)
+        self.pause_tokens = max(observed_tokens, kept_tokens)
 
 
 def _update_paces(paces: list[Pace], known_s: float, now: float) -> float:
@@ -167,7 +167,7 @@
 
 def _home_weight(slowness: float) -> float:
     """Return a weight in coarse steps, so that nodes agree on it though their estimates differ."""
-    return float(2.0 ** (round(-HOME_STEPS * math.log2(slowness)) / HOME_STEPS))
+    return float(2.0 ** (round(-HOME_WEIGHT_STEPS * math.log2(slowness)) / HOME_WEIGHT_STEPS))
 
 
 def _differs(pace_s: float, middle_s: float) -> bool:
--- a/liftrill/gateway/engines/speed_estimator.py
+++ b/liftrill/gateway/engines/speed_estimator.py
@@ -9,9 +9,9 @@
 from liftrill.gateway.engines.service_speeds import ServiceSpeeds, SpeedChange, SpeedFigures
 
 # Samples of less than this say more of the way to an engine than of its reading.
-LEAST_SAMPLE_TOKENS = 2_000
+MIN_SAMPLE_TOKENS = 2_000
 # Of fewer events one pause can't be told from the others.
-LEAST_EVENTS = 2
+MIN_EVENTS = 2
 # How often paces are worked out anew: a slow engine is felt before callers leave, and what it
 # costs is small beside the requests.
 UPDATE_INTERVAL_S = 0.5
@@ -20,8 +20,8 @@
 SOME_LATE_SHARE = 0.5
 ALL_LATE_SHARE = 1.2
 # Of more engines only those are told of that differ from the others: they fill a datagram.
-MANY_ROWS = 32
-MOST_ROWS = 96
+MAX_UNFILTERED_ROWS = 32
+MAX_ROWS = 96
 CONSERVATIVE_READ_S_PER_TOKEN = 1.0 / constants.PREFILL_TOKENS_PER_SECOND
 
 
@@ -99,12 +99,14 @@
         service, target_s = self._service(name), self.pause_targets_s[name]
         read_s_per_token = view.speed.read_s_per_token or service.read_s_per_token
         waiting_tokens = view.waiting_tokens
-        most_tokens = service.pause_tokens
-        pause_s = service.event_s + min(waiting_tokens + to_read, most_tokens) * read_s_per_token
+        max_pause_tokens = service.pause_tokens
+        pause_s = (
+            service.event_s + min(waiting_tokens + to_read, max_pause_tokens) * read_s_per_token
+        )
         if pause_s <= SOME_LATE_SHARE * target_s:
             return 0.0
         after = _late_share(pause_s, target_s)
-        before_s = service.event_s + min(waiting_tokens, most_tokens) * read_s_per_token
+        before_s = service.event_s + min(waiting_tokens, max_pause_tokens) * read_s_per_token
         before = _late_share(before_s, target_s)
         return view.requests * (after - before) + (before if is_stream else 0.0)
 
@@ -113,9 +115,9 @@
     def record_read(self, engine_id: str, tokens: int, elapsed_s: float, now: float) -> None:
         """Note how long some tokens, own and waiting ones, took to be read."""
         view = self._engines.get(engine_id)
-        if view is None or tokens < LEAST_SAMPLE_TOKENS:
+        if view is None or tokens < MIN_SAMPLE_TOKENS:
             return
-        if not self._is_sound(view, elapsed_s, now):
+        if not self._is_representative(view, elapsed_s, now):
             return
         service = self._service(view.record.service)
         # Also bounded by the first belief: what waited ahead may have been read meanwhile.
@@ -129,7 +131,11 @@
         """Note the events of a stream after its first one, and its longest pause."""
         # The longest pause is left out of the pace: it shows what was read meanwhile.
         steady_s = elapsed_s - longest_pause_s
-        if events < LEAST_EVENTS or steady_s <= 0.0 or not self._is_sound(view, elapsed_s, now):
+        if (
+            events < MIN_EVENTS
+            or steady_s <= 0.0
+            or not self._is_representative(view, elapsed_s, now)
+        ):
             return
         service = self._service(view.record.service)
         pace = view.speed.event
@@ -141,7 +147,7 @@
 
     def record_answer(self, view: EngineView, elapsed_s: float, requests: int, now: float) -> None:
         """Note how long a whole answer took, where so many requests were there with it."""
-        if not self._is_sound(view, elapsed_s, now):
+        if not self._is_representative(view, elapsed_s, now):
             return
         own_s = elapsed_s / max(1.0, requests / max(1, view.record.slots))
         pace = view.speed.answer
@@ -181,14 +187,14 @@
             if reading.is_significant or answers.is_significant:
                 pause_tokens = int(self._longest_pauses.get(view.number, 0.0))
                 found.append((view, SpeedRow(view.number, reading, answers, pause_tokens)))
-        if len(found) > MANY_ROWS:
+        if len(found) > MAX_UNFILTERED_ROWS:
             found = [
                 (view, row)
                 for view, row in found
                 if self._service(view.record.service).is_uneven(view)
             ]
         rows = [row for _, row in found]
-        return sorted(rows, key=lambda row: row.seconds, reverse=True)[:MOST_ROWS]
+        return sorted(rows, key=lambda row: row.seconds, reverse=True)[:MAX_ROWS]
 
     # Working out
 
@@ -227,7 +233,7 @@
         longest = self._longest_pauses.get(view.number, 0.0)
         self._longest_pauses[view.number] = max(longest, tokens)
 
-    def _is_sound(self, view: EngineView, elapsed_s: float, now: float) -> bool:
+    def _is_representative(self, view: EngineView, elapsed_s: float, now: float) -> bool:
         """Return whether what ran for some time until now shows how fast an engine is."""
         if view.is_loading_weights(now):
             view.speed.disturbed_at = now
