--- a/liftrill/gateway/engines/placement.py
+++ b/liftrill/gateway/engines/placement.py
@@ -124,7 +124,8 @@
             would send to the engine that the last reports show idle.
         preferred_engines: among how many engines, others for each prompt, that is avoided.
         overflow_penalty_s: how long a wait is better than any other engine then, at most.
-        overflow_penalty_share: the same as a share of the request's target: others wait there as well.
+        overflow_penalty_share: the same as a share of the request's target: others wait there as
+            well.
         services: what the operator declares of engines, by service.
     """
 
