--- a/features/limit_replay.py
+++ b/features/limit_replay.py
@@ -69,7 +69,9 @@
         return min(1.0, len(self.members) / self.fleet.size)
 
     def send(self, node, message):
-        self.fleet.deliver(self, node, lambda peer: peer.limits.take(self.own, message, peer.now))
+        self.fleet.deliver(
+            self, node, lambda peer: peer.limits.receive(self.own, message, peer.now)
+        )
 
     def broadcast(self, limit):
         for peer in self.members - {self.own}:
@@ -109,7 +111,7 @@
             if permit is None and limits.is_pending(ENGINE, user, now):
                 return
             if permit is None and not limits.wait_s(ENGINE, user, now):
-                limits.ask(ENGINE, user, 0.0, True, now)
+                limits.request_permit(ENGINE, user, 0.0, True, now)
                 permit = limits.claim(ENGINE, user, now)
                 if permit is None and limits.is_pending(ENGINE, user, now):
                     return
--- a/features/steps/engine_limit_steps.py
+++ b/features/steps/engine_limit_steps.py
@@ -310,7 +310,7 @@
         name_limit(context, name, limit)
     limits = context.node.selector.limits
     for name in ("a", "b"):
-        limits.ask(at(context, name), "user", 0.0, True, 0.0)
+        limits.request_permit(at(context, name), "user", 0.0, True, 0.0)
     context.now = 1.0 / limit
     while isinstance(choice := choose_at(context, context.now), EngineChoice):
         assert choice.permit is not None
@@ -375,7 +375,7 @@
     taken = []
     while len(taken) < count:
         now += 0.05
-        limits.ask(engine, "user", 0.0, False, now)
+        limits.request_permit(engine, "user", 0.0, False, now)
         permit = limits.claim(engine, "user", now)
         taken += [permit] if permit is not None else []
     return taken, now
--- a/features/steps/room_steps.py
+++ b/features/steps/room_steps.py
@@ -573,14 +573,14 @@
 
 @when("it comes after {at:g} s and is told to come back in {seconds:g} s")
 def step_told_again(context, at, seconds):
-    assert context.returning.standing(context.request, at) is RetryStatus.CAME_EARLY
+    assert context.returning.retry_status(context.request, at) is RetryStatus.CAME_EARLY
     context.returning.record_refusal(context.request, seconds, at)
 
 
 @then("after {at:g} s it counts as {standing}")
 def step_standing(context, at, standing):
     again = replace(context.request, request_id="another")
-    found = context.returning.standing(again, at)
+    found = context.returning.retry_status(again, at)
     assert found is RetryStatus[standing.upper().replace(" ", "_")], found
 
 
--- a/liftrill/gateway/admission/overload.py
+++ b/liftrill/gateway/admission/overload.py
@@ -37,7 +37,7 @@
     is_standing: bool = False
     _since: float | None = None
 
-    def note(self, least_wait_s: float, good_wait_s: float, now: float) -> None:
+    def record_wait(self, least_wait_s: float, good_wait_s: float, now: float) -> None:
         """Take in the shortest wait, beside the longest one that is still in time."""
         if self.is_standing:
             is_changing = least_wait_s < RELIEVED_WAIT_SHARE * good_wait_s
@@ -127,7 +127,7 @@
         good_s = self.timely_wait_share * target_s
         queue = self._queues.setdefault(request.service, StandingQueue())
         was_standing = queue.is_standing
-        queue.note(least_wait_s, good_s, now)
+        queue.record_wait(least_wait_s, good_s, now)
         self._least_waits_s[request.service] = least_wait_s
         if queue.is_standing != was_standing:
             self.on_change(OverloadChange(request.service, queue.is_standing, least_wait_s, good_s))
--- a/liftrill/gateway/admission/queue_admission.py
+++ b/liftrill/gateway/admission/queue_admission.py
@@ -53,7 +53,7 @@
             latest_start=latest_start,
             until=until,
             since=now,
-            standing=self.refused_requests.standing(request, now),
+            standing=self.refused_requests.retry_status(request, now),
             needs_capacity=for_capacity,
         )
 
--- a/liftrill/gateway/admission/request_queue.py
+++ b/liftrill/gateway/admission/request_queue.py
@@ -56,7 +56,7 @@
     """One pass along the line: whom it asked, and whether it goes on once someone took a place."""
 
     everyone: bool
-    asked: set[int] = field(default_factory=set)
+    woken: set[int] = field(default_factory=set)
 
 
 @dataclass(slots=True, eq=False)
@@ -201,32 +201,32 @@
         self._prune_virtual_times()
         return wake_round
 
-    def _wake_next(self, asked: _WakeRound) -> Waiter | None:
+    def _wake_next(self, wake_round: _WakeRound) -> Waiter | None:
         waiting = [
             waiter
             for waiter in self._waiters.values()
-            if waiter.wake_round is None and waiter.number not in asked.asked
+            if waiter.wake_round is None and waiter.number not in wake_round.woken
         ]
         if not waiting:
             return None
         waiter = self._starved_waiter(waiting) or min(waiting, key=self._rank)
-        asked.asked.add(waiter.number)
-        waiter.wake_round = asked
+        wake_round.woken.add(waiter.number)
+        waiter.wake_round = wake_round
         return waiter
 
     def _rank(self, waiter: Waiter) -> tuple[int, int, float, float, int]:
         entry = waiter.entry
-        turn = self._virtual_times.get(entry.tenant, self._virtual_time)
-        return (entry.urgency, entry.standing, turn, entry.latest_start, waiter.number)
+        virtual_time = self._virtual_times.get(entry.tenant, self._virtual_time)
+        return (entry.urgency, entry.standing, virtual_time, entry.latest_start, waiter.number)
 
     def _starved_waiter(self, waiting: list[Waiter]) -> Waiter | None:
         """Return the first of a kind that more urgent ones were long preferred to, or None."""
-        over = [
+        starved = [
             w
             for w in waiting
             if self._passed_over.get(w.entry.urgency, 0) >= MAX_DISPATCHES_IN_A_ROW
         ]
-        return min(over, key=self._rank) if over else None
+        return min(starved, key=self._rank) if starved else None
 
     def _record_dispatch(self, entry: QueueEntry, now: float) -> None:
         self._virtual_time = max(self._virtual_time, self._virtual_times.get(entry.tenant, 0.0))
--- a/liftrill/gateway/admission/retry_after.py
+++ b/liftrill/gateway/admission/retry_after.py
@@ -81,7 +81,7 @@
         if len(self._due) > MAX_REFUSED_REQUESTS:
             self._due.popitem(last=False)
 
-    def standing(self, request: OpaqueRequest, now: float) -> RetryStatus:
+    def retry_status(self, request: OpaqueRequest, now: float) -> RetryStatus:
         """Return whether a caller is new, or came back when it was told to, or earlier."""
         # Nothing is hashed while nobody was refused.
         if not self._due or len(request.body) > MAX_BODY_BYTES:
--- a/liftrill/gateway/engines/engine_end_check.py
+++ b/liftrill/gateway/engines/engine_end_check.py
@@ -22,15 +22,15 @@
         self._on_ended = on_ended
         self._running: dict[int, asyncio.Task[None]] = {}
 
-    async def ask(self, view: EngineView) -> None:
+    async def check(self, view: EngineView) -> None:
         """Find out whether an engine has ended; return without an answer if it takes long."""
         task = self._running.get(view.number)
         if task is None:
-            task = asyncio.ensure_future(self._ask(view))
+            task = asyncio.ensure_future(self._check(view))
             self._running[view.number] = task
             task.add_done_callback(lambda _: self._running.pop(view.number, None))
         await asyncio.wait({task}, timeout=MAX_WAIT_S)
 
-    async def _ask(self, view: EngineView) -> None:
+    async def _check(self, view: EngineView) -> None:
         if await self._transport.has_ended(view.record.address):
             self._on_ended(view, clock.now_s())
--- a/liftrill/gateway/engines/engine_limits.py
+++ b/liftrill/gateway/engines/engine_limits.py
@@ -221,10 +221,10 @@
         permit = self.claim(engine, user, now)
         if permit is not None or not self.is_limited(engine):
             return permit
-        self.ask(engine, user, patience_s, may_wait, now)
+        self.request_permit(engine, user, patience_s, may_wait, now)
         return self.claim(engine, user, now)
 
-    def ask(
+    def request_permit(
         self, engine: EngineAddress, user: str, patience_s: float, may_wait: bool, now: float
     ) -> None:
         """Ask for a permit; this node itself answers at once, another only who may wait."""
@@ -272,7 +272,7 @@
         elif is_newer:
             state.limit = limit
 
-    def take(self, node: str, message: LimitMessage, now: float) -> None:
+    def receive(self, node: str, message: LimitMessage, now: float) -> None:
         """Take in a message from another node."""
         if isinstance(message, PermitRequest):
             self.merge(message.limit, now)
--- a/liftrill/gateway/engines/engine_selector.py
+++ b/liftrill/gateway/engines/engine_selector.py
@@ -19,7 +19,7 @@
     PromptCost,
     cache_salt,
 )
-from liftrill.gateway.engines.shared_part_tracker import BETWEEN_ZONES, SharedPartTracker
+from liftrill.gateway.engines.shared_part_tracker import CROSS_ZONE_FACTOR, SharedPartTracker
 from liftrill.gateway.engines.shared_parts import SharedParts, find_shared_parts
 from liftrill.gateway.engines.slot_times import SlotTimes
 from liftrill.gateway.engines.speed_estimator import SpeedEstimator
@@ -370,8 +370,8 @@
         profile = self.parts.profile(view.record.service)
         tokens = request.shared_tokens
         if holder is None:
-            return BETWEEN_ZONES * tokens * profile.store_move_s_per_token
-        factor = 1.0 if holder.record.zone == view.record.zone else BETWEEN_ZONES
+            return CROSS_ZONE_FACTOR * tokens * profile.store_move_s_per_token
+        factor = 1.0 if holder.record.zone == view.record.zone else CROSS_ZONE_FACTOR
         return factor * tokens * profile.move_s_per_token
 
     def _prompt_choice(self, chosen: Candidate, prompt: PromptShape, now: float) -> EngineChoice:
--- a/liftrill/gateway/engines/engine_speed.py
+++ b/liftrill/gateway/engines/engine_speed.py
@@ -109,9 +109,11 @@
 
 def _bounded_rows(significant: list[WorkSample], bound: float) -> list[tuple[float, float]]:
     """Return pace and units of each source, neither far from the middle one's."""
-    most = SOURCE_BOUND * lower_median([work.units for work in significant])
-    middle_s = lower_median([work.pace_s for work in significant])
-    return [(_bounded(work.pace_s, middle_s, bound), min(work.units, most)) for work in significant]
+    max_units = SOURCE_BOUND * lower_median([work.units for work in significant])
+    median_s = lower_median([work.pace_s for work in significant])
+    return [
+        (_bounded(work.pace_s, median_s, bound), min(work.units, max_units)) for work in significant
+    ]
 
 
 def _bounded(pace_s: float, known_s: float, bound: float = SAMPLE_BOUND) -> float:
--- a/liftrill/gateway/engines/prefix_directory.py
+++ b/liftrill/gateway/engines/prefix_directory.py
@@ -57,8 +57,8 @@
 
 @dataclass(frozen=True, slots=True)
 class _PendingUpdate:
-    kept: PartLocation
-    noted_at: float
+    location: PartLocation
+    recorded_at: float
     own: bool
 
 
@@ -127,22 +127,22 @@
 
     def record_reading(self, part: int, engine: int, now: float) -> None:
         """Note that an engine is about to read a part, and tell of it."""
-        self._store_update(PartLocation(part, engine, PartStage.BEING_READ), now, own=True)
+        self._record_and_announce(PartLocation(part, engine, PartStage.BEING_READ), now, own=True)
 
     def record_read(
         self, part: int, engine: int, now: float, *, saved: bool, announce: bool
     ) -> None:
         """Note that an engine runs a prompt with a part, and saves it if it was told to."""
-        kept = PartLocation(part, engine, PartStage.SAVED if saved else PartStage.HELD)
-        if announce and (saved or self._is_new(kept, now)):
-            self._store_update(kept, now, own=True)
+        location = PartLocation(part, engine, PartStage.SAVED if saved else PartStage.HELD)
+        if announce and (saved or self._is_new(location, now)):
+            self._record_and_announce(location, now, own=True)
         else:
-            self._remember(kept, now)
+            self._remember(location, now)
 
-    def _is_new(self, kept: PartLocation, now: float) -> bool:
+    def _is_new(self, location: PartLocation, now: float) -> bool:
         """Return whether peers need to be told that an engine holds a part."""
-        entry = self._entries.get(kept.part)
-        if entry is None or not entry.was_read or entry.engine != kept.engine:
+        entry = self._entries.get(location.part)
+        if entry is None or not entry.was_read or entry.engine != location.engine:
             return True
         return now - entry.used_at >= REANNOUNCE_SHARE * self.held_s
 
@@ -150,48 +150,48 @@
         self, locations: Iterable[PartLocation], now: float, of_own_zone: bool
     ) -> None:
         """Note what other nodes tell, and pass on what those of the own zone do."""
-        for kept in locations:
-            if self._is_known(kept, now):
+        for location in locations:
+            if self._is_known(location, now):
                 continue
             if of_own_zone:
-                self._store_update(kept, now, own=False)
+                self._record_and_announce(location, now, own=False)
             else:
-                self._remember(kept, now)
+                self._remember(location, now)
 
-    def _is_known(self, kept: PartLocation, now: float) -> bool:
-        if kept.stage is PartStage.SAVED:
-            return self.is_saved(kept.part, now)
-        if kept.stage is PartStage.HELD:
-            return not self._is_new(kept, now)
-        known = self.holder(kept.part, now) or self.reader(kept.part, now)
-        return known != 0 or self.is_saved(kept.part, now)
+    def _is_known(self, location: PartLocation, now: float) -> bool:
+        if location.stage is PartStage.SAVED:
+            return self.is_saved(location.part, now)
+        if location.stage is PartStage.HELD:
+            return not self._is_new(location, now)
+        known = self.holder(location.part, now) or self.reader(location.part, now)
+        return known != 0 or self.is_saved(location.part, now)
 
-    def _store_update(self, kept: PartLocation, now: float, own: bool) -> None:
-        self._remember(kept, now)
-        self._pending.append(_PendingUpdate(kept, now, own))
+    def _record_and_announce(self, location: PartLocation, now: float, own: bool) -> None:
+        self._remember(location, now)
+        self._pending.append(_PendingUpdate(location, now, own))
 
     def updates(self, now: float) -> PartUpdates:
         """Return what to tell other nodes."""
-        while self._pending and now - self._pending[0].noted_at > UPDATE_LIFETIME_S:
+        while self._pending and now - self._pending[0].recorded_at > UPDATE_LIFETIME_S:
             self._pending.popleft()
         rows = [row for row in self._pending if self._is_announced(row, now)]
-        own = tuple(row.kept for row in rows if row.own)
-        return PartUpdates(own, tuple(row.kept for row in rows))
+        own = tuple(row.location for row in rows if row.own)
+        return PartUpdates(own, tuple(row.location for row in rows))
 
     def _is_announced(self, row: _PendingUpdate, now: float) -> bool:
         """Return whether what a row tells is still young beside how long it holds."""
-        if row.kept.stage is not PartStage.HELD:
+        if row.location.stage is not PartStage.HELD:
             return True
-        return now - row.noted_at <= ANNOUNCE_SHARE * self.held_s
+        return now - row.recorded_at <= ANNOUNCE_SHARE * self.held_s
 
-    def _remember(self, kept: PartLocation, now: float) -> None:
-        entry = self._entries.setdefault(kept.part, _Entry())
-        entry.engine = kept.engine
+    def _remember(self, location: PartLocation, now: float) -> None:
+        entry = self._entries.setdefault(location.part, _Entry())
+        entry.engine = location.engine
         entry.used_at = now
-        entry.was_read = kept.stage is not PartStage.BEING_READ
-        if kept.stage is PartStage.SAVED:
+        entry.was_read = location.stage is not PartStage.BEING_READ
+        if location.stage is PartStage.SAVED:
             self._note_saved(entry, now)
-        self._entries.move_to_end(kept.part)
+        self._entries.move_to_end(location.part)
         if len(self._entries) > self.capacity:
             self._entries.popitem(last=False)
 
--- a/liftrill/gateway/engines/service_speeds.py
+++ b/liftrill/gateway/engines/service_speeds.py
@@ -156,11 +156,11 @@
     return lower_median(found) if found else known_s
 
 
-def _slowness(pace: Pace, middle_s: float, before: float) -> float:
+def _slowness(pace: Pace, median_s: float, before: float) -> float:
     """Return how many times as long as the middle one an engine takes, 1 where alike."""
-    if not pace.current_s or not middle_s:
+    if not pace.current_s or not median_s:
         return 1.0
-    found = pace.current_s / middle_s
+    found = pace.current_s / median_s
     factor = UNEVEN_FACTOR if before == 1.0 else EVEN_FACTOR
     return found if found > factor or found < 1.0 / factor else 1.0
 
@@ -170,10 +170,10 @@
     return float(2.0 ** (round(-HOME_WEIGHT_STEPS * math.log2(slowness)) / HOME_WEIGHT_STEPS))
 
 
-def _differs(pace_s: float, middle_s: float) -> bool:
-    if not pace_s or not middle_s:
+def _differs(pace_s: float, median_s: float) -> bool:
+    if not pace_s or not median_s:
         return False
-    return not 1.0 / EVEN_FACTOR <= pace_s / middle_s <= EVEN_FACTOR
+    return not 1.0 / EVEN_FACTOR <= pace_s / median_s <= EVEN_FACTOR
 
 
 def _change(view: EngineView, work: str, slowness: float, pace: Pace, now: float) -> SpeedChange:
--- a/liftrill/gateway/engines/shared_part_tracker.py
+++ b/liftrill/gateway/engines/shared_part_tracker.py
@@ -12,7 +12,7 @@
 from liftrill.gateway.store_link import StoreLink, is_worth_moving, is_worth_saving
 
 # How much longer a move between zones takes than one within a zone.
-BETWEEN_ZONES = 2.0
+CROSS_ZONE_FACTOR = 2.0
 
 
 class SharedPartTracker:
@@ -89,7 +89,7 @@
         tokens = request.shared_tokens if choice.is_saved else prompt.prompt_tokens
         view = self._engines.get(choice.engine_id)
         near = view is not None and view.record.zone == zones.get(store)
-        factor = 1.0 if near else BETWEEN_ZONES
+        factor = 1.0 if near else CROSS_ZONE_FACTOR
         return factor * tokens * self.profile(request.service).store_move_s_per_token
 
     def _is_known(self, number: int, now: float) -> bool:
--- a/liftrill/gateway/forwarder.py
+++ b/liftrill/gateway/forwarder.py
@@ -324,7 +324,7 @@
             return
         self._quarantine.run_lost(machine.request, view, times, clock.now_s())
         if not self._quarantine.knows_end(view):
-            await self._end_check.ask(view)
+            await self._end_check.check(view)
 
     def run_given_up(self, machine: DeliveryMachine, view: EngineView, times: AttemptTimes) -> None:
         """Note that a run is closed before its end: what it does to its engine is not seen."""
--- a/liftrill/gateway/gateway.py
+++ b/liftrill/gateway/gateway.py
@@ -570,7 +570,7 @@
         self._quarantine.hear_quarantined(entry, clock.now_s())
 
     def _on_limit_message(self, node: str, message: LimitMessage) -> None:
-        self._limits.take(node, message, clock.now_s())
+        self._limits.receive(node, message, clock.now_s())
 
     def _on_served(self, fingerprint: bytes) -> None:
         self._quarantine.hear_served(fingerprint, clock.now_s())
