--- a/liftrill/gateway/engines/engine_condition.py
+++ b/liftrill/gateway/engines/engine_condition.py
@@ -1,7 +1,8 @@
-"""What was heard from engines, kept for as long as they may live, sans-IO.
+"""State that engines report about themselves, kept per incarnation; performs no I/O.
 
-An engine's word is true of one incarnation of it, whatever its record says or whether there is
-one: records go, come back and are restored from older copies while the engine is the same.
+A report is valid for one incarnation of an engine, independent of the engine's record in the
+store: records are removed, written again and restored from older copies of the store while the
+same engine keeps running.
 """
 
 import math
@@ -12,43 +13,42 @@
 from liftrill.coordination.permits import Permit
 from liftrill.gateway.delivery_events import EngineAddress
 
-# For how long after its last word an engine is remembered that is in no record: a store that was
-# away for minutes may still bring one back.
+# Retention of engines without a record, counted from their last report: a store that was
+# unreachable for minutes may still restore the record.
 RETENTION_S = 600.0
-# An engine that asks for longer is asked again after it: a typing error would take it out of use
-# for good otherwise.
+# Upper bound of one backoff: a mistyped Retry-After must not take an engine out of use for good.
 MAX_BACKOFF_S = 600.0
-# After a rest an engine gets one request in this time until it has answered one: all that waited
-# at all nodes would be its next overload. A plain answer takes about as long (guess).
+# After a backoff an engine gets one trial request per interval until it answers one: all waiting
+# requests of all nodes at once would overload it again. About the duration of a plain answer.
 TRIAL_INTERVAL_S = 0.25
-# Orders of new weights wait for a rest no longer: what the operator named comes into use within
-# seconds, and an order is no load (guess).
+# Weight orders wait no longer than this for a backoff: weights that an operator named must come
+# into use within seconds, and an order puts no load on the engine.
 MAX_ORDER_BACKOFF_S = 5.0
-# How often that is looked at: few are forgotten, and each look passes over all of them.
+# Each expiry pass visits every entry, and few of them expire.
 EXPIRY_INTERVAL_S = 10.0
-# How many are remembered at the most: more than leave within that time in a fleet of thousands;
-# 1.6 MB (400 bytes each).
+# Upper bound of the entries: more than the engines that leave within RETENTION_S in a fleet of
+# thousands; 400 bytes each, 1.6 MB in all.
 MAX_ENTRIES = 4_096
-# Fractions included; another form, such as a date, says nothing.
+# Accepts fractions; other forms of Retry-After, such as a date, are ignored.
 DECIMAL = re.compile(r"\d{1,9}(\.\d{1,9})?", re.ASCII)
 
 
 def parse_decimals(values: Iterable[str]) -> list[float]:
-    """Return the plain decimal numbers among some values, as seconds or requests a second."""
+    """Return the plain decimal numbers among header values, in seconds or requests a second."""
     return [float(value) for value in values if DECIMAL.fullmatch(value)]
 
 
 @dataclass(frozen=True, slots=True)
 class EngineSignal:
-    """What an answer says of the engine that gave it.
+    """State that an engine reports about itself in one answer.
 
     Attributes:
-        source: what kind of call it answers, or who told of it.
+        source: the kind of call that was answered, or "peer" if another node passed it on.
         status: the HTTP status of the answer, or 0.
-        leaving: whether the engine is about to end, and wants no new work.
-        backoff_s: for how long it wants nothing from this node, or 0.
-        limit_per_s: how many requests a second it takes from all nodes together, or None.
-        permit: under which the request was sent that it answers, or None.
+        leaving: whether the engine is shutting down and takes no new requests.
+        backoff_s: how long this node must send the engine nothing, or 0.
+        limit_per_s: requests a second that the engine accepts from all nodes together, or None.
+        permit: the permit of the answered request, or None.
     """
 
     engine: EngineAddress
@@ -62,13 +62,14 @@
 
 @dataclass(slots=True)
 class EngineCondition:
-    """What was heard from one incarnation of an engine.
+    """Last reported state of one incarnation of an engine.
 
     Attributes:
-        leaving: whether it said that it leaves, in an answer or a record; it never takes it back.
-        backoff_until: it wants nothing from this node before this time.
-        weights: the newest version known of each model.
-        last_heard_at: when it said something last, or its record went.
+        leaving: whether the engine reported in an answer or a record that it is shutting down;
+            never reset.
+        backoff_until: time before which this node must send the engine nothing.
+        weights: the newest known version of each model.
+        last_heard_at: time of the last report, or of the removal of the engine's record.
     """
 
     leaving: bool = False
@@ -80,36 +81,36 @@
     _trial_until: float = -math.inf
 
     def begin_backoff(self, backoff_s: float, now: float) -> None:
-        """Take in that it wants rest: the latest end holds of all that it asked for."""
+        """Start or extend a backoff; of several requested ends the latest one holds."""
         if now >= self.backoff_until:
             self._backoff_since = now
         self.backoff_until = max(self.backoff_until, now + min(backoff_s, MAX_BACKOFF_S))
         self._on_trial = True
 
     def backoff_left_s(self, now: float) -> float:
-        """Return for how long it gets nothing from this node, or 0."""
+        """Return how much longer this node sends the engine nothing, or 0."""
         return max(0.0, max(self.backoff_until, self._trial_until) - now)
 
     def is_backing_off(self, now: float) -> bool:
-        """Return whether it gets nothing from this node now."""
+        """Return whether this node sends the engine nothing now."""
         return self.backoff_left_s(now) > 0
 
     def defers_weight_orders(self, now: float) -> bool:
-        """Return whether orders wait for its rest."""
+        """Return whether weight orders to the engine wait for the end of its backoff."""
         return now < min(self.backoff_until, self._backoff_since + MAX_ORDER_BACKOFF_S)
 
     def learn_weights(self, model: str, version: int) -> None:
-        """Take note of a version that it was seen to have: versions only rise."""
+        """Record an observed weight version of a model; a lower version is ignored."""
         if version > self.weights.get(model, 0):
             self.weights[model] = version
 
     def note_sent(self, now: float) -> None:
-        """Note that a request is sent to it: after a rest, the only one for a while."""
+        """Record a request sent to the engine; after a backoff it starts a trial interval."""
         if self._on_trial:
             self._trial_until = now + TRIAL_INTERVAL_S
 
     def note_answered(self, sent_at: float) -> None:
-        """Note that it answered what was sent at a time: after its rest, it can bear more."""
+        """Record an answer to a request sent at `sent_at`; it may end the trial after a backoff."""
         if sent_at >= self.backoff_until:
             self._on_trial = False
             self._trial_until = -math.inf
@@ -117,7 +118,7 @@
 
 @dataclass(slots=True)
 class EngineConditions:
-    """The standings of incarnations that said something, or whose records went."""
+    """Conditions of the incarnations that reported anything or whose records were removed."""
 
     _conditions: dict[tuple[int, str], EngineCondition] = field(default_factory=dict)
     _expired_at: float = 0.0
@@ -126,11 +127,11 @@
         return len(self._conditions)
 
     def of(self, engine: EngineAddress) -> EngineCondition:
-        """Return what an incarnation said, or the standing of one that said nothing yet."""
+        """Return the condition of an incarnation, or an empty one if it reported nothing."""
         return self._conditions.get(_key(engine)) or EngineCondition()
 
     def remember(self, engine: EngineAddress, condition: EngineCondition, now: float) -> None:
-        """Remember what is known of an incarnation that spoke or went just now."""
+        """Store the condition of an incarnation that just reported or lost its record."""
         condition.last_heard_at = now
         self._conditions[_key(engine)] = condition
         if len(self._conditions) > MAX_ENTRIES:
@@ -139,7 +140,7 @@
             ]
 
     def expire(self, in_records: Iterable[EngineCondition], now: float) -> None:
-        """Forget those that said nothing for long and are in no record."""
+        """Drop conditions without a record whose last report is older than RETENTION_S."""
         if now - self._expired_at < EXPIRY_INTERVAL_S:
             return
         self._expired_at = now
@@ -151,5 +152,5 @@
 
 
 def _key(engine: EngineAddress) -> tuple[int, str]:
-    # Where engines do not tell their start, another address under an id is another incarnation.
+    # Without reported start times, an id at another address is another incarnation.
     return engine.number, engine.address
--- a/liftrill/gateway/engines/engine_table.py
+++ b/liftrill/gateway/engines/engine_table.py
@@ -1,4 +1,4 @@
-"""The engines as one node sees them: their records, its own load on them, their health."""
+"""The engines as seen by one node: their records, loads and health."""
 
 from collections.abc import Iterable, Iterator
 from dataclasses import dataclass, field
@@ -20,7 +20,7 @@
 
 
 def engine_number(incarnation: str) -> int:
-    """Return a 64-bit name for one start of an engine, the same on all nodes."""
+    """Return the 64-bit hash that identifies one incarnation of an engine on all nodes."""
     return xxhash.xxh3_64_intdigest(incarnation.encode())
 
 
@@ -30,12 +30,12 @@
 
 @dataclass(frozen=True, slots=True)
 class EngineNotice:
-    """Word of the weight controller on one engine.
+    """Notice of the weight controller about the weights of one engine.
 
     Attributes:
-        version: the weights it has, or is about to have while `loading`.
+        version: the version that the engine has, or is about to have while `loading`.
         sequence: orders the notices about one engine.
-        number: of the incarnation that is meant, or 0 where engines do not tell theirs.
+        number: of the incarnation that the notice is about, or 0 if engines report no start time.
     """
 
     engine_id: str
@@ -48,14 +48,14 @@
 
 @dataclass(slots=True)
 class EngineLoad:
-    """Work on one engine.
+    """Outstanding work on one engine.
 
     Attributes:
-        requests: requests that it holds.
-        waiting_tokens: prompt tokens that were sent and have no answer yet.
-        resident_tokens: tokens that running requests hold in its memory, or will.
-        body_kilobytes: of requests that were sent and have no whole answer yet.
-        number: of the incarnation that has it, or 0 where engines do not tell theirs.
+        requests: requests in flight.
+        waiting_tokens: prompt tokens of requests that were sent and not answered yet.
+        resident_tokens: tokens that running requests occupy, or will occupy, in engine memory.
+        body_kilobytes: body size of requests that were sent and not fully answered yet.
+        number: of the incarnation that has the work, or 0 if engines report no start time.
     """
 
     requests: int = 0
@@ -65,7 +65,7 @@
     number: int = 0
 
     def add(self, other: "EngineLoad", factor: int = 1) -> None:
-        """Add other work, or take it away with a factor of -1."""
+        """Add other work, or subtract it with a factor of -1."""
         self.requests += factor * other.requests
         self.waiting_tokens += factor * other.waiting_tokens
         self.resident_tokens += factor * other.resident_tokens
@@ -74,19 +74,19 @@
 
 @dataclass(slots=True)
 class EngineView:
-    """One incarnation of an engine.
+    """State of one incarnation of an engine at this node.
 
     Attributes:
-        own_load: what this node has on it.
-        peer_load: what other nodes told of theirs.
-        paused_until: it takes no new requests before this time, as far as is known, unless
-            it is seen to have `loading_version` earlier.
-        gone: its record was removed, or another engine answered at its address.
-        vanished_at: when its record went while that could not be trusted, or None.
-        withdrawn: its newest record is not an engine's: it is used again after the next good one.
-        model: how fast it works, as far as was observed.
-        number: the short name of this incarnation, in words to peers.
-        standing: what was heard of it; it outlives this view.
+        own_load: work that this node has on the engine.
+        peer_load: work that other nodes reported.
+        paused_until: time before which this node sends no new requests, because the engine loads
+            weights or refused a request; observing `loading_version` ends the pause earlier.
+        gone: whether the record was removed or another instance answered at the address.
+        vanished_at: time when the record disappeared during a store outage, or None.
+        withdrawn: whether the engine is out of use until its next good record arrives.
+        speed: estimated speed of the engine.
+        number: hash that identifies the incarnation in messages to peers.
+        condition: state that the engine reported about itself; it outlives this view.
     """
 
     record: EngineRecord
@@ -108,59 +108,59 @@
 
     @property
     def leaving(self) -> bool:
-        """Whether it takes no new work any more."""
+        """Whether the engine takes no new requests any more."""
         return self.gone or self.condition.leaving
 
     @property
     def weights(self) -> dict[str, int]:
-        """The newest version known of each model; it only rises in one incarnation."""
+        """The newest known version of each model; it only rises within one incarnation."""
         return self.condition.weights
 
     @property
     def engine_id(self) -> str:
-        """The identity of this incarnation."""
+        """The id of the engine."""
         return self.record.engine_id
 
     @property
     def at(self) -> EngineAddress:
-        """The incarnation, and where it is."""
+        """The id, address and number of the incarnation."""
         return EngineAddress(self.engine_id, self.record.address, self.number)
 
     @property
     def advertised_number(self) -> int:
-        """The number in words to peers, or 0 where an id names one incarnation alone."""
+        """The number to send to peers, or 0 if the engine reports no start time."""
         return self.number if self.record.born_unix_ms else 0
 
     @property
     def requests(self) -> int:
-        """The requests of all nodes, as far as is known."""
+        """Known requests of all nodes at the engine."""
         return self.own_load.requests + self.peer_load.requests
 
     @property
     def waiting_tokens(self) -> int:
-        """The prompt tokens of all nodes that wait there."""
+        """Known unanswered prompt tokens of all nodes at the engine."""
         return self.own_load.waiting_tokens + self.peer_load.waiting_tokens
 
     @property
     def resident_tokens(self) -> int:
-        """The tokens of all nodes' requests in its memory."""
+        """Known tokens that requests of all nodes occupy in the engine's memory."""
         return self.own_load.resident_tokens + self.peer_load.resident_tokens
 
     @property
     def body_kilobytes(self) -> int:
-        """What all nodes sent it and it has not answered, as far as is known."""
+        """Known body size of the requests of all nodes that the engine has not fully answered."""
         return self.own_load.body_kilobytes + self.peer_load.body_kilobytes
 
     def weight_version(self, model: str) -> int:
-        """Return the version of a model that it has, or 0 if not known."""
+        """Return the engine's version of a model, or 0 if unknown."""
         return self.weights.get(model, 0)
 
     def matches_number(self, number: int) -> bool:
-        """Return whether a word of a peer is of this incarnation, as far as it says."""
+        """Return whether a number from a peer is 0 or names this incarnation."""
         return number in (0, self.number)
 
     def apply_record(self, record: EngineRecord) -> None:
-        """Take in a record of this incarnation."""
+        """Apply a record; an older one only adds its leaving mark and weight versions."""
         if record.revision >= self.record.revision:
             self.withdrawn = bool(self.weights) and not record.weights
             self.record = record
@@ -170,22 +170,22 @@
             self.learn_weights(model, version)
 
     def learn_weights(self, model: str, version: int) -> None:
-        """Take note of a version that the engine was seen to have."""
+        """Record an observed weight version; reaching `loading_version` ends the pause."""
         self.condition.learn_weights(model, version)
         if self.loading_version and version >= self.loading_version:
             self.loading_version = 0
             self.paused_until = 0.0
 
     def rejects_requests(self, now: float) -> bool:
-        """Return whether it leaves, or asked this node for a rest that is not over."""
+        """Return whether the engine is leaving, gone or in a requested backoff."""
         return self.leaving or now < self.condition.backoff_until
 
     def is_loading_weights(self, now: float) -> bool:
-        """Return whether it is believed to load weights, and is not just left alone for load."""
+        """Return whether the engine is believed to load weights, not merely paused for load."""
         return bool(self.loading_version) and self.is_paused(now)
 
     def is_paused(self, now: float) -> bool:
-        """Return whether it is believed to be busy with an order."""
+        """Return whether this node sends the engine no new requests for now."""
         return now < self.paused_until
 
 
@@ -196,16 +196,16 @@
 
 
 class EngineTable:
-    """All engines with a record.
+    """All engines that have a record.
 
     Attributes:
-        services: the services that the configuration names; empty before there is one.
-        standings: what engines said of themselves, also those whose records are gone.
+        services: services named by the configuration; empty before there is one.
+        conditions: reported state of engines, including those whose records are gone.
     """
 
-    # For how long an engine is used whose record went with an outage of the store. Records
-    # are back within about two seconds; an engine that left may not be used for longer than
-    # that from when its record went, and this is looked at three times a second.
+    # How long an engine stays in use after its record disappeared in a store outage. Writers
+    # restore their records within about two seconds. An engine that left must not be used for
+    # longer than that, and expiry runs three times a second.
     VANISHED_GRACE_SECONDS = 1.6
 
     def __init__(self) -> None:
@@ -214,7 +214,7 @@
         self._starts_reported = False
         self.services: frozenset[str] = frozenset()
         self.conditions = EngineConditions()
-        # By engine: up to which position records that are not read yet are withheld.
+    # By engine id: revision up to which records that this node has not read yet are withheld.
         self._withheld: dict[str, int] = {}
 
     def __iter__(self) -> Iterator[EngineView]:
@@ -224,22 +224,22 @@
         return len(self._views)
 
     def in_use(self) -> Iterator[EngineView]:
-        """Return the engines of services that the configuration names."""
+        """Return the engines of configured services, without withdrawn ones."""
         for view in self:
             is_named = not self.services or view.record.service in self.services
             if is_named and not view.withdrawn:
                 yield view
 
     def get(self, engine_id: str) -> EngineView | None:
-        """Return an engine's view."""
+        """Return the view of an engine id, or None."""
         return self._views.get(engine_id)
 
     def by_number(self, number: int) -> EngineView | None:
-        """Return the view of an engine that is named by its number."""
+        """Return the view of an incarnation number, or None."""
         return self._by_number.get(number)
 
     def of_service(self, service: str) -> list[EngineView]:
-        """Return the engines of a service."""
+        """Return the engines of a service, without withdrawn ones."""
         return [
             view
             for view in self._views.values()
@@ -247,10 +247,10 @@
         ]
 
     def update(self, record: EngineRecord) -> EngineView | None:
-        """Take in a record and return the view of its incarnation, if it is the newest one.
+        """Apply a record; return the view of its incarnation, or None if the record is not used.
 
-        Another incarnation under a known id holds nothing of what the former one held, and
-        nothing that was learned of that one is true of it.
+        A new incarnation under a known id starts with a fresh view: loads, speed and weights of
+        the previous incarnation do not apply to it.
         """
         self._record_start(record)
         if self._starts_reported and not record.born_unix_ms:
@@ -276,7 +276,7 @@
         return view
 
     def apply_signal(self, signal: EngineSignal, now: float) -> bool:
-        """Take in what an engine said in an answer; return whether it is news that it leaves."""
+        """Apply a report of an engine; return whether it newly says that the engine leaves."""
         view = self._find_incarnation(signal.engine)
         if view is None and not signal.engine.number:
             return False
@@ -290,20 +290,20 @@
         return is_news
 
     def incarnation(self, engine: EngineAddress) -> EngineAddress | None:
-        """Return the incarnation that an answer is of, or None where that is not known."""
+        """Return the incarnation that an answer came from, or None if unknown."""
         view = self._find_incarnation(engine)
         if view is not None:
             return view.at
         return engine if engine.number else None
 
     def leaving(self) -> list[EngineAddress]:
-        """Return the engines that said that they leave, in an answer or a record."""
+        """Return the engines that reported in an answer or a record that they are leaving."""
         return [view.at for view in self if view.condition.leaving]
 
     def unrecorded_state(self, with_all_weights: bool = False) -> EngineUpdate:
-        """Return what this node knows of engines and their records do not say.
+        """Return what this node knows about engines beyond what their records say.
 
-        With all weights: also those that the records, as this node has read them, do say.
+        With `with_all_weights`, weights that the records do contain are included.
         """
         withheld = [WithheldRecord(v.engine_id, v.record.revision) for v in self if v.withdrawn]
         weights = [
@@ -315,9 +315,10 @@
         return EngineUpdate(tuple(self.leaving()), tuple(withheld), tuple(weights))
 
     def merge_unrecorded_state(self, update: EngineUpdate, now: float) -> list[WithheldRecord]:
-        """Take in what another node knows; return the records that are used no more for it.
+        """Merge the state known to another node; return the records withdrawn because of it.
 
-        Also of engines whose records this node has not read yet: who joins is told before that.
+        The state may concern engines whose records this node has not read yet, because a joining
+        node receives it first.
         """
         for seen in update.weights:
             self._learn_weights(seen, now)
@@ -336,14 +337,17 @@
         self.conditions.remember(seen.engine, condition, now)
 
     def _find_incarnation(self, engine: EngineAddress) -> EngineView | None:
-        """Return the view of an incarnation, if it has a record."""
+        """Return the view of an incarnation, or None if it has no record."""
         view = self._views.get(engine.engine_id)
         if view is None or view.record.address != engine.address:
             return None
         return view if view.matches_number(engine.number) else None
 
     def withdraw(self, engine_id: str, revision: int) -> bool:
-        """Use an engine no more whose record became unreadable, and return whether it was used."""
+        """Stop using an engine whose record is unreadable or withheld; return whether it was used.
+
+        A revision older than the known record is ignored.
+        """
         view = self._views.get(engine_id)
         if view is None or view.withdrawn or revision < view.record.revision:
             return False
@@ -351,7 +355,7 @@
         return True
 
     def _record_start(self, record: EngineRecord) -> None:
-        """Use no engine without a start, from the first record that tells one on."""
+        """Withdraw engines without a start time as soon as any record reports one."""
         if not record.born_unix_ms or self._starts_reported:
             return
         self._starts_reported = True
@@ -360,7 +364,7 @@
                 view.withdrawn = True
 
     def remove(self, engine_id: str) -> None:
-        """Forget an engine whose record is gone."""
+        """Remove an engine whose record was removed."""
         view = self._views.pop(engine_id, None)
         if view is not None:
             view.gone = True
@@ -368,14 +372,14 @@
             self._by_number.pop(view.number, None)
 
     def mark_vanished(self, engine_ids: Iterable[str], now: float) -> None:
-        """Note records that went while the store was out: their writers may write again."""
+        """Mark records that disappeared in a store outage; their writers may restore them."""
         for engine_id in engine_ids:
             view = self._views.get(engine_id)
             if view is not None and view.vanished_at is None:
                 view.vanished_at = now
 
     def expire_vanished(self, now: float) -> list[str]:
-        """Forget vanished engines that did not write again in time; return their names."""
+        """Remove engines whose vanished records were not restored in time; return their ids."""
         expired = [
             view.engine_id
             for view in self._views.values()
@@ -387,7 +391,7 @@
         return expired
 
     def apply_notice(self, notice: EngineNotice, paused_until: float) -> None:
-        """Take in the controller's word; while loading, until a time at the latest."""
+        """Apply a controller notice; `paused_until` bounds the pause while weights load."""
         view = self._views.get(notice.engine_id)
         if view is None or not view.matches_number(notice.number):
             return
--- a/liftrill/gateway/engines/engine_update.py
+++ b/liftrill/gateway/engines/engine_update.py
@@ -1,4 +1,4 @@
-"""What nodes know of engines and the engines' records do not say, for nodes that join."""
+"""Engine state that nodes know beyond the engines' records, sent to joining nodes."""
 
 from dataclasses import dataclass
 
@@ -8,10 +8,10 @@
 
 @dataclass(frozen=True, slots=True)
 class WithheldRecord:
-    """A record that names no engine to be used, until a later one of the same engine.
+    """A record that does not make its engine usable, until a later one of the same engine.
 
     Attributes:
-        revision: its position in the store.
+        revision: the revision of the record in the store.
     """
 
     engine_id: str
@@ -20,7 +20,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SeenWeights:
-    """Weights that an engine was seen to have."""
+    """A weight version of one model that was observed at an engine."""
 
     engine: EngineAddress
     model: str
@@ -29,13 +29,13 @@
 
 @dataclass(frozen=True, slots=True)
 class EngineUpdate:
-    """What a node that joins can't read in the store.
+    """Engine state that a joining node cannot read from the store.
 
     Attributes:
-        leaving: engines that want no new work.
-        withheld: records that are not used: of an older copy of the store, or unreadable.
-        weights: newer ones than the engines' records tell.
-        limits: how many requests engines take from all nodes together.
+        leaving: engines that take no new requests.
+        withheld: records that are not used: unreadable, or from an older copy of the store.
+        weights: observed versions newer than those in the engines' records.
+        limits: rate limits that engines impose on all nodes together.
     """
 
     leaving: tuple[EngineAddress, ...] = ()
