--- a/liftrill/gateway/engines/engine_limits.py
+++ b/liftrill/gateway/engines/engine_limits.py
@@ -1,7 +1,7 @@
-"""Keeps, with all other nodes, to the limits that engines name, sans-IO.
+"""Enforces the request rate limits that engines impose, across all nodes; performs no I/O.
 
-An engine that names a limit gets a request for each permit that one node, its issuer, gives.
-The limit holds for one incarnation, whatever becomes of its record.
+Every request to a limited engine needs a permit from one node, the issuer of that engine. A limit
+applies to one incarnation, independent of its record.
 """
 
 import itertools
@@ -13,22 +13,22 @@
 from liftrill.coordination.permits import Permit, PermitDecision, PermitHolder, PermitIssuer
 from liftrill.gateway.delivery_events import EngineAddress
 
-# As for what else engines said: see engine_standing.
+# Same values and reasons as in engine_condition.
 RETENTION_S = 600.0
 MAX_ENTRIES = 4_096
 EXPIRY_INTERVAL_S = 10.0
-# The numbers of a node's requests begin anywhere below, so that those of two runs differ.
+# Request numbers start at a random value below, so that two runs of a node use different ones.
 FIRST_REQUEST_NUMBERS = 1 << 32
 
 
 @dataclass(frozen=True, slots=True)
 class EngineLimit:
-    """How many requests a second an engine takes from all nodes together.
+    """Request rate that an engine accepts from all nodes together.
 
     Attributes:
-        rate_per_s: as the engine named it last.
-        serial: rises each time that the limit begins or ends.
-        in_force: whether it holds; False once the engine names it no more.
+        rate_per_s: the rate that the engine stated last.
+        serial: incremented each time the limit begins or ends.
+        in_force: whether the limit applies; False once the engine stops stating it.
     """
 
     engine: EngineAddress
@@ -42,9 +42,9 @@
     """Asks an issuer for one permit.
 
     Attributes:
-        limit: as the asking node knows it.
-        number: of the request.
-        patience_s: within which the permit is of use.
+        limit: the limit as known to the requesting node.
+        number: the number of the request.
+        patience_s: how long the requesting node waits for the permit.
     """
 
     limit: EngineLimit
@@ -54,7 +54,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PermitResponse:
-    """Answers a request, with the limit as the issuer knows it."""
+    """Answer to a permit request, with the limit as known to the issuer."""
 
     limit: EngineLimit
     decision: PermitDecision
@@ -62,10 +62,10 @@
 
 @dataclass(frozen=True, slots=True)
 class PermitReceipt:
-    """Tells an issuer what the engine said in its answer to a request with a permit.
+    """Reports to an issuer the limit in an engine's answer to a request with a permit.
 
     Attributes:
-        rate_per_s: the limit that the answer named, or None.
+        rate_per_s: the limit that the answer stated, or None.
     """
 
     engine: EngineAddress
@@ -78,20 +78,20 @@
 
 
 class LimitPeers(ABC):
-    """What the limits of a node ask of its peers, and whom they tell."""
+    """Access of the limits to peers, logs and waiting requests."""
 
     @property
     @abstractmethod
     def own(self) -> str:
-        """The name of this node."""
+        """The id of this node."""
 
     @abstractmethod
     def issuer(self, engine: EngineAddress) -> str:
-        """Return the node that issues permits for an engine."""
+        """Return the id of the node that issues permits for an engine."""
 
     @abstractmethod
     def issuing_share(self) -> float:
-        """Return the share of a limit that this node may issue, 0 where it may not issue yet."""
+        """Return the share of a limit that this node may issue; 0 before it may issue any."""
 
     @abstractmethod
     def send(self, node: str, message: LimitMessage) -> None:
@@ -99,62 +99,62 @@
 
     @abstractmethod
     def broadcast(self, limit: EngineLimit) -> None:
-        """Tell all nodes of a limit that begins or ends."""
+        """Send a limit that begins or ends to all nodes."""
 
     @abstractmethod
     def limit_changed(self, limit: EngineLimit, source: str) -> None:
-        """Note that a limit began, changed or ended, as an answer or a peer told."""
+        """Record that a limit began, changed or ended; `source` says how it became known."""
 
     @abstractmethod
     def permit_granted(self) -> None:
-        """Note that this node got a permit."""
+        """Record that this node received a permit."""
 
     @abstractmethod
     def permit_refused(self, engine: EngineAddress, user: str, issuer: str, wait_s: float) -> None:
-        """Note that a request got no permit."""
+        """Record that a request was refused a permit."""
 
     @abstractmethod
     def permit_unanswered(self, engine: EngineAddress, issuer: str) -> None:
-        """Note that an issuer did not respond to the last request in time."""
+        """Record that an issuer did not answer the last permit request in time."""
 
     @abstractmethod
     def permits_changed(self) -> None:
-        """Note that requests which wait may find a permit, or none."""
+        """Wake waiting requests: a permit may have become available or been refused."""
 
 
 class NoLimitPeers(LimitPeers):
-    """The surroundings of a node without peers."""
+    """Peers of a node that runs alone: this node issues all permits."""
 
     own = "node"
 
     def issuer(self, engine: EngineAddress) -> str:
-        """Return this node."""
+        """Return the id of this node."""
         return self.own
 
     def issuing_share(self) -> float:
-        """Return all of it."""
+        """Return 1.0: this node issues the whole limit."""
         return 1.0
 
     def send(self, node: str, message: LimitMessage) -> None:
-        """Send nothing."""
+        """Send nothing; there are no peers."""
 
     def broadcast(self, limit: EngineLimit) -> None:
-        """Tell nobody."""
+        """Send nothing; there are no peers."""
 
     def limit_changed(self, limit: EngineLimit, source: str) -> None:
-        """Note nothing."""
+        """Record nothing."""
 
     def permit_granted(self) -> None:
-        """Note nothing."""
+        """Record nothing."""
 
     def permit_refused(self, engine: EngineAddress, user: str, issuer: str, wait_s: float) -> None:
-        """Note nothing."""
+        """Record nothing."""
 
     def permit_unanswered(self, engine: EngineAddress, issuer: str) -> None:
-        """Note nothing."""
+        """Record nothing."""
 
     def permits_changed(self) -> None:
-        """Note nothing."""
+        """Wake nothing."""
 
 
 @dataclass(slots=True)
@@ -165,10 +165,10 @@
 
 
 class EngineLimits:
-    """The limits of engines as one node knows them, its permits, and those that it issues.
+    """Limits of engines known to one node, its own permits, and the permits that it issues.
 
     Attributes:
-        peers: set before the node starts, where it has any.
+        peers: set before the node starts, if it has peers.
     """
 
     def __init__(self) -> None:
@@ -179,16 +179,16 @@
         self._expired_at = 0.0
 
     def in_force(self) -> tuple[EngineLimit, ...]:
-        """Return the limits that hold."""
+        """Return the limits that currently apply."""
         return tuple(state.limit for state in self._states.values() if state.limit.in_force)
 
     def is_limited(self, engine: EngineAddress) -> bool:
-        """Return whether an engine gets requests with permits only."""
+        """Return whether requests to an engine need a permit."""
         state = self._states.get(engine)
         return state is not None and state.limit.in_force
 
     def may_send(self, engine: EngineAddress, permit: Permit | None, now: float) -> bool:
-        """Return whether a request that was given a permit, or none, may be sent now."""
+        """Return whether a request with this permit, or with none, may be sent now."""
         if not self.is_limited(engine):
             return True
         return permit is not None and now <= permit.usable_until
@@ -196,7 +196,7 @@
     # Permits of this node
 
     def wait_s(self, engine: EngineAddress, user: str, now: float) -> float:
-        """Return in how long a request may get a permit for an engine, or 0 if it may now."""
+        """Return the time until a request may get a permit for an engine, or 0 if it may now."""
         if not self._states or not self.is_limited(engine):
             return 0.0
         holder = self._states[engine].holder
@@ -205,19 +205,19 @@
         return holder.wait_s(now)
 
     def is_pending(self, engine: EngineAddress, user: str, now: float) -> bool:
-        """Return whether a request waits for a permit that was asked for."""
+        """Return whether a permit requested for this request is still pending."""
         state = self._states.get(engine)
         return state is not None and state.holder.is_pending(user, now)
 
     def claim(self, engine: EngineAddress, user: str, now: float) -> Permit | None:
-        """Take a permit that this node holds."""
+        """Take a permit that this node already holds, or return None."""
         state = self._states.get(engine)
         return state.holder.claim(user, now) if state is not None else None
 
     def obtain(
         self, engine: EngineAddress, user: str, patience_s: float, may_wait: bool, now: float
     ) -> Permit | None:
-        """Take a permit, and ask for one where there is none yet."""
+        """Take a permit, requesting one if this node holds none."""
         permit = self.claim(engine, user, now)
         if permit is not None or not self.is_limited(engine):
             return permit
@@ -227,7 +227,7 @@
     def request_permit(
         self, engine: EngineAddress, user: str, patience_s: float, may_wait: bool, now: float
     ) -> None:
-        """Ask for a permit; this node itself answers at once, another only who may wait."""
+        """Request a permit: this node answers at once, another node only if `may_wait`."""
         state = self._states[engine]
         issuer = self.peers.issuer(engine)
         if issuer != self.peers.own and not may_wait:
@@ -242,12 +242,12 @@
         else:
             self.peers.send(issuer, request)
 
-    # What is heard of limits
+    # Limits reported by engines and peers
 
     def note_answer(
         self, engine: EngineAddress, rate_per_s: float | None, permit: Permit | None, now: float
     ) -> None:
-        """Take in the limit that an answer to this node named, or None."""
+        """Apply the limit stated in an answer to this node, or its absence."""
         if rate_per_s is not None:
             self._apply_named_limit(engine, rate_per_s, now)
         if permit is None:
@@ -259,7 +259,7 @@
             self.peers.send(permit.issuer, receipt)
 
     def merge(self, limit: EngineLimit, now: float) -> None:
-        """Take in what a peer knows of a limit."""
+        """Merge a limit known to a peer; the higher serial wins."""
         state = self._states.get(limit.engine)
         if state is None:
             if limit.in_force:
@@ -273,7 +273,7 @@
             state.limit = limit
 
     def receive(self, node: str, message: LimitMessage, now: float) -> None:
-        """Take in a message from another node."""
+        """Handle a message from another node."""
         if isinstance(message, PermitRequest):
             self.merge(message.limit, now)
             self.peers.send(node, self._respond(message, now))
@@ -285,7 +285,7 @@
             self._take_receipt(message, now)
 
     def expire(self, in_records: Iterable[EngineAddress], now: float) -> None:
-        """Forget the limits of engines that are in no record and were not heard of for long."""
+        """Drop limits of engines without a record that were not confirmed for RETENTION_S."""
         if not self._states or now - self._expired_at < EXPIRY_INTERVAL_S:
             return
         self._expired_at = now
@@ -329,7 +329,7 @@
     # Permits that this node issues
 
     def _respond(self, request: PermitRequest, now: float) -> PermitResponse:
-        """Answer a request as the issuer, where this node is the one."""
+        """Decide on a permit request; a node that is not the issuer has a share of 0."""
         engine = request.limit.engine
         state = self._states.get(engine)
         limit = state.limit if state is not None else request.limit
@@ -351,7 +351,7 @@
         if state is None:
             return
         if response.limit.serial == state.limit.serial:
-            # The issuer receives each number that the engine names.
+            # The issuer receives every rate that the engine states, so its rate is the newest.
             state.limit = response.limit
         user = state.holder.user
         if not state.holder.decided(response.decision, node, now):
--- a/liftrill/gateway/engines/engine_selector.py
+++ b/liftrill/gateway/engines/engine_selector.py
@@ -1,4 +1,4 @@
-"""Applies what must hold for an engine, then lets the policy choose."""
+"""Filters the engines that may serve a request and lets a placement policy choose among them."""
 
 import math
 from collections.abc import Callable
@@ -29,7 +29,7 @@
 
 @dataclass(frozen=True, slots=True)
 class _Scope:
-    """What a prompt finds at all engines of one weight version."""
+    """Cache state of a prompt at all engines of one weight version."""
 
     salt: str
     shared: SharedParts
@@ -40,12 +40,12 @@
     """Chooses engines for requests.
 
     Attributes:
-        parts: where the shared parts of prompts are kept.
-        speeds: how fast engines work.
-        slot_times: for how long requests hold their engines' slots.
-        guard: which waits at engines requests are sent into.
-        room: which engines have room for a request.
-        limits: which engines get requests with permits only, and the permits.
+        parts: locations of the shared parts of prompts.
+        speeds: estimated engine speeds.
+        slot_times: observed times that requests hold engine slots.
+        guard: bounds the wait at an engine that a request may be sent into.
+        capacity_filter: selects the engines that have capacity for a request.
+        limits: rate limits of engines and their permits.
     """
 
     def __init__(
@@ -75,14 +75,14 @@
         now: float,
         least_loaded: bool = False,
     ) -> EngineChoice | Unavailable:
-        """Return an engine, one with the fewest requests if asked to, or why there is none."""
+        """Return an engine, on request one with the fewest requests, or why there is none."""
         serving = [v for v in self._engines.of_service(request.service) if not v.leaving]
         untried = [view for view in serving if view.engine_id not in excluded]
         if serving and not untried:
             return Unavailable.NONE_LEFT
         floor = self._version_floor(serving, request)
         ready = [view for view in untried if self._is_ready(view, request, floor, now)]
-        # One that an engine turned away has waited already.
+        # A request that was already tried at an engine does not wait for a permit again.
         may_wait = not excluded and now + DECISION_WAIT_S < request.waits_until
         while ready:
             choice = self._choose_ready(request, ready, now, least_loaded)
@@ -114,13 +114,13 @@
         may_wait: bool,
         now: float,
     ) -> EngineChoice | Unavailable | None:
-        """Return a limited engine with a permit, or whether to wait for one; None for neither."""
+        """Return the choice with a permit, NONE_READY to wait for one, or None to try others."""
         user = request.request_id
         limited = [view.at for view in ready if self.limits.is_limited(view.at)]
         if any(self.limits.is_pending(at, user, now) for at in limited):
             permit = self.limits.claim(choice.engine, user, now)
         else:
-            # Other engines serve it sooner than a permit that has to be waited for.
+            # While unlimited engines are ready, a request does not wait for a permit.
             waits = may_wait and len(limited) == len(ready)
             patience_s = max(0.0, request.waits_until - now) if waits else 0.0
             permit = self.limits.obtain(choice.engine, user, patience_s, may_wait, now)
@@ -132,7 +132,7 @@
     def _unavailable_reason(
         self, request: OpaqueRequest, untried: list[EngineView], now: float
     ) -> Unavailable:
-        """Return whether waiting may help: not where all take nothing for longer than that."""
+        """Return NONE_READY, or RESTING if all engines stay blocked longer than it waits."""
         blocked_s = self._blocked_s(untried, request.request_id, now)
         if not blocked_s:
             return Unavailable.NONE_READY
@@ -140,7 +140,7 @@
         return Unavailable.RESTING if outlasts_request else Unavailable.NONE_READY
 
     def _blocked_s(self, views: list[EngineView], user: str, now: float) -> float:
-        """Return in how long the first of some engines takes a request, or 0 if one does."""
+        """Return the time until the first of these engines takes a request, or 0 if one does."""
         waits = (
             max(view.condition.backoff_left_s(now), self.limits.wait_s(view.at, user, now))
             for view in views
@@ -156,7 +156,7 @@
         candidates = self._candidates(request, prompt, with_capacity, now)
         chosen = self._prompt_policy.choose(request, candidates, self._zone)
         waits_for_reader = chosen.shared.reader == chosen.view.number
-        # Among many engines, peers tell of a reading too late to wait for its end.
+        # Reports about a part being read arrive too late among many engines to wait for its end.
         few_engines = len(with_capacity) < constants.MANY_ENGINES
         if waits_for_reader and few_engines and now < self._reading_wait_until(request):
             return Unavailable.NONE_READY
@@ -168,7 +168,7 @@
     def _with_capacity(
         self, request: OpaqueRequest, ready: list[EngineView], now: float
     ) -> list[EngineView]:
-        """Return the engines at which a request does not wait too long, nor lacks memory."""
+        """Return the engines with an acceptable wait and enough free memory for a request."""
         waits_s = {view.engine_id: self.expected_wait_s(view) for view in ready}
         memory = self.parts.profile(request.service).cache_tokens
         return self.capacity_filter.engines_with_capacity(
@@ -176,22 +176,22 @@
         )
 
     def capacity_wait_s(self, request: OpaqueRequest, now: float) -> float:
-        """Return in how long an engine takes a request again, if nothing more comes."""
+        """Return the time until an engine takes a request again, if no other requests arrive."""
         blocked_s = self.blocked_s(request.service, now)
         return max(blocked_s, self.guard.capacity_wait_s(request))
 
     def blocked_s(self, service: str, now: float) -> float:
-        """Return in how long the first engine of a service takes something, or 0 if one does."""
+        """Return the time until the first engine of a service takes requests, or 0 if one does."""
         serving = [view for view in self._engines.of_service(service) if not view.leaving]
         return self._blocked_s(serving, "", now)
 
     def prompt_read_s(self, request: OpaqueRequest) -> float:
-        """Return how long an engine that keeps nothing of a prompt takes to read it."""
+        """Return the time that an engine without cached parts needs to read the prompt."""
         tokens = request.prompt.prompt_tokens if request.prompt else 0
         return tokens * self.speeds.service_read_s_per_token(request.service)
 
     def expected_wait_s(self, view: EngineView) -> float:
-        """Return how long a request waits at an engine before its prompt is read."""
+        """Return the expected time before an engine starts to read a new prompt."""
         prompt_read_s = view.waiting_tokens * self.speeds.conservative_read_s_per_token(view)
         return prompt_read_s + self._slot_wait_s(view)
 
@@ -200,14 +200,14 @@
         return self.slot_times.wait_s(record.service, view.requests, record.slots)
 
     def _reading_wait_until(self, request: OpaqueRequest) -> float:
-        """Return until when a request waits for a part that another one is having read."""
+        """Return the time until which a request waits while an engine reads its shared part."""
         share = constants.READING_WAIT_TARGET_SHARE
         return request.received_at + share * request.route.target_seconds
 
     def continue_at_backup(
         self, request: OpaqueRequest, broken: EngineChoice, now: float
     ) -> EngineChoice | None:
-        """Return how to go on at the engine that has the copy of a run that broke."""
+        """Return how to continue a broken run at its backup engine, or None."""
         view = self._engines.get(broken.backup.engine_id) if broken.backup else None
         if view is None or request.prompt is None:
             return None
@@ -232,18 +232,18 @@
         )
 
     def begin_by(self, choice: EngineChoice, request: OpaqueRequest) -> float:
-        """Return until when a request may begin where it was sent, by what is named now."""
-        # A run that goes on with its copy has begun, and without the copy engines refuse it.
+        """Return the time by which a sent request must begin, by the current weight targets."""
+        # A continued run has begun, and an engine that lost the copy refuses the request.
         if request.prompt is None or choice.continues_copy:
             return math.inf
         return self._targets.begin_by(request.prompt.model, choice.weight_version)
 
     def when_weights_named(self, listener: Callable[[], None]) -> None:
-        """Call a listener whenever `begin_by` may have changed."""
+        """Call a listener whenever the result of `begin_by` may have changed."""
         self._targets.when_named(listener)
 
     def _accepts_run(self, view: EngineView, model: str, version: int, now: float) -> bool:
-        """Return whether an engine takes runs of some weights now."""
+        """Return whether an engine takes runs of a weight version now."""
         if view.leaving or view.withdrawn or view.weight_version(model) != version:
             return False
         return not view.is_paused(now) and view.breaker.allows(now)
@@ -251,7 +251,7 @@
     def _next_backup(
         self, view: EngineView, broken: EngineChoice, request: OpaqueRequest, now: float
     ) -> EngineAddress | None:
-        """Return where the copy of a run that goes on is to be, should it break again."""
+        """Return the engine for the copy of a continued run, in case the run breaks again."""
         assert request.prompt is not None
         model, version = request.prompt.model, broken.weight_version
         candidates = [
@@ -263,7 +263,7 @@
         return self._backup(here, candidates) if here else None
 
     def _wants_backup(self, request: OpaqueRequest) -> bool:
-        """Return whether a run could not go on elsewhere without a copy of it."""
+        """Return whether a broken run could only continue elsewhere from a copy."""
         if not request.is_stream or request.may_run_again or request.prompt is None:
             return False
         if request.prompt.output_tokens < constants.BACKUP_OUTPUT_TOKENS:
@@ -271,9 +271,9 @@
         return self.parts.profile(request.service).backups
 
     def _backup(self, chosen: Candidate, candidates: list[Candidate]) -> EngineAddress | None:
-        """Return the least busy other engine with the same weights, near it if there is one.
+        """Return the least busy other engine with the same weights, preferably in the same zone.
 
-        A run can't go on at once at an engine that takes few requests.
+        Limited engines come last: a run cannot continue at once where it needs a permit.
         """
         others = [c for c in candidates if c is not chosen and c.scope == chosen.scope]
         if not others:
@@ -288,10 +288,10 @@
         return EngineAddress(best.view.engine_id, best.view.record.address, best.view.number)
 
     def _version_floor(self, serving: list[EngineView], request: OpaqueRequest) -> int:
-        """Return the lowest version to use, as far as versions of unknown age decide it.
+        """Return the lowest version to use while the ages of the versions are unknown.
 
-        Weights may have been out of use since before this process began. The engines show
-        how far they were brought: those that are behind the others are left alone.
+        Weights may have been replaced before this process started. Engines that are behind the
+        newest version reached by any engine are not used.
         """
         if request.prompt is None:
             return 0
@@ -314,14 +314,14 @@
         version = view.weight_version(model)
         if version > 0 and version >= max(floor, self._targets.newest(model)):
             return True
-        # It must begin in time there, after what waits before it.
+        # The request must begin in time at the engine, after the requests that wait there.
         required = max(floor, self._targets.required(model, now + self.expected_wait_s(view)))
         return version > 0 and version >= required
 
     def _candidates(
         self, request: OpaqueRequest, prompt: PromptShape, views: list[EngineView], now: float
     ) -> list[Candidate]:
-        """Return the engines with what each of their weight versions means for a prompt."""
+        """Return the candidates, each with the cache state of its weight version."""
         scopes: dict[int, _Scope] = {}
         candidates: list[Candidate] = []
         for view in views:
@@ -347,13 +347,13 @@
     def _scope(
         self, request: OpaqueRequest, prompt: PromptShape, version: int, now: float
     ) -> _Scope:
-        """Return what a weight version means for a prompt."""
+        """Return the cache state of a prompt under a weight version."""
         salt = cache_salt(request.tenant, request.isolated, prompt.model, version)
         outdated_s = max(0.0, now - self._targets.replaced_at(prompt.model, version))
 
         def is_source(number: int) -> bool:
-            # An engine that has other weights by now, or is about to, is not asked: what it
-            # keeps for runs that went on may have been made under either.
+            # An engine that has loaded other weights, or is about to, is no source: parts that it
+            # keeps for continued runs may have been computed with either version.
             view = self._engines.by_number(number)
             return view is not None and self._accepts_run(view, prompt.model, version, now)
 
@@ -366,7 +366,7 @@
         return None if holder is view else holder
 
     def _move_s(self, request: OpaqueRequest, view: EngineView, holder: EngineView | None) -> float:
-        """Return how long moving the shared parts to an engine takes."""
+        """Return the time that moving the shared parts to an engine takes."""
         profile = self.parts.profile(view.record.service)
         tokens = request.shared_tokens
         if holder is None:
--- a/liftrill/gateway/engines/placement.py
+++ b/liftrill/gateway/engines/placement.py
@@ -1,4 +1,4 @@
-"""Chooses the engine for a request."""
+"""Policies that choose the engine for a request."""
 
 import hashlib
 import math
@@ -17,16 +17,16 @@
 from liftrill.gateway.records import ServiceProfile
 
 SALT_DIGEST_BYTES = 8
-# Among how many plain engines a request chooses where many nodes choose at once: two already
-# avoid most of a queue, and hardly any node sends where all the others do.
+# Engines among which a plain request chooses when many nodes choose at once: with two, most of the
+# queueing is avoided, and the nodes rarely all choose the same engine.
 PLAIN_CANDIDATES = 2
 
 
 def cache_salt(tenant: str, isolated: bool, model: str, version: int) -> str:
-    """Return the scope under which an engine keeps the parts of a prompt.
+    """Return the cache salt, the scope under which an engine caches the parts of a prompt.
 
-    It names the weights, so that nothing made under others is found, and the tenant
-    where that shares with nobody.
+    The salt depends on the weights, so that parts computed with other weights are never reused,
+    and on the tenant if the tenant is isolated.
     """
     owner = tenant if isolated else ""
     content = f"{owner}\0{model}\0{version}".encode()
@@ -38,12 +38,12 @@
     """An engine that could serve a request.
 
     Attributes:
-        scope: the cache salt that the request would have there, or empty.
-        shared: what is known of its shared parts in that scope.
-        move_s: how long it takes to fetch them.
+        scope: the cache salt of the request at this engine, or empty.
+        shared: known locations of the request's shared parts in that scope.
+        move_s: time to fetch these parts.
         holder: the engine to fetch them from, or None for the store.
-        outdated_s: for how long newer weights than it has have been named.
-        slot_wait_s: how long a request waits there until a slot is free.
+        outdated_s: time since newer weights than the engine's were named.
+        slot_wait_s: expected wait for a free slot at the engine.
     """
 
     view: EngineView
@@ -56,30 +56,30 @@
 
 
 class PlacementPolicy(ABC):
-    """Orders engines that could all serve a request."""
+    """Chooses among engines that could all serve a request."""
 
     @abstractmethod
     def choose(self, request: OpaqueRequest, candidates: list[Candidate], zone: str) -> Candidate:
-        """Return the engine to send to; the list is not empty."""
+        """Return the engine to send to; `candidates` is not empty."""
 
 
 @dataclass(slots=True)
 class LeastLoaded(PlacementPolicy):
-    """The engine that is expected to complete first; engines of the own zone win ties.
+    """Chooses the engine with the earliest expected completion; the own zone wins ties.
 
-    Where engines are alike that is the one with the fewest requests for its slots.
+    Among equally fast engines that is the one with the fewest requests per slot.
 
     Attributes:
-        nodes: tells how many nodes choose.
-        many_nodes: with more, all of them would send to the engine that the last reports show
-            idle, so that each request chooses among a few engines of its own.
+        nodes: returns the number of nodes that choose.
+        many_nodes: above this number of nodes a request chooses among a few engines of its own,
+            since all nodes would send to the engine that the last reports show as idle.
     """
 
     nodes: Callable[[], int] = lambda: 1
     many_nodes: int = constants.MANY_CHOOSING_NODES
 
     def choose(self, request: OpaqueRequest, candidates: list[Candidate], zone: str) -> Candidate:
-        """Return the engine with the least expected completion."""
+        """Return the engine with the earliest expected completion."""
         key = request.request_id.encode()
         if self.nodes() > self.many_nodes and len(candidates) > PLAIN_CANDIDATES:
             by_id = {candidate.view.engine_id: candidate for candidate in candidates}
@@ -97,36 +97,37 @@
 
 @dataclass(slots=True)
 class PromptCost(PlacementPolicy):
-    """The engine on which the prompt is expected to be read first.
+    """Chooses the engine that is expected to finish reading the prompt first.
 
-    All is counted in seconds, at each engine by its own speed. Within each scope one engine,
-    the same for all nodes, is taken to hold the shared parts. Another one pays for moving what
-    is kept, and for reading the rest a second time.
+    Costs are in seconds, by the estimated speed of each engine. Within each scope one engine, the
+    same for all nodes, is the home of the shared parts. Other engines are charged for moving
+    the cached parts and for reading the remaining ones a second time.
 
-    A part that nobody has read yet is read at the engine of the first such part: prompts
-    that begin alike would otherwise be read at as many engines as they have continuations.
+    An unread part is read at the home of the first unread part. Otherwise prompts with a common
+    prefix would be read at as many engines as they have continuations.
 
     Attributes:
-        speeds: how fast engines are.
-        min_move_s: the least that moving a shared part costs: engines answer this much later.
-        engines_per_prefix_reader: engines of a scope for each one that reads the beginning of
-            many prompts.
-        reread_factor: how much dearer reading a shared part again is than waiting as long.
-        rare_reread_factor: the same for a part of few prompts that nobody is known to read.
-        long_prompt_s: a prompt that takes longer to read makes the streams that run on its
-            engine pause, longer than their callers allow, where no route declares a pause.
-        pause_share: what each such stream adds, as a share of the time to read.
-        outdated_penalty_s: how long a wait is better than weights that were replaced some time
-            ago: what is made on them is worth less.
-        outdated_grace_s: for how long after their replacement weights are as good as new.
-        memory_share: share of an engine's memory from which running requests count too.
-        many_engines: with more, and so more nodes, loads are known so late that all nodes
-            would send to the engine that the last reports show idle.
-        preferred_engines: among how many engines, others for each prompt, that is avoided.
-        overflow_penalty_s: how long a wait is better than any other engine then, at most.
-        overflow_penalty_share: the same as a share of the request's target: others wait there as
-            well.
-        services: what the operator declares of engines, by service.
+        speeds: estimated engine speeds.
+        min_move_s: lower bound of the cost of moving a shared part: the answer is this much later.
+        engines_per_prefix_reader: number of engines in a scope per engine that reads the common
+            prefix of many prompts.
+        reread_factor: cost of reading a shared part again, relative to waiting as long.
+        rare_reread_factor: the same for a part of few prompts that no engine is known to read.
+        long_prompt_s: reading time above which a prompt is taken to delay the running streams of
+            its engine too much, where no route declares a pause target.
+        pause_share: cost of each delayed stream, as a share of the reading time.
+        outdated_penalty_s: cost of weights that were replaced longer than the grace period ago:
+            their output is worth less.
+        outdated_grace_s: time after their replacement in which weights cost nothing extra.
+        memory_share: share of engine memory above which the tokens of running requests count as
+            backlog.
+        many_engines: above this number of engines, and so of nodes, loads become known so late
+            that all nodes would send to the engine that the last reports show as idle.
+        preferred_engines: number of engines, different for each prompt, that are then preferred.
+        overflow_penalty_s: upper bound of the cost of any other engine then.
+        overflow_penalty_share: the same as a share of the request's target: other requests wait
+            at the preferred engines as well, and a tight target must not be used up there.
+        services: profiles that the operator declares, by service.
     """
 
     speeds: SpeedEstimator
@@ -146,7 +147,7 @@
     services: Mapping[str, ServiceProfile] = field(default_factory=dict)
 
     def choose(self, request: OpaqueRequest, candidates: list[Candidate], zone: str) -> Candidate:
-        """Return the engine with the least cost."""
+        """Return the engine with the lowest cost."""
         key = affinity_key(request) or request.request_id.encode()
         by_id = {candidate.view.engine_id: candidate for candidate in candidates}
         homes = self._homes(request, candidates, key)
@@ -163,7 +164,7 @@
             cost_s = self._read_delay_s(candidate, to_read)
             if predicts_pauses:
                 late = self.speeds.late_streams(candidate.view, to_read, request.is_stream)
-                # A stream with a long pause is late, as is one whose first event comes late.
+                # A long pause makes a stream as late as a late first event does.
                 cost_s += late * request.route.target_seconds
             else:
                 cost_s += self._pause_cost_s(candidate, to_read)
@@ -179,7 +180,7 @@
     def _homes(
         self, request: OpaqueRequest, candidates: list[Candidate], key: bytes
     ) -> dict[str, str]:
-        """Return the engine of each scope that is taken to hold the shared parts."""
+        """Return the home engine of the shared parts, by scope."""
         engines: dict[str, list[Candidate]] = {}
         for candidate in candidates:
             engines.setdefault(candidate.scope, []).append(candidate)
@@ -188,8 +189,8 @@
     def _home(self, request: OpaqueRequest, candidates: list[Candidate], key: bytes) -> str:
         """Return the engine that reads the first unread part, or is to read it.
 
-        Among many engines the beginning of many prompts is read at several of them: what
-        nodes know of each other's requests is too old there to keep one from being swamped.
+        Among many engines several of them read a common prefix: nodes learn of each other's
+        requests too late to keep a single engine from being overloaded.
         """
         first = candidates[0]
         unread = first_unread(request, first) or key
@@ -206,7 +207,7 @@
         return home
 
     def _read_delay_s(self, candidate: Candidate, to_read: int) -> float:
-        """Return what an engine does before it begins a prompt, and how much longer it reads."""
+        """Return the time until an engine starts to read, plus its extra time if it is slow."""
         view = candidate.view
         read_s_per_token = self.speeds.read_s_per_token(view)
         until_s = candidate.slot_wait_s + self._backlog_tokens(view) * read_s_per_token
@@ -218,7 +219,7 @@
     def _missing_parts_cost_s(
         self, request: OpaqueRequest, candidate: Candidate, is_large: bool
     ) -> float:
-        """Return what it costs to have the shared parts at an engine that lacks them."""
+        """Return the cost of having the shared parts at an engine that lacks them."""
         missing = request.shared_tokens - candidate.shared.kept_tokens
         if not missing:
             return max(self.min_move_s, candidate.move_s)
@@ -228,10 +229,10 @@
         return missing * self.reread_factor * read_s_per_token
 
     def _reread_cost_tokens(self, request: OpaqueRequest, missing_tokens: int) -> float:
-        """Return what it costs, in tokens, that others may begin to read the parts elsewhere.
+        """Return the cost, in tokens, of reading parts that other nodes may also be reading.
 
-        What many prompts have in common is being asked for all the time. The last shared
-        part belongs to few, so that nobody else is likely to read it just now.
+        The common parts of many prompts are requested all the time. The last shared part belongs
+        to few prompts, so that another engine is unlikely to read it at this moment.
         """
         assert request.prompt is not None
         rare_tokens = min(missing_tokens, request.prompt.shared_parts[-1].tokens)
@@ -239,7 +240,7 @@
         return common_tokens * self.reread_factor + rare_tokens * self.rare_reread_factor
 
     def _pause_cost_s(self, candidate: Candidate, to_read: int) -> float:
-        """Return what the pauses of other streams there cost, if the prompt is long."""
+        """Return the cost of the pauses that a long prompt causes in the engine's streams."""
         read_s = to_read * self.speeds.read_s_per_token(candidate.view)
         if read_s < self.long_prompt_s:
             return 0.0
@@ -253,13 +254,13 @@
 
 
 def tokens_to_read(request: OpaqueRequest, candidate: Candidate) -> int:
-    """Return the prompt tokens that an engine would have to read."""
+    """Return the number of prompt tokens that an engine would have to read."""
     prompt_tokens = request.prompt.prompt_tokens if request.prompt else 0
     return max(0, prompt_tokens - candidate.shared.kept_tokens)
 
 
 def affinity_key(request: OpaqueRequest) -> bytes | None:
-    """Return what requests with the same shared prompt have in common, or None."""
+    """Return the key shared by requests with the same shared prompt parts, or None."""
     prompt: PromptShape | None = request.prompt
     if prompt is None or not prompt.shared_parts:
         return None
@@ -267,7 +268,7 @@
 
 
 def first_unread(request: OpaqueRequest, candidate: Candidate) -> bytes | None:
-    """Return the name of the first shared part that is not kept, or None."""
+    """Return the id of the first shared part that is not cached, or None."""
     parts = request.prompt.shared_parts if request.prompt else ()
     if candidate.shared.kept_parts >= len(parts):
         return None
