--- a/liftrill/gateway/engines/__init__.py
+++ b/liftrill/gateway/engines/__init__.py
@@ -1,1 +1,1 @@
-"""The engines as a node sees them, and which one serves a request."""
+"""Engine state known to a node, and the choice of the engine for a request."""
--- a/liftrill/gateway/engines/cache_retention.py
+++ b/liftrill/gateway/engines/cache_retention.py
@@ -1,23 +1,23 @@
-"""Estimates for how long engines keep in their memory what they have used."""
+"""Estimates how long engines keep cached prompts in memory."""
 
 from dataclasses import dataclass, field
 
 from liftrill import constants
 from liftrill.gateway.fading_rate import FadingRate
 
-# Over how long a node's own traffic is averaged: it sees few of a large fleet's requests.
+# Averaging time of a node's own traffic: one node sees few of a large fleet's requests.
 AVERAGE_S = 10.0
-# Share of the estimate that is relied on: traffic is not spread evenly (guess).
+# Share of the estimate that is relied on, since traffic is not spread evenly over the engines.
 RELIABLE_SHARE = 0.7
 
 
 @dataclass(slots=True)
 class CacheRetention:
-    """The time in which the prompts of a fleet fill the free memory of its engines.
+    """Time in which the prompts of a fleet fill the free memory of its engines.
 
     Attributes:
-        first_s: what is assumed before anything was observed.
-        longest_s: what is relied on at most.
+        first_s: assumed time before any traffic was observed.
+        longest_s: upper bound of the estimate.
     """
 
     first_s: float = constants.KEPT_HOLDER_S
@@ -25,11 +25,11 @@
     _tokens: FadingRate = field(default_factory=lambda: FadingRate(AVERAGE_S))
 
     def record(self, tokens: int, now: float) -> None:
-        """Note that this node sent a request with some tokens."""
+        """Record the prompt tokens of a request that this node sent."""
         self._tokens.record(tokens, now)
 
     def held_s(self, free_tokens: int, nodes: int, now: float) -> float:
-        """Return for how long engines hold what they used that have some free memory in all."""
+        """Return how long engines with this much free memory in total keep what they cached."""
         own_rate = self._tokens.per_s(now)
         if own_rate is None:
             return self.first_s
--- a/liftrill/gateway/engines/engine_end_check.py
+++ b/liftrill/gateway/engines/engine_end_check.py
@@ -1,4 +1,4 @@
-"""Asks whether engines have ended whose connections broke."""
+"""Checks whether an engine's process has ended after a connection to it broke."""
 
 import asyncio
 from collections.abc import Callable
@@ -7,13 +7,13 @@
 from liftrill.gateway.engines.engine_table import EngineView
 from liftrill.gateway.transport import EngineTransport
 
-# How long what follows a broken attempt waits for the answer: a port in use or free answers
-# within a round trip, and a machine that says nothing tells nothing.
+# Bound of the delay before the next step after a broken attempt. A machine that is up answers for
+# an open or closed port within a round trip; no answer proves nothing.
 MAX_WAIT_S = 0.1
 
 
 class EngineEndCheck:
-    """One question at a time for each engine."""
+    """Runs at most one check at a time for each engine."""
 
     def __init__(
         self, transport: EngineTransport, on_ended: Callable[[EngineView, float], None]
@@ -23,7 +23,7 @@
         self._running: dict[int, asyncio.Task[None]] = {}
 
     async def check(self, view: EngineView) -> None:
-        """Find out whether an engine has ended; return without an answer if it takes long."""
+        """Check whether an engine has ended, waiting at most MAX_WAIT_S for the result."""
         task = self._running.get(view.number)
         if task is None:
             task = asyncio.ensure_future(self._check(view))
--- a/liftrill/gateway/engines/prefix_directory.py
+++ b/liftrill/gateway/engines/prefix_directory.py
@@ -1,7 +1,6 @@
-"""Where shared prompt parts are kept, as far as this node has seen or heard.
+"""Directory of cached shared prompt parts, as observed by this node or reported by peers.
 
-A part is read by an engine, is then held in that engine's memory for some seconds, and
-may be saved to a kept store.
+An engine reads a part, then holds it in memory for some seconds, and may save it to a kept store.
 """
 
 import math
@@ -14,24 +13,23 @@
 
 from liftrill import constants
 
-# A part is told of for this long, so that a lost datagram or two do not matter.
+# Updates are sent repeatedly for this long, so that one or two lost datagrams do not matter.
 UPDATE_LIFETIME_S = 1.0
 MAX_UPDATES = 256
-# Peers are told again that an engine holds a part after this share of the time it does
-# (guess).
+# A held part is announced again after this share of the time that engines hold parts.
 REANNOUNCE_SHARE = 0.5
-# Peers count from when they hear it, so it is told for this share of that time alone
-# (guess).
+# A held part is announced only for this share of that time, since peers count the whole time from
+# the moment they receive the announcement.
 ANNOUNCE_SHARE = 0.25
 
 
 def part_number(salt: str, part_id: str) -> int:
-    """Return a 64-bit name for a shared part under one cache salt, the same on all nodes."""
+    """Return the 64-bit hash of a shared part under one cache salt, the same on all nodes."""
     return xxhash.xxh3_64_intdigest(f"{salt}\0{part_id}".encode())
 
 
 class PartStage(Enum):
-    """What an engine has done with a shared part."""
+    """Progress of an engine with a shared part."""
 
     BEING_READ = auto()
     HELD = auto()
@@ -40,7 +38,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PartLocation:
-    """A shared part, and the engine that reads it, holds it, or has also saved it."""
+    """A shared part and the engine that reads, holds or has saved it."""
 
     part: int
     engine: int
@@ -49,7 +47,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PartUpdates:
-    """Parts that engines read or used lately: for this node, and for its zone."""
+    """Recent updates to send: those of this node, and those of all nodes of its zone."""
 
     own: tuple[PartLocation, ...] = ()
     zone: tuple[PartLocation, ...] = ()
@@ -64,14 +62,14 @@
 
 @dataclass(slots=True)
 class _Entry:
-    """What is known of one part.
+    """Known state of one part.
 
     Attributes:
-        saved_at: when it was last sent to a store, or minus infinity.
-        stored_at: since when a store has it, as far as it was sent there.
-        engine: the engine that reads it, or used it last, or 0.
-        used_at: when that engine did.
-        was_read: whether the engine has it whole.
+        saved_at: time when the part was last sent to a store, or minus infinity.
+        stored_at: time from which a store has the part.
+        engine: number of the engine that reads the part or used it last, or 0.
+        used_at: time of that reading or use.
+        was_read: whether the engine has read the whole part.
     """
 
     saved_at: float = -math.inf
@@ -83,14 +81,14 @@
 
 @dataclass(slots=True)
 class PrefixDirectory:
-    """Remembers, in bounded memory, what became of shared parts.
+    """Remembers the state of shared parts in bounded memory.
 
     Attributes:
-        capacity: how many parts are remembered.
-        lifetime_s: after which a part is saved again: the store may have dropped it.
-        store_delay_s: after which a part that was sent to a store has arrived there.
-        reading_lifetime_s: for how long an engine is taken to read a part.
-        held_s: for how long an engine still holds what it used.
+        capacity: maximum number of parts.
+        lifetime_s: time after which a part is saved again, since the store may have dropped it.
+        store_delay_s: time that a part takes to reach the store.
+        reading_lifetime_s: time for which an engine is assumed to read a part.
+        held_s: time for which an engine is assumed to hold a part after its last use.
     """
 
     capacity: int = 4_096
@@ -102,37 +100,37 @@
     _pending: deque[_PendingUpdate] = field(default_factory=lambda: deque(maxlen=MAX_UPDATES))
 
     def is_saved(self, part: int, now: float) -> bool:
-        """Return whether a store is believed to have a part, or to get it."""
+        """Return whether a store is believed to have a part, or to receive it now."""
         entry = self._entries.get(part)
         return entry is not None and now - entry.saved_at < self.lifetime_s
 
     def is_stored(self, part: int, now: float) -> bool:
-        """Return whether a store is believed to have a part by now."""
+        """Return whether a store is believed to have a part already."""
         entry = self._entries.get(part)
         return entry is not None and now >= entry.stored_at and self.is_saved(part, now)
 
     def reader(self, part: int, now: float) -> int:
-        """Return the engine that is believed to read a part now, or 0."""
+        """Return the number of the engine that is believed to read a part now, or 0."""
         entry = self._entries.get(part)
         if entry is None or entry.was_read or now - entry.used_at >= self.reading_lifetime_s:
             return 0
         return entry.engine
 
     def holder(self, part: int, now: float) -> int:
-        """Return the engine that is believed to hold a part in its own memory, or 0."""
+        """Return the number of the engine that is believed to hold a part in memory, or 0."""
         entry = self._entries.get(part)
         if entry is None or not entry.was_read or now - entry.used_at >= self.held_s:
             return 0
         return entry.engine
 
     def record_reading(self, part: int, engine: int, now: float) -> None:
-        """Note that an engine is about to read a part, and tell of it."""
+        """Record and announce that an engine is about to read a part."""
         self._record_and_announce(PartLocation(part, engine, PartStage.BEING_READ), now, own=True)
 
     def record_read(
         self, part: int, engine: int, now: float, *, saved: bool, announce: bool
     ) -> None:
-        """Note that an engine runs a prompt with a part, and saves it if it was told to."""
+        """Record that an engine has read a prompt with a part, and whether it saves the part."""
         location = PartLocation(part, engine, PartStage.SAVED if saved else PartStage.HELD)
         if announce and (saved or self._is_new(location, now)):
             self._record_and_announce(location, now, own=True)
@@ -140,7 +138,7 @@
             self._remember(location, now)
 
     def _is_new(self, location: PartLocation, now: float) -> bool:
-        """Return whether peers need to be told that an engine holds a part."""
+        """Return whether peers must be told that an engine holds a part."""
         entry = self._entries.get(location.part)
         if entry is None or not entry.was_read or entry.engine != location.engine:
             return True
@@ -149,7 +147,7 @@
     def apply_updates(
         self, locations: Iterable[PartLocation], now: float, of_own_zone: bool
     ) -> None:
-        """Note what other nodes tell, and pass on what those of the own zone do."""
+        """Apply updates of other nodes, and pass on those of the own zone."""
         for location in locations:
             if self._is_known(location, now):
                 continue
@@ -171,7 +169,7 @@
         self._pending.append(_PendingUpdate(location, now, own))
 
     def updates(self, now: float) -> PartUpdates:
-        """Return what to tell other nodes."""
+        """Return the updates to send to other nodes."""
         while self._pending and now - self._pending[0].recorded_at > UPDATE_LIFETIME_S:
             self._pending.popleft()
         rows = [row for row in self._pending if self._is_announced(row, now)]
@@ -179,7 +177,7 @@
         return PartUpdates(own, tuple(row.location for row in rows))
 
     def _is_announced(self, row: _PendingUpdate, now: float) -> bool:
-        """Return whether what a row tells is still young beside how long it holds."""
+        """Return whether an update is still recent enough to announce."""
         if row.location.stage is not PartStage.HELD:
             return True
         return now - row.recorded_at <= ANNOUNCE_SHARE * self.held_s
@@ -196,7 +194,7 @@
             self._entries.popitem(last=False)
 
     def _note_saved(self, entry: _Entry, now: float) -> None:
-        """Note that a part is sent to a store, which may have it already."""
+        """Record that a part was sent to a store, which may already have it."""
         if now - entry.saved_at >= self.lifetime_s:
             entry.stored_at = now + self.store_delay_s
         entry.saved_at = now
--- a/liftrill/gateway/engines/shared_part_tracker.py
+++ b/liftrill/gateway/engines/shared_part_tracker.py
@@ -1,4 +1,4 @@
-"""Keeps account of the shared parts of the prompts that a node sends to engines."""
+"""Tracks the shared prompt parts that a node sends to engines."""
 
 from liftrill import constants
 from liftrill.coordination import rendezvous
@@ -11,20 +11,20 @@
 from liftrill.gateway.records import KeptStoreProfile, ServiceProfile
 from liftrill.gateway.store_link import StoreLink, is_worth_moving, is_worth_saving
 
-# How much longer a move between zones takes than one within a zone.
+# Duration of a transfer between zones, relative to one within a zone.
 CROSS_ZONE_FACTOR = 2.0
 
 
 class SharedPartTracker:
-    """Where shared parts are kept, and what may be saved and fetched.
+    """Where shared parts are cached, and which of them engines save and fetch.
 
     Attributes:
-        kept_stores: where parts are saved to and fetched from.
-        services: what the operator declares of engines, by service.
-        nodes: how many nodes share engines and stores.
-        directory: where parts are, as far as is known.
-        retention: for how long engines hold them.
-        store_link: whether the stores' links are short.
+        kept_stores: stores that parts are saved to and fetched from.
+        services: profiles that the operator declares, by service.
+        nodes: number of nodes that share the engines and stores.
+        directory: known locations of parts.
+        retention: estimates how long engines hold parts.
+        store_link: estimates whether the stores' links are overloaded.
     """
 
     def __init__(self, engines: EngineTable) -> None:
@@ -37,11 +37,11 @@
         self._engines = engines
 
     def profile(self, service: str) -> ServiceProfile:
-        """Return what the operator declares of a service's engines."""
+        """Return the profile that the operator declares for a service, or an empty one."""
         return self.services.get(service) or ServiceProfile(service, 0)
 
     def store_for(self, prompt: PromptShape, shared: SharedParts, now: float) -> tuple[str, bool]:
-        """Return the store to fetch from, or nothing, and whether to save there too."""
+        """Return the store to fetch from, or an empty name, and whether to save there too."""
         store = self._home_store(prompt)
         if not store:
             return "", False
@@ -52,11 +52,11 @@
         return store, not shared.saved and is_worth_saving(prompt)
 
     def is_link_short(self, now: float) -> bool:
-        """Return whether more is to be moved than the stores' links carry."""
+        """Return whether the demand exceeds the capacity of the stores' links."""
         return self.store_link.is_short(len(self.kept_stores), self.nodes, now)
 
     def record_sent(self, choice: EngineChoice, request: OpaqueRequest, now: float) -> None:
-        """Note that an engine is about to read what of a prompt is kept nowhere."""
+        """Record that an engine is about to read the parts of a prompt that are not cached."""
         prompt = request.prompt
         if prompt is None:
             return
@@ -69,7 +69,7 @@
     def _record_traffic(
         self, choice: EngineChoice, request: OpaqueRequest, prompt: PromptShape, now: float
     ) -> None:
-        """Note what a prompt takes of the engines' memory and of the stores' links."""
+        """Record the load of a prompt on engine memory and on the stores' links."""
         self.retention.record(prompt.declared_tokens, now)
         capacity = self.profile(request.service).cache_tokens
         if capacity:
@@ -81,7 +81,7 @@
     def _store_link_s(
         self, choice: EngineChoice, request: OpaqueRequest, prompt: PromptShape
     ) -> float:
-        """Return for how long a request takes a store's link, if nothing is left out."""
+        """Return the time that a request occupies a store's link if all its parts are moved."""
         zones = {store.address: store.zone for store in self.kept_stores}
         store = self._home_store(prompt)
         if choice.is_saved and choice.fetch_from not in ("", store):
@@ -98,7 +98,7 @@
         return found != 0 or directory.is_saved(number, now)
 
     def record_read(self, choice: EngineChoice, request: OpaqueRequest, now: float) -> None:
-        """Note that an engine has read a prompt, and sends to the store what it was told to."""
+        """Record that an engine has read a prompt and saves its parts if told to."""
         prompt = request.prompt
         if prompt is None:
             return
@@ -112,9 +112,10 @@
             )
 
     def _home_store(self, prompt: PromptShape) -> str:
-        """Return the store that keeps the shared parts, the same on every node, or nothing.
+        """Return the store that keeps the shared parts, the same on every node, or an empty name.
 
-        A part and all before it lie in one store: an engine fetches from one.
+        The store depends on the last shared part only, since an engine fetches all parts of a
+        prompt from one store.
         """
         if not prompt.shared_parts:
             return ""
--- a/liftrill/gateway/engines/shared_parts.py
+++ b/liftrill/gateway/engines/shared_parts.py
@@ -1,4 +1,4 @@
-"""What is known of the shared parts of one prompt under one cache salt."""
+"""Known locations of the shared parts of one prompt under one cache salt."""
 
 import itertools
 from collections.abc import Callable
@@ -10,14 +10,14 @@
 
 @dataclass(frozen=True, slots=True)
 class SharedParts:
-    """Where the shared parts of a prompt are, as far as one node knows.
+    """Locations of the shared parts of a prompt, as known to one node.
 
     Attributes:
-        kept_parts: how many of them, from the first on, can be fetched from one place.
-        kept_tokens: the tokens of these parts.
-        reader: the number of the engine that reads the next part now, or 0.
-        holder: the number of the engine whose memory has them all, or 0.
-        saved: whether all are in a store, or on their way there.
+        kept_parts: number of leading parts that can be fetched from one place.
+        kept_tokens: tokens of these parts.
+        reader: number of the engine that is reading the next part, or 0.
+        holder: number of the engine that holds all parts in memory, or 0.
+        saved: whether all parts are in a store or on their way there.
     """
 
     kept_parts: int = 0
@@ -37,17 +37,17 @@
     now: float,
     is_source: Callable[[int], bool],
 ) -> SharedParts:
-    """Return what a directory knows of the shared parts of a prompt.
+    """Return the known locations of the shared parts of a prompt.
 
-    Engines are only counted where `is_source` says that their number may be fetched from.
+    An engine counts as a holder only if `is_source` returns true for its number.
     """
     parts = prompt.shared_parts
     if not parts:
         return NOTHING_KEPT
     numbers = [part_number(salt, part.part_id) for part in parts]
     saved = sum(1 for _ in itertools.takewhile(lambda n: _is_stored(directory, n, now), numbers))
-    # From an engine that has only some of them, less may come than from a store: that may
-    # have more than this node knows.
+    # An engine that holds only some of the parts may provide less than a store, which may have
+    # more parts than this node knows.
     holder = directory.holder(numbers[-1], now)
     if not is_source(holder):
         holder = 0
@@ -58,7 +58,7 @@
 
 
 def _is_stored(directory: PrefixDirectory, number: int, now: float) -> bool:
-    """Return whether a part can be fetched from a store by the time that an engine asks."""
+    """Return whether a part can be fetched from a store by the time an engine requests it."""
     if directory.is_stored(number, now):
         return True
     return directory.is_saved(number, now) and directory.holder(number, now) != 0
--- a/liftrill/gateway/engines/slot_times.py
+++ b/liftrill/gateway/engines/slot_times.py
@@ -1,31 +1,31 @@
-"""For how long requests hold the slots of engines."""
+"""Estimates how long requests hold the slots of engines."""
 
 from dataclasses import dataclass, field
 
 from liftrill import constants
 
-# Of each answer: ten of them show a change (guess).
+# Weight of each sample in the moving average: about ten answers show a change.
 SAMPLE_WEIGHT = 0.1
 
 
 @dataclass(slots=True)
 class SlotTimes:
-    """For how long requests hold a slot of the engines of each service, as observed.
+    """Average time that requests hold an engine slot, per service.
 
     Attributes:
-        first_s: what is assumed of a service before anything was observed.
+        first_s: assumed time of a service before any was observed.
     """
 
     first_s: float = constants.FIRST_SLOT_S
     _times_s: dict[str, float] = field(default_factory=dict)
 
     def record(self, service: str, held_s: float) -> None:
-        """Note for how long a request held its slot."""
+        """Record how long a request held its slot."""
         known_s = self._times_s.get(service, self.first_s)
         self._times_s[service] = known_s + SAMPLE_WEIGHT * (held_s - known_s)
 
     def wait_s(self, service: str, requests: int, slots: int) -> float:
-        """Return how long one more request waits for a slot of an engine."""
+        """Return the expected wait of one more request for a slot of an engine."""
         ahead = requests + 1 - slots
         if ahead <= 0:
             return 0.0
