--- a/liftrill/gateway/engines/engine_speed.py
+++ b/liftrill/gateway/engines/engine_speed.py
@@ -1,8 +1,8 @@
-"""How fast one incarnation of an engine works, from what nodes observed, sans-IO.
+"""Speed estimates of one engine incarnation from the observations of nodes; performs no I/O.
 
-A pace is the seconds that one unit of work takes: a prompt token to be read, an event of a
-stream, a whole answer. What was observed within the last second or so is weighed against what
-lasted for longer, so that a passing slowness is felt at once and soon forgotten, and a single
+A pace is the time that one unit of work takes: reading a prompt token, producing an event of a
+stream, or giving a whole answer. Observations of about the last second are weighed against a
+long-term average, so that a temporary slowdown shows at once and is soon forgotten, and a single
 sample changes little.
 """
 
@@ -10,56 +10,56 @@
 from collections.abc import Iterable
 from dataclasses import dataclass, field
 
-# After which observed work counts a third: callers feel an engine that recovered within two
-# seconds of it, so that what it did before must be nearly forgotten by then.
+# Time constant of the exponential decay of observed work. Callers notice a recovered engine within
+# two seconds, so that earlier work must have little weight by then.
 RECENT_S = 0.7
-# Over how long the pace is averaged that an engine goes back to once nothing was observed lately.
+# Averaging time of the long-term pace, which is used when nothing was observed recently.
 LONG_TERM_S = 10.0
-# The first pace of an engine, when little was observed, counts as if it was known for so long.
+# The first pace of an engine counts as if it had been observed for this long.
 MIN_HISTORY_S = 0.1
-# For how long that pace counts without new work. An engine that stood idle for longer may have
-# other neighbours or another load by then (guess).
+# Lifetime of the long-term pace without new work: after a longer idle time the engine may run
+# beside other processes or under another load.
 LONG_TERM_LIFETIME_S = 30.0
-# A word of a peer counts as long as two that are told each second may be lost after it.
+# Lifetime of a report: peers report every second, and two lost reports do not end its effect.
 REPORT_LIFETIME_S = 2.5
-# With less work observed lately, what was known before makes up for the rest: some prompts are
-# needed before they show a pace (guess).
+# Below this amount of recent work the previous pace makes up the difference, since a pace needs
+# several prompts to show.
 FULL_EVIDENCE_S = 0.4
-# Less observed work than this tells nothing: it is what datagrams round to.
+# Less observed work is ignored: it is the rounding error of datagrams.
 MIN_WORK_S = 0.005
-# A sample counts at most as this many times slower or faster than what was known: a connection
-# that stalled must not count as all the work of a second.
+# Bound of a sample relative to the known pace, in either direction: a stalled connection must not
+# count as a second of work.
 SAMPLE_BOUND = 4.0
-# One source weighs at most this many times the middle one.
+# Bound of the weight of one source, relative to the median source.
 SOURCE_BOUND = 2.0
-# What a zone's nodes told together counts at most as this many times slower or faster than the
-# middle zone: each is a mean of many, and one delegate must not make an engine slow.
+# Bound of a zone's pace relative to the median zone, in either direction. It is tighter since a
+# zone's pace is the mean of many, and one delegate must not make an engine appear slow.
 ZONE_BOUND = 1.5
-# From this many sources on, the slowest and the fastest quarter of what is told is left out.
+# From this many sources on, the slowest and the fastest quarter of the reported work is dropped.
 TRIMMED_SOURCES = 4
 TRIMMED_SHARE = 0.25
 
 
 @dataclass(frozen=True, slots=True)
 class WorkSample:
-    """An amount of work, and how long it took."""
+    """An amount of work and the time that it took."""
 
     units: float = 0.0
     seconds: float = 0.0
 
     @property
     def pace_s(self) -> float:
-        """The seconds that one unit took."""
+        """The time that one unit took."""
         return self.seconds / self.units
 
     def decayed(self, elapsed_s: float) -> "WorkSample":
-        """Return what of it counts after some time."""
+        """Return the sample with its weight decayed after some time."""
         factor = math.exp(-max(0.0, elapsed_s) / RECENT_S)
         return WorkSample(self.units * factor, self.seconds * factor)
 
     @property
     def is_significant(self) -> bool:
-        """Whether there is enough of it to tell a pace."""
+        """Whether the sample is large enough to determine a pace."""
         return self.units > 0.0 and self.seconds >= MIN_WORK_S
 
 
@@ -67,9 +67,9 @@
 
 
 def merge_sources(works: Iterable[WorkSample]) -> WorkSample:
-    """Return the work of many sources as one, of which no source decides much.
+    """Merge the work of several sources so that no single source dominates.
 
-    A source that lies, or sees engines over a bad link, tells of a pace far from the others'.
+    A source that reports wrong values, or reaches engines over a bad link, has an outlying pace.
     """
     significant = [work for work in works if work.is_significant]
     if len(significant) < 2:
@@ -88,7 +88,7 @@
 
 
 def merge_zones(works: Iterable[WorkSample]) -> WorkSample:
-    """Return what the nodes of several zones observed, of which no zone decides much."""
+    """Merge the work observed in several zones so that no single zone dominates."""
     significant = [work for work in works if work.is_significant]
     if len(significant) < 2:
         return significant[0] if significant else NO_WORK
@@ -99,16 +99,16 @@
 
 
 def lower_median(values: Iterable[float]) -> float:
-    """Return the median, the lower of two.
+    """Return the median, or the lower of the two middle values.
 
-    Importing `statistics` for it would make each start longer.
+    The `statistics` module is not used because importing it makes each start slower.
     """
     ordered = sorted(values)
     return ordered[(len(ordered) - 1) // 2]
 
 
 def _bounded_rows(significant: list[WorkSample], bound: float) -> list[tuple[float, float]]:
-    """Return pace and units of each source, neither far from the middle one's."""
+    """Return bounded pace and weight of each source, near those of the median source."""
     max_units = SOURCE_BOUND * lower_median([work.units for work in significant])
     median_s = lower_median([work.pace_s for work in significant])
     return [
@@ -122,10 +122,10 @@
 
 @dataclass(frozen=True, slots=True)
 class _SourceReport:
-    """What a peer, or a zone's delegate, told last.
+    """Last report of a peer, or of a zone's delegate.
 
     Attributes:
-        is_sum: whether it is of all nodes of the zone.
+        is_sum: whether the report covers all nodes of the zone.
     """
 
     work: WorkSample
@@ -136,11 +136,11 @@
 
 @dataclass(slots=True)
 class Pace:
-    """How long one kind of work takes at one engine.
+    """Pace of one kind of work at one engine.
 
     Attributes:
-        current_s: seconds of one unit by what is known now, or 0 while nothing is.
-        long_term_s: the same over a longer time.
+        current_s: time per unit by the current estimate, or 0 while unknown.
+        long_term_s: the same, averaged over a longer time.
     """
 
     current_s: float = 0.0
@@ -152,7 +152,7 @@
     _since: float = 0.0
 
     def record(self, units: float, elapsed_s: float, known_s: float, now: float) -> None:
-        """Note work of this node, beside the seconds of a unit that were known (0: none)."""
+        """Record work of this node, bounded by the known time per unit (0: unknown)."""
         pace_s = elapsed_s / units
         if known_s:
             pace_s = _bounded(pace_s, known_s)
@@ -161,11 +161,11 @@
         self._own_work_at = now
 
     def own_work(self, now: float) -> WorkSample:
-        """Return what this node observed lately."""
+        """Return the recent work observed by this node."""
         return self._own_work.decayed(now - self._own_work_at) if self._own_work.units else NO_WORK
 
     def apply_report(self, node: str, zone: str, work: WorkSample, now: float) -> None:
-        """Replace what a node told before, or a zone where the node is empty."""
+        """Replace the last report of a node, or of a zone if `node` is empty."""
         source = node or f"zone {zone}"
         if work.is_significant:
             self._reports[source] = _SourceReport(work, zone, not node, now)
@@ -173,18 +173,18 @@
             self._reports.pop(source, None)
 
     def zone_work(self, zone: str, now: float) -> WorkSample:
-        """Return what this node and the heard nodes of its zone observed lately."""
+        """Return the recent work observed by this node and the reporting nodes of its zone."""
         reports = (w for w in self._reports.values() if w.zone == zone and not w.is_sum)
         heard = (report.work.decayed(now - report.received_at) for report in reports)
         works = [work for work in (self.own_work(now), *heard) if work.is_significant]
         return merge_sources(works)
 
     def sources(self) -> int:
-        """Return how many sources besides this node told of it lately."""
+        """Return the number of sources besides this node that reported recently."""
         return len(self._reports)
 
     def update_estimates(self, known_s: float, now: float) -> None:
-        """Work out the pace anew; without one of its own it begins from a known one."""
+        """Recompute the pace; without a pace of its own it starts from `known_s`."""
         if self._reports:
             self._drop_old_reports(now)
         work = self._merged_work(now)
@@ -198,14 +198,14 @@
         if not self.long_term_s:
             self.long_term_s, self._since = self.current_s, now
         else:
-            # The mean of all that was found until there is enough of it.
+            # An arithmetic mean until there is enough history for the long-term average.
             known_for_s = max(MIN_HISTORY_S, now - self._since)
             share = (now - self._updated_at) / min(LONG_TERM_S, known_for_s)
             self.long_term_s += min(1.0, share) * (self.current_s - self.long_term_s)
         self._updated_at = now
 
     def _fall_back(self, now: float) -> None:
-        """Go back to the pace that lasted, and forget it in the end."""
+        """Return to the long-term pace, which expires after LONG_TERM_LIFETIME_S."""
         if now - self._updated_at > LONG_TERM_LIFETIME_S:
             self.long_term_s = 0.0
         self.current_s = self.long_term_s
@@ -231,18 +231,18 @@
 
 @dataclass(slots=True)
 class EngineSpeed:
-    """How fast one incarnation of an engine works.
+    """Estimated speed of one engine incarnation.
 
     Attributes:
-        reading: of a prompt token.
-        event: of an event of a stream after the first one.
-        answer: of a whole answer, in a slot of its own.
-        read_s_per_token: seconds to read a prompt token that decisions use, or 0 for the service's.
-        slowness: how many times the reading time of the service's engines it takes.
-        answer_slowness: the same of whole answers.
-        home_weight: how many shared parts have their home there, beside other engines.
-        disturbed_at: when it was last seen to load weights: what ran then tells nothing of its
-            pace.
+        reading: pace of reading a prompt token.
+        event: pace of stream events after the first one.
+        answer: pace of a whole answer in a slot of its own.
+        read_s_per_token: time to read a prompt token that decisions use, or 0 to use the service's.
+        slowness: reading time relative to the service's engines.
+        answer_slowness: time of a whole answer relative to the service's engines.
+        home_weight: rendezvous weight of the engine as the home of shared parts.
+        disturbed_at: time when the engine was last seen loading weights; work that ran then is no
+            evidence of its pace.
     """
 
     reading: Pace = field(default_factory=Pace)
--- a/liftrill/gateway/engines/service_speeds.py
+++ b/liftrill/gateway/engines/service_speeds.py
@@ -1,4 +1,4 @@
-"""What holds for the engines of one service together: how fast they are, and how they compare."""
+"""Speed estimates of the engines of one service, and their comparison with each other."""
 
 import math
 from collections import deque
@@ -8,36 +8,36 @@
 from liftrill.gateway.engines.engine_speed import Pace, lower_median
 from liftrill.gateway.engines.engine_table import EngineView
 
-# Engines that differ less from the service's are taken for alike: so much the estimates of
-# equal engines differ, and what is decided for engines that are alike must not waver.
+# Engines that differ less from the service's median count as equal: estimates of equal engines
+# differ by this much, and decisions among equal engines must be stable.
 UNEVEN_FACTOR = 1.25
-# One that was found uneven is taken for alike again below this.
+# An engine found uneven counts as equal again below this factor.
 EVEN_FACTOR = 1.12
-# Steps of the weights of homes in a doubling of the speed.
+# Steps of the home weight per doubling of the speed.
 HOME_WEIGHT_STEPS = 2
-# Streams whose pauses are remembered of a service, its peers' included (guess).
+# Pauses remembered for each service, including those that peers report.
 MAX_PAUSES = 128
-# With fewer, nothing is known of the longest pause that prompts cause.
+# Minimum number of pauses from which the longest pause caused by prompts is estimated.
 MIN_PAUSES = 8
-# Pauses in which fewer tokens could be read show no prompt.
+# Shorter pauses, in prompt tokens read meanwhile, are not caused by a prompt.
 MIN_PAUSE_TOKENS = 2_000
-# Share of these pauses that are shorter than the bound: the others may have stalled, or lost
-# their memory to more urgent ones and been read anew (guess).
+# Quantile of the pauses that gives the bound: longer pauses may come from stalls, or from streams
+# that lost their memory to more urgent ones and were read again.
 PAUSE_QUANTILE = 0.75
-# After which a bound that was seen counts a third: pauses that are avoided aren't seen.
+# Time constant of the decay of the bound: pauses that placement avoids are not observed.
 PAUSE_BOUND_DECAY_S = 120.0
 
 
 @dataclass(frozen=True, slots=True)
 class SpeedChange:
-    """An engine that was found slow, or well again.
+    """An engine that became slow or recovered.
 
     Attributes:
-        work: what it is slow at.
-        slowness: how many times the time of the service's engines it takes.
-        pace_s: seconds of a prompt token, or of a whole answer.
-        own_work_s: for how long it worked for this node lately.
-        sources: how many peers told of it.
+        work: kind of work that is affected.
+        slowness: time relative to the service's engines.
+        pace_s: seconds per prompt token, or per whole answer.
+        own_work_s: recent work of the engine for this node, in seconds.
+        sources: number of peers that reported on the engine.
     """
 
     view: EngineView
@@ -50,11 +50,11 @@
 
 @dataclass(frozen=True, slots=True)
 class SpeedFigures:
-    """How fast a service's engines are, for operators.
+    """Speeds of a service's engines, for operators.
 
     Attributes:
-        rates: prompt tokens a second of the slowest, the middle and the fastest engine.
-        slow: how many engines are slow.
+        rates: prompt tokens a second of the slowest, the median and the fastest engine.
+        slow: number of slow engines.
     """
 
     service: str
@@ -64,15 +64,15 @@
 
 @dataclass(slots=True)
 class ServiceSpeeds:
-    """The middle of a service's engines, to which each of them is compared.
+    """Median speeds of a service's engines, with which each engine is compared.
 
     Attributes:
-        read_s_per_token: seconds to read a prompt token.
-        has_read_estimate: whether that was observed.
-        event_s: seconds between two events of a stream, or 0 while not known.
-        answer_s: seconds of a whole answer, or 0 while not known.
-        pause_tokens: what is read at most within one pause, or infinity while not known.
-        pauses: the prompt tokens that could be read within long pauses of streams lately.
+        read_s_per_token: time to read a prompt token.
+        has_read_estimate: whether `read_s_per_token` is based on observations.
+        event_s: time between two events of a stream, or 0 while unknown.
+        answer_s: time of a whole answer, or 0 while unknown.
+        pause_tokens: most prompt tokens read within one pause, or infinity while unknown.
+        pauses: prompt tokens that could be read within recent long pauses of streams.
     """
 
     read_s_per_token: float = 1.0 / constants.FIRST_READING_TOKENS_PER_S
@@ -84,7 +84,7 @@
     pauses: deque[float] = field(default_factory=lambda: deque(maxlen=MAX_PAUSES))
 
     def update_estimates(self, views: list[EngineView], now: float) -> list[SpeedChange]:
-        """Work out the paces of the engines anew, and return which were found to differ."""
+        """Recompute the paces of all engines; return the engines that became slow or recovered."""
         elapsed_s = max(0.0, now - self.updated_at)
         self.updated_at = now
         speeds = [view.speed for view in views]
@@ -98,19 +98,19 @@
         return self._compare(views, now)
 
     def note_pause(self, tokens: float) -> None:
-        """Note how many prompt tokens an engine could read within a pause of a stream."""
+        """Record how many prompt tokens an engine could read within a pause of a stream."""
         if tokens >= MIN_PAUSE_TOKENS:
             self.pauses.append(tokens)
 
     def figures(self, service: str, views: list[EngineView]) -> SpeedFigures:
-        """Return how fast the engines are."""
+        """Return the speeds of the engines for operators."""
         paces = [view.speed.reading.current_s or self.read_s_per_token for view in views]
         slow = sum(max(v.speed.slowness, v.speed.answer_slowness) > 1.0 for v in views)
         rates = (1.0 / max(paces), 1.0 / self.read_s_per_token, 1.0 / min(paces))
         return SpeedFigures(service, rates, slow)
 
     def is_uneven(self, view: EngineView) -> bool:
-        """Return whether an engine differs from the others, or did until a while ago."""
+        """Return whether an engine differs from the median now or in the long term."""
         speed = view.speed
         return (
             speed.slowness != 1.0
@@ -149,7 +149,7 @@
 
 
 def _update_paces(paces: list[Pace], known_s: float, now: float) -> float:
-    """Work out some paces, and return the middle one of those that are known."""
+    """Recompute paces and return the median of the known ones, or `known_s`."""
     for pace in paces:
         pace.update_estimates(known_s, now)
     found = [pace.current_s for pace in paces if pace.current_s]
@@ -157,7 +157,7 @@
 
 
 def _slowness(pace: Pace, median_s: float, before: float) -> float:
-    """Return how many times as long as the middle one an engine takes, 1 where alike."""
+    """Return an engine's time relative to the median, or 1 if it counts as equal."""
     if not pace.current_s or not median_s:
         return 1.0
     found = pace.current_s / median_s
--- a/liftrill/gateway/engines/speed_estimator.py
+++ b/liftrill/gateway/engines/speed_estimator.py
@@ -1,4 +1,4 @@
-"""What one node knows of how fast engines work, from its own requests and its peers' words."""
+"""Estimates engine speeds from this node's requests and the reports of its peers."""
 
 from collections.abc import Callable, Iterable
 from dataclasses import dataclass
@@ -8,18 +8,18 @@
 from liftrill.gateway.engines.engine_table import EngineTable, EngineView
 from liftrill.gateway.engines.service_speeds import ServiceSpeeds, SpeedChange, SpeedFigures
 
-# Samples of less than this say more of the way to an engine than of its reading.
+# Smaller samples depend more on the network to the engine than on its reading speed.
 MIN_SAMPLE_TOKENS = 2_000
-# Of fewer events one pause can't be told from the others.
+# With fewer events the longest pause cannot be told from the others.
 MIN_EVENTS = 2
-# How often paces are worked out anew: a slow engine is felt before callers leave, and what it
-# costs is small beside the requests.
+# Interval of recomputing the paces: a slow engine shows before callers give up, and the cost is
+# small compared with that of serving requests.
 UPDATE_INTERVAL_S = 0.5
-# From which share of the pause target on some streams are late, and from which all are: what
-# waits at an engine is known to about a fifth (guess).
+# Shares of the pause target from which some streams are late, and from which all are: the work
+# waiting at an engine is known to about a fifth.
 SOME_LATE_SHARE = 0.5
 ALL_LATE_SHARE = 1.2
-# Of more engines only those are told of that differ from the others: they fill a datagram.
+# With more rows only those of uneven engines are sent: the rows fill a datagram.
 MAX_UNFILTERED_ROWS = 32
 MAX_ROWS = 96
 CONSERVATIVE_READ_S_PER_TOKEN = 1.0 / constants.PREFILL_TOKENS_PER_SECOND
@@ -27,12 +27,12 @@
 
 @dataclass(frozen=True, slots=True)
 class SpeedRow:
-    """What a node, or the nodes of a zone, observed of one engine lately.
+    """Recent observations of one engine by a node, or by the nodes of a zone.
 
     Attributes:
-        engine: its number.
-        reading: of prompt tokens.
-        answers: whole ones.
+        engine: number of the engine.
+        reading: read prompt tokens.
+        answers: whole answers.
         pause_tokens: prompt tokens read within the longest pause of a stream, or 0.
     """
 
@@ -43,15 +43,15 @@
 
     @property
     def seconds(self) -> float:
-        """For how long the engine worked."""
+        """The observed work of the engine in seconds."""
         return self.reading.seconds + self.answers.seconds
 
 
 class SpeedEstimator:
-    """How fast engines are, in seconds of their own work.
+    """Speed estimates of all engines, in seconds of their own work.
 
     Attributes:
-        pause_targets_s: the tightest pause that a route of a service declares.
+        pause_targets_s: the shortest pause target that a route declares, by service.
     """
 
     def __init__(self, engines: EngineTable) -> None:
@@ -61,14 +61,14 @@
         self._longest_pauses: dict[int, float] = {}
         self._changes: list[SpeedChange] = []
 
-    # What decisions ask
+    # Estimates for decisions
 
     def read_s_per_token(self, view: EngineView) -> float:
-        """Return the seconds in which an engine reads one prompt token."""
+        """Return the time in which an engine reads one prompt token."""
         return view.speed.read_s_per_token or self._service(view.record.service).read_s_per_token
 
     def conservative_read_s_per_token(self, view: EngineView) -> float:
-        """Return the same, for what must not come too late: what is not known counts as slow."""
+        """Return the same for decisions that must be in time: an unknown time counts as slow."""
         if view.speed.read_s_per_token:
             return view.speed.read_s_per_token
         service = self._service(view.record.service)
@@ -77,23 +77,23 @@
         )
 
     def service_read_s_per_token(self, service: str) -> float:
-        """Return the same of the service's engines, in the middle."""
+        """Return the median reading time per token of a service's engines."""
         return self._service(service).read_s_per_token
 
     def has_read_estimate(self, service: str) -> bool:
-        """Return whether anything was observed of how fast a service's engines read."""
+        """Return whether the reading speed of a service's engines was observed."""
         return self._service(service).has_read_estimate
 
     def predicts_pauses(self, service: str) -> bool:
-        """Return whether the pauses of a service's streams are to be kept short, and can be."""
+        """Return whether a service declares a pause target and its pauses can be predicted."""
         return bool(self.pause_targets_s.get(service)) and self.has_read_estimate(service)
 
     def late_streams(self, view: EngineView, to_read: int, is_stream: bool) -> float:
         """Return how many streams a prompt is expected to make late by pauses at an engine.
 
-        Those that run there, beyond the ones that are late without it, and its own one. Engines
-        read prompts in pieces between the steps of streams: no more than so many tokens fall
-        between two events, however many wait.
+        Counts the running streams that are not late anyway, and the prompt's own stream. Engines
+        read prompts in pieces between the steps of streams, so that at most `pause_tokens` are
+        read between two events, however many tokens wait.
         """
         name = view.record.service
         service, target_s = self._service(name), self.pause_targets_s[name]
@@ -110,17 +110,17 @@
         before = _late_share(before_s, target_s)
         return view.requests * (after - before) + (before if is_stream else 0.0)
 
-    # What this node observes
+    # Observations of this node
 
     def record_read(self, engine_id: str, tokens: int, elapsed_s: float, now: float) -> None:
-        """Note how long some tokens, own and waiting ones, took to be read."""
+        """Record the time in which an engine read a prompt and the tokens waiting before it."""
         view = self._engines.get(engine_id)
         if view is None or tokens < MIN_SAMPLE_TOKENS:
             return
         if not self._is_representative(view, elapsed_s, now):
             return
         service = self._service(view.record.service)
-        # Also bounded by the first belief: what waited ahead may have been read meanwhile.
+        # Bounded by the default too: tokens that waited before it may have been read already.
         known_s = view.speed.reading.current_s or service.read_s_per_token
         view.speed.reading.record(tokens, elapsed_s, known_s, now)
         self._update_if_due(view.record.service, None, now)
@@ -128,8 +128,8 @@
     def record_stream(
         self, view: EngineView, events: int, elapsed_s: float, longest_pause_s: float, now: float
     ) -> None:
-        """Note the events of a stream after its first one, and its longest pause."""
-        # The longest pause is left out of the pace: it shows what was read meanwhile.
+        """Record the events of a stream after its first one, and its longest pause."""
+        # The pace excludes the longest pause, which shows prompts read meanwhile.
         steady_s = elapsed_s - longest_pause_s
         if (
             events < MIN_EVENTS
@@ -146,7 +146,7 @@
         self._update_if_due(view.record.service, None, now)
 
     def record_answer(self, view: EngineView, elapsed_s: float, requests: int, now: float) -> None:
-        """Note how long a whole answer took, where so many requests were there with it."""
+        """Record the time of a whole answer and the number of requests at the engine with it."""
         if not self._is_representative(view, elapsed_s, now):
             return
         own_s = elapsed_s / max(1.0, requests / max(1, view.record.slots))
@@ -155,22 +155,22 @@
         pace.record(1.0, own_s, known_s, now)
         self._update_if_due(view.record.service, None, now)
 
-    # What nodes tell each other
+    # Reports between nodes
 
     def own_rows(self, now: float) -> list[SpeedRow]:
-        """Return what this node observed lately."""
+        """Return the recent observations of this node."""
         return self._rows(lambda pace: pace.own_work(now))
 
     def zone_rows(self, zone: str, now: float) -> list[SpeedRow]:
-        """Return what this node and the heard nodes of its zone observed lately."""
+        """Return the recent observations of this node and the reporting nodes of its zone."""
         return self._rows(lambda pace: pace.zone_work(zone, now))
 
     def reset_longest_pauses(self) -> None:
-        """Begin anew with the pauses to tell of."""
+        """Clear the longest pauses after they were reported."""
         self._longest_pauses.clear()
 
     def apply_report(self, node: str, zone: str, rows: Iterable[SpeedRow], now: float) -> None:
-        """Replace what a node told of some engines, or a zone where the node is empty."""
+        """Replace the last report of a node, or of a zone if `node` is empty."""
         for row in rows:
             view = self._engines.by_number(row.engine)
             if view is None:
@@ -196,10 +196,10 @@
         rows = [row for _, row in found]
         return sorted(rows, key=lambda row: row.seconds, reverse=True)[:MAX_ROWS]
 
-    # Working out
+    # Periodic updates
 
     def refresh(self, now: float) -> list[SpeedChange]:
-        """Let time pass; return which engines were found slow, or well again, since."""
+        """Update due estimates; return the engines that became slow or recovered since."""
         by_service = self._by_service()
         for service, views in by_service.items():
             for view in views:
@@ -212,7 +212,7 @@
         return changes
 
     def figures(self) -> list[SpeedFigures]:
-        """Return how fast the engines of each service are."""
+        """Return the speeds of the engines of each service."""
         services = self._by_service().items()
         return [self._service(name).figures(name, views) for name, views in services]
 
@@ -234,7 +234,7 @@
         self._longest_pauses[view.number] = max(longest, tokens)
 
     def _is_representative(self, view: EngineView, elapsed_s: float, now: float) -> bool:
-        """Return whether what ran for some time until now shows how fast an engine is."""
+        """Return whether work of this duration until now is evidence of the engine's speed."""
         if view.is_loading_weights(now):
             view.speed.disturbed_at = now
         return elapsed_s > 0.0 and now - elapsed_s > view.speed.disturbed_at
@@ -247,6 +247,6 @@
 
 
 def _late_share(pause_s: float, target_s: float) -> float:
-    """Return the share of streams with a pause that are late."""
+    """Return the share of streams that are late after a pause."""
     share = (pause_s / target_s - SOME_LATE_SHARE) / (ALL_LATE_SHARE - SOME_LATE_SHARE)
     return min(max(share, 0.0), 1.0)
