--- a/liftrill/gateway/admission/__init__.py
+++ b/liftrill/gateway/admission/__init__.py
@@ -1,1 +1,1 @@
-"""Which requests are served, and when the others come back."""
+"""Admission of requests, and the retry times of refused ones."""
--- a/liftrill/gateway/admission/capacity_filter.py
+++ b/liftrill/gateway/admission/capacity_filter.py
@@ -1,4 +1,4 @@
-"""Which engines have room for a request: by the wait there, and by memory, sans-IO."""
+"""Selects the engines with capacity for a request, by wait and memory; performs no I/O."""
 
 from collections.abc import Mapping
 from dataclasses import dataclass, field
@@ -11,7 +11,7 @@
 
 @dataclass(slots=True)
 class CapacityFilter:
-    """Decides at which engines a request does not wait too long, nor lacks memory."""
+    """Selects the engines at which a request has an acceptable wait and enough memory."""
 
     _most_urgent: dict[str, int] = field(default_factory=dict)
 
@@ -24,7 +24,7 @@
         cache_tokens: int,
         now: float,
     ) -> list[EngineView]:
-        """Return the engines with room, by the wait expected at each and its memory."""
+        """Return the engines with an acceptable expected wait and enough free memory."""
         most_urgent = self._most_urgent.get(request.service, request.priority)
         self._most_urgent[request.service] = min(most_urgent, request.priority)
         longest_s = guard.max_wait_s(request, min(waits_s.values()), now)
@@ -36,10 +36,10 @@
         ]
 
     def _memory_share(self, request: OpaqueRequest) -> float:
-        """Return the share of an engine's memory that a request may fill it to.
+        """Return the share of an engine's memory that may be in use including a request.
 
-        What does not fit preempts the newest of the least urgent in mid-stream, so these leave
-        room for more urgent ones, where there are any.
+        An engine out of memory preempts the newest of the least urgent running requests. Less
+        urgent requests therefore leave memory for more urgent ones, if the service has any.
         """
         if request.priority == self._most_urgent[request.service]:
             return constants.ENGINE_MEMORY_SHARE
@@ -47,7 +47,7 @@
 
 
 def _has_memory(request: OpaqueRequest, view: EngineView, memory_tokens: float) -> bool:
-    """Return whether an engine has memory for a request, or nothing else to do."""
+    """Return whether an engine has enough free memory for a request, or is idle."""
     if not memory_tokens or not view.requests or request.prompt is None:
         return True
     needed = request.prompt.declared_tokens
--- a/liftrill/gateway/admission/overload.py
+++ b/liftrill/gateway/admission/overload.py
@@ -1,9 +1,9 @@
-"""Bounds what waits at engines, so that what is sent there is answered in time.
+"""Bounds the wait at engines, so that requests sent there are answered in time.
 
-A short burst is queued: it is answered late, but answered. A queue that stands is not:
-once the shortest one has been long for a while, requests are only sent where they are
-answered in time, and the others are told to come back. That ends when engines have been
-nearly idle for a while.
+A short burst is queued at the engines and answered late. A standing queue is not acceptable: once
+the shortest engine queue has been long for a while, requests are only sent where they are
+answered in time, and the others are refused with a retry time. Overload ends when engines have
+been nearly idle for a while.
 """
 
 from collections.abc import Callable
@@ -12,24 +12,25 @@
 from liftrill import constants
 from liftrill.gateway.opaque_request import OpaqueRequest
 
-# What share of the waiting tokens is urgent follows from the last fifty requests or so.
+# Weight of each sent request in the moving averages of tokens by urgency: about fifty requests.
 SENT_WEIGHT = 0.02
-# A tenth of what waits is taken to delay the most urgent at least: the prompt being read does.
+# Lower bound of the share of waiting tokens that delays the most urgent requests: the prompt that
+# is being read delays them in any case.
 MIN_URGENT_SHARE = 0.1
-# A queue counts as gone below this share of the wait that is still in time.
+# The queue counts as gone below this share of the longest wait that is still in time.
 RELIEVED_WAIT_SHARE = 0.5
-# How much longer the most urgent may wait by this count: engines take them in before the others
-# that wait, so they wait for only a part of it (guess).
+# Factor on the allowed estimated wait of the most urgent requests: engines take them before other
+# waiting requests, so that they wait for only a part of the estimate.
 URGENT_WAIT_FACTOR = 1.6
 
 
 @dataclass(slots=True)
 class StandingQueue:
-    """Whether the shortest queue of a service has been long for a while.
+    """Detects whether the shortest queue of a service has been long for a while.
 
     Attributes:
-        standing_s: for how long it must be long to count as standing.
-        relieved_s: for how long it must be gone to count as relieved.
+        standing_s: how long the queue must be long to count as standing.
+        relieved_s: how long the queue must be gone to count as relieved.
     """
 
     standing_s: float = constants.STANDING_QUEUE_S
@@ -38,7 +39,7 @@
     _since: float | None = None
 
     def record_wait(self, least_wait_s: float, good_wait_s: float, now: float) -> None:
-        """Take in the shortest wait, beside the longest one that is still in time."""
+        """Record the shortest wait, and the longest wait that is still in time."""
         if self.is_standing:
             is_changing = least_wait_s < RELIEVED_WAIT_SHARE * good_wait_s
             after_s = self.relieved_s
@@ -57,11 +58,11 @@
 
 @dataclass(frozen=True, slots=True)
 class OverloadChange:
-    """A service that enters or leaves overload, and by what.
+    """A service that enters or leaves overload.
 
     Attributes:
-        least_wait_s: the shortest wait at its engines, by what this node knows.
-        good_wait_s: the longest wait that was still in time for the request that showed it.
+        least_wait_s: the shortest known wait at the service's engines.
+        good_wait_s: the longest wait still in time for the request that caused the change.
     """
 
     service: str
@@ -71,20 +72,20 @@
 
 
 def _ignore_change(change: OverloadChange) -> None:
-    """Leave a turn untold."""
+    """Ignore an overload change."""
 
 
 @dataclass(slots=True)
 class OverloadGuard:
-    """Decides which waits at an engine a request may be sent into.
+    """Bounds the wait at an engine that a request may be sent into.
 
     Attributes:
-        timely_wait_share: share of a request's target that it may wait and still be in time.
-        urgent_factor: how much longer the most urgent requests may wait by this count:
-            engines take them in before the others that wait.
-        burst_wait_limit_s: what nothing waits for, not even in a short burst: callers leave.
-        burst_wait_limit_targets: the same in targets of a request.
-        turned: whom to tell when a service enters or leaves overload.
+        timely_wait_share: share of its target that a request may wait and still be in time.
+        urgent_factor: factor on the allowed estimated wait of the most urgent requests, since
+            engines take them before other waiting requests.
+        burst_wait_limit_s: bound of the wait even in a short burst, since callers give up.
+        burst_wait_limit_targets: the same bound, relative to the request's target.
+        on_change: called when a service enters or leaves overload.
     """
 
     timely_wait_share: float = constants.GOOD_WAIT_TARGET_SHARE
@@ -94,24 +95,24 @@
     on_change: Callable[[OverloadChange], None] = _ignore_change
     _queues: dict[str, StandingQueue] = field(default_factory=dict)
     _least_urgent: dict[str, int] = field(default_factory=dict)
-    # By service and urgency: the tokens of the requests that were sent lately.
+    # By service and urgency: moving average of the tokens of sent requests.
     _sent_tokens: dict[str, dict[int, float]] = field(default_factory=dict)
-    # By service and urgency: the target of the newest request.
+    # By service and urgency: target of the newest request.
     _targets_s: dict[str, dict[int, float]] = field(default_factory=dict)
     _least_waits_s: dict[str, float] = field(default_factory=dict)
 
     def capacity_wait_s(self, request: OpaqueRequest) -> float:
-        """Return in how long what waits at the least busy engine now is read.
+        """Return the time in which the least busy engine reads the prompts now waiting there.
 
-        Callers that arrive meanwhile take the room that comes free sooner: who comes back for
-        it finds the queue as long as before. Served of a burst of 3 times what engines read for
-        0.4 s, mean of six seeds in virtual time: 0.972 to 0.978 (target 0.25 s: 0.955 to 0.961;
-        0.4 s: 0.974 to 0.981; 0.6 s: 0.985 to 0.990).
+        Callers that arrive meanwhile take the capacity that is freed earlier, so that a caller
+        that retries earlier finds the queue as long as before. Share served of a burst of 3 times
+        what engines read for 0.4 s, mean of six seeds in virtual time: 0.972 to 0.978 (target
+        0.25 s: 0.955 to 0.961; 0.4 s: 0.974 to 0.981; 0.6 s: 0.985 to 0.990).
         """
         return self._least_waits_s.get(request.service, 0.0)
 
     def is_more_urgent(self, request: OpaqueRequest) -> bool:
-        """Return whether a request is more urgent than others that the service has had."""
+        """Return whether the service has had less urgent requests than this one."""
         least = max(self._least_urgent.get(request.service, 0), request.priority)
         self._least_urgent[request.service] = least
         return request.priority < least
@@ -122,7 +123,7 @@
         return queue is not None and queue.is_standing
 
     def max_wait_s(self, request: OpaqueRequest, least_wait_s: float, now: float) -> float:
-        """Return the longest wait that a request may be sent into, in seconds."""
+        """Return the longest wait in seconds that a request may be sent into."""
         target_s = self._bounding_target_s(request)
         good_s = self.timely_wait_share * target_s
         queue = self._queues.setdefault(request.service, StandingQueue())
@@ -134,28 +135,28 @@
         if not queue.is_standing:
             return min(self.burst_wait_limit_s, self.burst_wait_limit_targets * target_s)
         longest_s = max(good_s * self._urgency_factor(request), self._priority_wait_s(request))
-        # What it has waited already is gone from its target.
+        # The time that the request has already waited is spent from its target.
         return max(0.0, longest_s - (now - request.received_at))
 
     def _bounding_target_s(self, request: OpaqueRequest) -> float:
-        """Return the target that bounds a request's wait: its own, or a less urgent one's.
+        """Return the longest target among the recent requests of this or a lower urgency.
 
-        Engines take it in before the less urgent that wait, so a wait that these are sent into
-        must not keep it out, however tight its own target is.
+        Engines take a request before less urgent waiting ones. A wait that those are sent into
+        must therefore not exclude the request, however short its own target is.
         """
         targets_s = self._targets_s.setdefault(request.service, {})
         targets_s[request.priority] = request.route.target_seconds
         return max(s for priority, s in targets_s.items() if priority >= request.priority)
 
     def note_sent(self, request: OpaqueRequest, tokens: int) -> None:
-        """Note the tokens that an engine is to read for a request."""
+        """Record the prompt tokens that an engine must read for a request."""
         sent = self._sent_tokens.setdefault(request.service, {})
         for priority in sent:
             sent[priority] *= 1.0 - SENT_WEIGHT
         sent[request.priority] = sent.get(request.priority, 0.0) + SENT_WEIGHT * tokens
 
     def _priority_wait_s(self, request: OpaqueRequest) -> float:
-        """Return the wait in which only so much is as urgent as a request can bear, or 0."""
+        """Return the wait of which the equally or more urgent part is in time, or 0."""
         sent = self._sent_tokens.get(request.service, {})
         total = sum(sent.values())
         if not total or not self.is_more_urgent(request):
--- a/liftrill/gateway/admission/queue_admission.py
+++ b/liftrill/gateway/admission/queue_admission.py
@@ -1,4 +1,4 @@
-"""What a request waits with in its line, and whether waiting is of any use."""
+"""Decides whether a request joins its queue."""
 
 from collections.abc import Callable
 from dataclasses import dataclass, replace
@@ -12,11 +12,11 @@
 
 @dataclass(frozen=True, slots=True)
 class QueueForecast:
-    """What engines mean for a request that waits.
+    """Forecast for a request that would wait.
 
     Attributes:
-        prompt_read_s: how long one that keeps nothing of its prompt takes to read it.
-        is_overloaded: whether the queues of its service stand.
+        prompt_read_s: time that an engine without cached parts needs to read the prompt.
+        is_overloaded: whether the service is overloaded.
     """
 
     prompt_read_s: float
@@ -25,7 +25,7 @@
 
 @dataclass(slots=True)
 class QueueAdmission:
-    """Gives requests their places in the lines of a node."""
+    """Creates the queue entries of requests for which waiting may help."""
 
     queues: ServiceQueues
     refused_requests: RefusedRequests
@@ -35,7 +35,7 @@
     def entry(
         self, request: OpaqueRequest, until: float, for_capacity: bool, now: float
     ) -> QueueEntry | None:
-        """Return what a request waits with, or None where its turn would come too late."""
+        """Return the queue entry of a request, or None if its turn would come too late."""
         known = self.queues.entry_of(request)
         if known is not None:
             return replace(known, needs_capacity=for_capacity)
@@ -58,7 +58,7 @@
         )
 
     def wait_s(self, request: OpaqueRequest, now: float) -> float:
-        """Return how long it takes until those that go before a request have places."""
+        """Return the expected time until all requests ahead of a request are dispatched."""
         return self.queues.queue(request.service).wait_s(request.priority, now)
 
 
--- a/liftrill/gateway/admission/quota_gate.py
+++ b/liftrill/gateway/admission/quota_gate.py
@@ -1,4 +1,4 @@
-"""Holds requests to the limits of their tenants, and tells other nodes what was spent."""
+"""Enforces the quotas of tenants and reports their spending to other nodes."""
 
 from collections.abc import Callable
 from dataclasses import dataclass, field, replace
@@ -14,10 +14,10 @@
 from liftrill.gateway.peers.load_exchange import LoadReport, LoadScope, SendLoads
 from liftrill.gateway.records import Quota
 
-# A tenant counts as limited until it was refused nothing for so long: two refusals further
-# apart are told as two spells (guess).
+# A limited period of a tenant ends after this time without a refusal; later refusals are logged as
+# a new period.
 LIMITED_PERIOD_GAP_S = 2.0
-# How many tenants have figures of their own; the rest share one.
+# Tenants with metrics of their own; the others share the label OTHER_TENANTS.
 MAX_LABELLED_TENANTS = 32
 OTHER_TENANTS = "other"
 
@@ -25,7 +25,7 @@
 
 
 def request_units(quota: Quota, request: OpaqueRequest) -> float:
-    """Return what a request counts under a limit."""
+    """Return the units that a request takes from a quota."""
     if not quota.counts_tokens:
         return 1.0
     if request.prompt is None:
@@ -36,7 +36,7 @@
 
 @dataclass(slots=True)
 class _LimitedPeriod:
-    """A time in which a tenant was refused."""
+    """A period in which requests of a tenant are refused."""
 
     since: float
     last_at: float
@@ -45,11 +45,11 @@
 
 @dataclass(slots=True)
 class QuotaGate:
-    """The limits in force at one node.
+    """Quotas in force at one node.
 
     Attributes:
-        buckets: what is left to each tenant.
-        tell: how to tell all other nodes at once of what a tenant spends.
+        buckets: token buckets of the tenants, shared with the other nodes.
+        send_notice: sends a spending notice to all other nodes at once.
     """
 
     buckets: SharedBuckets
@@ -61,12 +61,12 @@
     _labelled_tenants: set[str] = field(default_factory=set)
 
     def configure(self, view: ConfigurationView, now: float) -> None:
-        """Put the limits of a configuration in force."""
+        """Apply the quotas of a configuration."""
         self._quotas = view.quotas()
         self.buckets.configure({name: q.limit for name, q in self._quotas.items()}, now)
 
     def check(self, request: OpaqueRequest, now: float) -> AdmissionRefusal | None:
-        """Take what a request counts, or return why it is refused."""
+        """Take the units of a request from its tenant's quota, or return why it is refused."""
         quota = self._quotas.get(request.tenant)
         if quota is None:
             return None
@@ -82,13 +82,13 @@
         return None
 
     def record_repeat(self, request: OpaqueRequest, now: float) -> None:
-        """Count a request that is sent once more: it may run twice."""
+        """Charge a request that is sent again, as it may run twice."""
         quota = self._quotas.get(request.tenant)
         if quota is not None:
             self.buckets.take_anyway(request.tenant, request_units(quota, request), now)
 
     def record_not_run(self, request: OpaqueRequest, runs: int, now: float) -> None:
-        """Give back what a request had taken for some runs that were none."""
+        """Refund the units of runs that turned out not to have run."""
         quota = self._quotas.get(request.tenant)
         if quota is None:
             return
@@ -99,19 +99,19 @@
                 self.send_notice(notice)
 
     def apply_report(self, report: LoadReport, now: float) -> None:
-        """Take in what a node or a zone spent."""
+        """Apply the spending that a node or a zone reports."""
         if report.quota is None:
             return
         node = report.node if report.scope is LoadScope.NODE else ""
         self.buckets.hear(QuotaSource(report.zone, node), report.quota, now)
 
     def with_quota(self, message: SendLoads, now: float) -> SendLoads:
-        """Return a word to other nodes with what was spent by whom it is of."""
+        """Return a message to other nodes with the spending of its node or zone added."""
         quota = self._report(message.report, now)
         return replace(message, report=replace(message.report, quota=quota))
 
     def expire(self, now: float) -> None:
-        """Tell of the tenants that are refused nothing any more."""
+        """End and log the limited periods of tenants without recent refusals."""
         for tenant, spell in list(self._limited_periods.items()):
             if now - spell.last_at > LIMITED_PERIOD_GAP_S:
                 del self._limited_periods[tenant]
--- a/liftrill/gateway/admission/request_admission.py
+++ b/liftrill/gateway/admission/request_admission.py
@@ -1,4 +1,4 @@
-"""Decides whether a request that was read may be served, and as what."""
+"""Decides whether a request that was read may be served, and with which properties."""
 
 from dataclasses import dataclass
 
@@ -14,13 +14,13 @@
 
 @dataclass(frozen=True, slots=True)
 class IncomingRequest:
-    """A request as read from a caller, before anything is known of it.
+    """A request as read from a caller, before any check.
 
     Attributes:
-        path: the path alone, for the choice of the route.
+        path: the path without the query, which selects the route.
         target: path and query exactly as received.
-        key: the caller's key, or empty.
-        deadline_seconds: how long the caller waits, or None where it does not say.
+        key: the caller's API key, or empty.
+        deadline_seconds: how long the caller waits, or None if it does not say.
     """
 
     request_id: str
@@ -39,10 +39,10 @@
 
 @dataclass(frozen=True, slots=True)
 class AdmissionRefusal:
-    """Why a request is not served.
+    """The reason why a request is not served.
 
     Attributes:
-        why: what decided it, for the log.
+        why: details for the log.
     """
 
     code: ResultCode
@@ -51,7 +51,7 @@
 
 
 class RequestAdmission:
-    """Checks route, key and currency against the configuration in force."""
+    """Checks the route, API key and currency of requests against the configuration in force."""
 
     def __init__(self, view: ConfigurationView, split: WeightedSplit) -> None:
         self._view = view
--- a/liftrill/gateway/admission/request_queue.py
+++ b/liftrill/gateway/admission/request_queue.py
@@ -1,28 +1,28 @@
-"""The order in which requests of one service get the places that come free at engines, sans-IO.
+"""Queue of the requests that wait for engines of one service; performs no I/O.
 
-Urgent requests come first. Among equally urgent ones those come first that were refused
-before and came back when they were told to. Tenants take turns by the tokens that they were
-let through, and of one tenant's requests the one comes first that has to begin earliest.
+More urgent requests come first. Among equally urgent ones, refused requests that were retried at
+the requested time come first. Then tenants take turns by their dispatched tokens (fair queueing),
+and the requests of one tenant are ordered by the time at which they must begin.
 """
 
 import math
 from dataclasses import dataclass, field
 from enum import IntEnum
 
-# After so many places in a row for more urgent requests of the line the next one is offered to
-# others that wait, so that a line that never ends does not starve them. Requests that find room
-# as they come are not counted.
+# After this many dispatches in a row of more urgent queued requests, the next place is offered to
+# less urgent ones, so that a queue that never empties does not starve them. Requests that find
+# capacity on arrival are not counted.
 MAX_DISPATCHES_IN_A_ROW = 8
-# How many tenants' turns are remembered while none of their requests waits (100 bytes each).
+# Tenants whose virtual times are kept while none of their requests waits; 100 bytes each.
 MAX_IDLE_TENANTS = 256
-# How fast places come free is averaged over the longest time that a request waits for one.
+# Averaging time of the dispatch rate: the longest time that a request waits for capacity.
 DRAIN_AVERAGE_S = 0.5
-# After so many places how fast they come free is known well enough to refuse by it.
+# Minimum number of recent dispatches for a dispatch rate that requests are refused by.
 MIN_KNOWN_DISPATCHES = 8
 
 
 class RetryStatus(IntEnum):
-    """What is known of a caller that asks again; lower ones go first."""
+    """Whether a request is a retry of a refused one; lower values go first."""
 
     CAME_BACK = 0
     NEW = 1
@@ -31,14 +31,15 @@
 
 @dataclass(frozen=True, slots=True)
 class QueueEntry:
-    """What a request waits with.
+    """Properties of a waiting request.
 
     Attributes:
         urgency: 0 is the most urgent.
-        tokens: what it takes of engines, for its tenant's turn.
-        latest_start: when it has to begin to be answered in its target's time.
-        until: for how long it waits.
-        needs_capacity: whether it waits for room, rather than for what engines don't offer yet.
+        tokens: tokens charged to the tenant when the request is dispatched.
+        latest_start: time by which the request must begin to be answered within its target.
+        until: time until which the request waits.
+        standing: whether the request is a retry.
+        needs_capacity: whether the request waits for capacity, not for weights or a part being read.
     """
 
     urgency: int
@@ -53,7 +54,7 @@
 
 @dataclass(slots=True)
 class _WakeRound:
-    """One pass along the line: whom it asked, and whether it goes on once someone took a place."""
+    """One pass along the queue: the woken requests, and whether it goes on after a dispatch."""
 
     everyone: bool
     woken: set[int] = field(default_factory=set)
@@ -61,12 +62,12 @@
 
 @dataclass(slots=True, eq=False)
 class Waiter:
-    """A request in the line.
+    """A request in the queue.
 
     Attributes:
-        number: rises with the time of arrival.
-        wake_round: the round that asks it to try just now, or None.
-        tried: how often room had changed when it last found none.
+        number: increases in the order of arrival.
+        wake_round: the round in which the request is to try now, or None.
+        tried_at_change: number of capacity changes when the request last found no capacity.
     """
 
     entry: QueueEntry
@@ -77,18 +78,18 @@
 
 @dataclass(slots=True)
 class RequestQueue:
-    """Who waits for engines of one service.
+    """Waiting requests of one service.
 
-    Whoever is asked to try calls `took`, `found_no_capacity` or `leave`; each returns who is asked
-    next, if anyone. So a place that comes free wakes one request, and is handed on until it is
-    taken or nobody is left.
+    A woken request calls `dispatched`, `found_no_capacity` or `leave`; each returns the request to
+    wake next, if any. A freed place thus wakes one request at a time, until one takes it or all
+    were woken.
     """
 
     _waiters: dict[int, Waiter] = field(default_factory=dict)
     _next_number: int = 0
     _capacity_changes: int = 0
     _full_round_at: float = 0.0
-    # Tokens that each tenant was let through, counted on from the least of those that waited.
+    # By tenant: dispatched tokens, counted from the least value among the waiting tenants.
     _virtual_times: dict[str, float] = field(default_factory=dict)
     _virtual_time: float = 0.0
     _passed_over: dict[int, int] = field(default_factory=dict)
@@ -99,14 +100,14 @@
         return len(self._waiters)
 
     def oldest_since(self) -> float | None:
-        """Return since when the first of those that wait has waited, or None."""
+        """Return the arrival time of the request that has waited longest, or None."""
         return min((w.entry.since for w in self._waiters.values()), default=None)
 
     def join(self, entry: QueueEntry) -> Waiter:
-        """Put a request in the line, which found nothing just now or did not try."""
+        """Add a request that found no capacity, or that has not tried because others wait."""
         tried_at_change = -1 if self.must_wait(entry.urgency) else self._capacity_changes
         waiter = Waiter(entry, self._next_number, tried_at_change=tried_at_change)
-        # A tenant that was away saves up no turns.
+        # An idle tenant does not accumulate credit.
         if all(other.entry.tenant != entry.tenant for other in self._waiters.values()):
             self._virtual_times[entry.tenant] = max(
                 self._virtual_times.get(entry.tenant, 0.0), self._virtual_time
@@ -116,7 +117,7 @@
         return waiter
 
     def start_untried_round(self) -> Waiter | None:
-        """Return whom to ask where someone joined who did not try, lest nobody is asked."""
+        """Return a request to wake if one joined without trying and no round is running."""
         if any(waiter.wake_round for waiter in self._waiters.values()):
             return None
         untried = any(
@@ -125,31 +126,31 @@
         return self._wake_next(_WakeRound(everyone=False)) if untried else None
 
     def capacity_freed(self) -> Waiter | None:
-        """Return whom to wake, now that a place came free."""
+        """Return the request to wake after capacity became free."""
         self._capacity_changes += 1
         return self._wake_next(_WakeRound(everyone=False))
 
     def prompt_read(self, now: float) -> Waiter | None:
-        """Return whom to wake, now that an engine has read a prompt.
+        """Return the request to wake after an engine has read a prompt.
 
-        That frees a place, and is what all may have waited for that do not need room.
+        This frees capacity, and may be what every request waits for that needs no capacity.
         """
         if all(waiter.entry.needs_capacity for waiter in self._waiters.values()):
             return self.capacity_freed()
         return self.start_full_round(now)
 
     def start_full_round(self, now: float) -> Waiter | None:
-        """Return whom to ask first, where room may have changed unseen."""
+        """Start a round over all requests, as capacity may have changed without a signal."""
         self._capacity_changes += 1
         self._full_round_at = now
         return self._wake_next(_WakeRound(everyone=True))
 
     def since_full_round_s(self, now: float) -> float:
-        """Return how long ago all were asked."""
+        """Return the time since the last round over all requests."""
         return now - self._full_round_at
 
     def dispatched(self, waiter: Waiter, now: float) -> Waiter | None:
-        """Note that a request has a place; return whom to ask next."""
+        """Remove a request that was sent to an engine; return the request to wake next."""
         self._record_dispatch(waiter.entry, now)
         wake_round = self._remove(waiter)
         if wake_round is None or not wake_round.everyone:
@@ -157,20 +158,20 @@
         return self._wake_next(wake_round)
 
     def found_no_capacity(self, waiter: Waiter) -> Waiter | None:
-        """Note that a request found no place; return whom to ask next."""
+        """Record that a request found no capacity; return the request to wake next."""
         waiter.tried_at_change = self._capacity_changes
         wake_round, waiter.wake_round = waiter.wake_round, None
         return self._wake_next(wake_round) if wake_round else None
 
     def leave(self, waiter: Waiter) -> Waiter | None:
-        """Take a request out that waits no more; return whom to ask instead, if it was asked."""
+        """Remove a request that no longer waits; if it was woken, return the one to wake next."""
         wake_round = self._remove(waiter)
         return self._wake_next(wake_round) if wake_round else None
 
     def must_wait(self, urgency: int, waiter: Waiter | None = None) -> bool:
-        """Return whether a place that may be free is someone else's.
+        """Return whether free capacity is reserved for another request.
 
-        Who found nothing since room last changed stands in nobody's way.
+        Requests that found none since the capacity last changed reserve nothing.
         """
         if waiter is not None and waiter.wake_round is not None:
             return False
@@ -181,7 +182,7 @@
         )
 
     def wait_s(self, urgency: int, now: float) -> float:
-        """Return how long it takes until those that go before a request have places."""
+        """Return the expected time until all requests ahead of this urgency are dispatched."""
         ahead = sum(
             w.entry.urgency <= urgency and w.entry.needs_capacity for w in self._waiters.values()
         )
@@ -220,7 +221,7 @@
         return (entry.urgency, entry.standing, virtual_time, entry.latest_start, waiter.number)
 
     def _starved_waiter(self, waiting: list[Waiter]) -> Waiter | None:
-        """Return the first of a kind that more urgent ones were long preferred to, or None."""
+        """Return the first request of an urgency that was passed over too often, or None."""
         starved = [
             w
             for w in waiting
@@ -247,7 +248,7 @@
         return self._dispatches * math.exp(min(0.0, self._dispatches_at - now) / DRAIN_AVERAGE_S)
 
     def _prune_virtual_times(self) -> None:
-        """Forget the turns of tenants that are due anyway, if there are many."""
+        """Drop the virtual times of idle tenants that are due anyway, if there are many."""
         if len(self._virtual_times) <= MAX_IDLE_TENANTS:
             return
         waiting = {w.entry.tenant for w in self._waiters.values()}
--- a/liftrill/gateway/admission/retry_after.py
+++ b/liftrill/gateway/admission/retry_after.py
@@ -1,4 +1,4 @@
-"""When refused callers are to come back, and which of those that come were told to, sans-IO."""
+"""Chooses the retry times of refused requests and recognizes retries; performs no I/O."""
 
 import random
 from collections import OrderedDict
@@ -9,47 +9,47 @@
 from liftrill.gateway.fading_rate import FadingRate
 from liftrill.gateway.opaque_request import OpaqueRequest
 
-# When a refused caller is to come back; what is missing is mostly there by then.
+# Retry time as a share of the request's target; by then, missing capacity is mostly available.
 RETRY_AFTER_TARGET_SHARE = 0.5
 MIN_RETRY_AFTER_S = 0.2
 MAX_RETRY_AFTER_S = 2.0
-# Over what time it is averaged how many requests are sent: long enough for a few at a small
-# node, and short beside the seconds that callers wait.
+# Averaging time of the send rate: long enough for a few requests at a small node, and short
+# compared with the seconds that callers wait.
 SENT_AVERAGE_S = 2.0
-# How many refused requests are remembered: 0.2 MB at the most (200 bytes each). They are known
-# by their fingerprints, since a request that is sent again has another id.
+# Upper bound of the remembered requests; 200 bytes each, 0.2 MB in all. They are identified by
+# fingerprint, since a retried request has a new id.
 MAX_REFUSED_REQUESTS = 1_024
-# Larger ones are new whenever they come: hashing 16 KB takes some 20 microseconds (guess).
+# Larger bodies are not recognized as retries: hashing 16 KB takes about 20 microseconds.
 MAX_BODY_BYTES = 16 * 1024
-# For how long after its time a caller still counts as coming back: two connections' time.
+# How late a request still counts as a retry: the time of two connection attempts.
 RETRY_WINDOW_S = 2.0
-# Callers round what they are told, and their clocks run a little fast.
+# Retries may be early by this share: callers round the time, and their clocks may run fast.
 EARLY_TOLERANCE_SHARE = 0.1
 
-# Callers that are told a time later than they wait are spread over a third of it, so that those
-# who do come then don't come together.
+# Retry times beyond the caller's patience are spread over another third of the wait, so that
+# callers who do come back do not come back together.
 LATE_SPREAD_FACTOR = 4.0 / 3.0
 
 
 @dataclass(slots=True)
 class RetrySchedule:
-    """When the refused callers of one service are to come back: one after the other.
+    """Retry times of the refused requests of one service, one after the other.
 
-    Each has a place behind those that were refused before it, as long as this node took lately
-    to send a request to an engine.
+    Each refused request gets a slot after those refused before it. The length of a slot is the
+    recent time between two requests that this node sent to engines.
     """
 
     _sent: FadingRate = field(default_factory=lambda: FadingRate(SENT_AVERAGE_S))
     _last_slot_end: float = 0.0
 
     def note_sent(self, now: float) -> None:
-        """Note that a request was sent to an engine."""
+        """Record that a request was sent to an engine."""
         self._sent.record(1.0, now)
 
     def next_retry_s(self, capacity_wait_s: float, patience_s: float, now: float) -> float:
-        """Return a time: not before there is room, and within patience where that can be.
+        """Return a retry time after capacity is expected and, if possible, within patience.
 
-        Who would have a place later than it waits has none, and comes late in its patience.
+        A caller whose slot would end after its patience gets no slot, but a random late time.
         """
         latest_s = (
             patience_s if capacity_wait_s < patience_s else LATE_SPREAD_FACTOR * capacity_wait_s
@@ -65,12 +65,12 @@
 
 @dataclass(slots=True)
 class RefusedRequests:
-    """The requests that were refused for want of room lately, and when they are to come back."""
+    """Requests recently refused for lack of capacity, and their retry times."""
 
     _due: OrderedDict[bytes, tuple[float, float]] = field(default_factory=OrderedDict)
 
     def record_refusal(self, request: OpaqueRequest, wait_s: float, now: float) -> None:
-        """Note when a refused caller is to come back; who came early keeps its first time."""
+        """Record the retry time of a refused request; an early retry keeps its first time."""
         if len(request.body) > MAX_BODY_BYTES:
             return
         known = self._due.pop(request.fingerprint, None)
@@ -82,8 +82,8 @@
             self._due.popitem(last=False)
 
     def retry_status(self, request: OpaqueRequest, now: float) -> RetryStatus:
-        """Return whether a caller is new, or came back when it was told to, or earlier."""
-        # Nothing is hashed while nobody was refused.
+        """Return whether a request is new, a retry at its time, or an early retry."""
+        # Nothing is hashed while no request is remembered.
         if not self._due or len(request.body) > MAX_BODY_BYTES:
             return RetryStatus.NEW
         due, wait_s = self._due.get(request.fingerprint, (0.0, 0.0))
@@ -92,7 +92,7 @@
             return RetryStatus.NEW
         if now < due - EARLY_TOLERANCE_SHARE * wait_s:
             return RetryStatus.CAME_EARLY
-        # It goes first once: who asks the same on and on does not.
+        # A retry goes first once; further copies of the request do not.
         del self._due[request.fingerprint]
         return RetryStatus.CAME_BACK
 
@@ -103,12 +103,12 @@
 
 @dataclass(slots=True)
 class RetryAfterPolicy:
-    """When the refused callers of a node are to come back.
+    """Retry times of the refused requests of a node.
 
     Attributes:
-        capacity_wait_s: in how long a request is sent to an engine again, if nothing more comes.
-        queue_wait_s: how long it takes until those that wait before it have places.
-        returning: those that were told to.
+        capacity_wait_s: returns the time until an engine takes requests again.
+        queue_wait_s: returns the time until all requests ahead of a request are dispatched.
+        refused_requests: refused requests with a retry time.
     """
 
     capacity_wait_s: Callable[[OpaqueRequest], float]
@@ -118,18 +118,18 @@
     _full_services: set[str] = field(default_factory=set)
 
     def note_choice(self, service: str, is_full: bool) -> None:
-        """Note whether the engines of a service had room for the last request."""
+        """Record whether the engines of a service lacked capacity for the last request."""
         if is_full:
             self._full_services.add(service)
         else:
             self._full_services.discard(service)
 
     def note_sent(self, service: str, now: float) -> None:
-        """Note that a request was sent to an engine."""
+        """Record that a request was sent to an engine."""
         self._schedule(service).note_sent(now)
 
     def retry_after_s(self, request: OpaqueRequest, now: float) -> float:
-        """Return when a refused caller should come back."""
+        """Return the time after which a refused caller should retry."""
         share_s = RETRY_AFTER_TARGET_SHARE * request.route.target_seconds
         wait_s = min(max(share_s, MIN_RETRY_AFTER_S), MAX_RETRY_AFTER_S)
         if request.service not in self._full_services:
--- a/liftrill/gateway/admission/retry_allowance.py
+++ b/liftrill/gateway/admission/retry_allowance.py
@@ -1,9 +1,9 @@
-"""How many second sends one node may make, as its part of a budget of all nodes.
+"""Share of one node in the retry budget of all nodes.
 
-The budget of a service is a ratio of its requests plus a slack, in each window. Nodes
-do not talk about it: each spends at most its ratio of its own requests plus an equal part
-of the slack. A node that restarts may have spent its part just before, so it has no
-slack for its first window; what a lost node leaves unspent is not taken over.
+The budget of a service is a ratio of its requests plus a slack, per window. Nodes do not
+coordinate: each spends at most the ratio of its own requests plus an equal part of the slack. A
+restarted node may have spent its part just before the restart, so that it has no slack in its
+first window. The unspent part of a lost node is not redistributed.
 """
 
 from collections import deque
@@ -16,7 +16,7 @@
     repeats: deque[float] = field(default_factory=deque)
 
     def expire(self, before: float) -> None:
-        """Forget what lies before a time."""
+        """Drop times up to a given time."""
         for times in (self.requests, self.repeats):
             while times and times[0] <= before:
                 times.popleft()
@@ -24,14 +24,14 @@
 
 @dataclass(slots=True)
 class RetryAllowance:
-    """The repeats that this node may still send to each service.
+    """Retries that this node may still send, per service.
 
     Attributes:
-        ratio: repeats for each request.
-        slack: repeats of all nodes in a window beyond the ratio.
-        window_seconds: the length of the sliding window.
-        slack_from: time from which this node has its part of the slack.
-        nodes: how many nodes may share the slack.
+        ratio: retries per request.
+        slack: retries of all nodes per window beyond the ratio.
+        window_seconds: length of the sliding window.
+        slack_from: time from which this node may use its part of the slack.
+        nodes: number of nodes that may share the slack.
     """
 
     ratio: float
@@ -41,23 +41,23 @@
     nodes: int = 1
     _windows: dict[str, _Window] = field(default_factory=dict)
 
-    # The parts of all nodes together stay under the budget by this factor.
+    # Keeps the sum over all nodes below the budget.
     SAFETY = 0.8
 
     def record_request(self, service: str, now: float) -> None:
-        """Count the first send of a request."""
+        """Record the first send of a request."""
         window = self._window(service, now)
         window.requests.append(now)
 
     def left(self, service: str, now: float) -> float:
-        """Return the repeats that may be sent now."""
+        """Return the number of retries that may be sent now."""
         window = self._window(service, now)
         slack = self.slack / self.nodes if now >= self.slack_from else 0.0
         allowed = (self.ratio * len(window.requests) + slack) * self.SAFETY
         return allowed - len(window.repeats)
 
     def try_spend(self, service: str, now: float) -> bool:
-        """Spend one repeat, or return False if none is left."""
+        """Spend one retry; return False if none is left."""
         if self.left(service, now) < 1.0:
             return False
         self._window(service, now).repeats.append(now)
--- a/liftrill/gateway/admission/service_queues.py
+++ b/liftrill/gateway/admission/service_queues.py
@@ -1,4 +1,4 @@
-"""Lets requests wait in line for engines: the lines of all services, on asyncio."""
+"""The request queues of all services, on asyncio."""
 
 import asyncio
 from dataclasses import dataclass, field
@@ -7,14 +7,14 @@
 from liftrill.gateway.admission.request_queue import QueueEntry, RequestQueue, Waiter
 from liftrill.gateway.opaque_request import OpaqueRequest
 
-# What engines refused for, and what other nodes no longer have there, passes without a signal:
-# all that wait are asked again this often.
+# Some capacity changes give no signal, such as a refusal that no longer holds or the end of
+# requests of other nodes. All waiting requests are woken at this interval to find them.
 WAKE_ALL_INTERVAL_S = 0.06
 
 
 @dataclass(slots=True)
 class _Waiting:
-    """A request in its line, and what wakes it."""
+    """A request in its queue, and the event that wakes it."""
 
     queue: RequestQueue
     waiter: Waiter
@@ -22,7 +22,7 @@
 
 
 class ServiceQueues:
-    """One line for each service; requests are known by their identity in this process."""
+    """One queue per service; requests are identified by their object identity."""
 
     def __init__(self) -> None:
         self._queues: dict[str, RequestQueue] = {}
@@ -30,16 +30,16 @@
         self._by_waiter: dict[Waiter, _Waiting] = {}
 
     def queue(self, service: str) -> RequestQueue:
-        """Return the line of a service."""
+        """Return the queue of a service."""
         return self._queues.setdefault(service, RequestQueue())
 
     def depth_and_age_s(self, now: float) -> tuple[int, float]:
-        """Return how many requests wait, and for how long the first one has."""
+        """Return the number of waiting requests and the waiting time of the oldest one."""
         since = [s for queue in self._queues.values() if (s := queue.oldest_since()) is not None]
         return len(self._by_request), now - min(since, default=now)
 
     def must_wait(self, request: OpaqueRequest) -> bool:
-        """Return whether a place that may be free is someone else's."""
+        """Return whether free capacity is reserved for another request."""
         queue = self._queues.get(request.service)
         if not queue:
             return False
@@ -47,31 +47,31 @@
         return queue.must_wait(request.priority, waiting.waiter if waiting else None)
 
     def capacity_freed(self, service: str) -> None:
-        """Wake whoever is next, now that a place came free at an engine of a service."""
+        """Wake the next request after capacity became free at an engine of a service."""
         queue = self._queues.get(service)
         if queue:
             self._wake(queue.capacity_freed())
 
     def prompt_read(self, service: str) -> None:
-        """Wake those that may go on, now that an engine of a service has read a prompt."""
+        """Wake the next request after an engine of a service has read a prompt."""
         queue = self._queues.get(service)
         if queue:
             self._wake(queue.prompt_read(clock.now_s()))
 
     def wake_all(self) -> None:
-        """Ask all that wait, in their order: what they wait for may be there."""
+        """Start a round over all waiting requests, as what they wait for may have changed."""
         now = clock.now_s()
         for queue in self._queues.values():
             if queue:
                 self._wake(queue.start_full_round(now))
 
     def entry_of(self, request: OpaqueRequest) -> QueueEntry | None:
-        """Return what a request waits with, or None where it does not."""
+        """Return the queue entry of a request, or None if it does not wait."""
         waiting = self._by_request.get(id(request))
         return waiting.waiter.entry if waiting else None
 
     async def wait(self, request: OpaqueRequest, entry: QueueEntry) -> None:
-        """Wait until a request is to try, or its time to wait is over."""
+        """Wait until a request is woken to try, or its waiting time is over."""
         waiting = self._by_request.get(id(request))
         if waiting is None:
             waiting = self._join(request, entry)
@@ -82,13 +82,13 @@
             await self._sleep(waiting, min(left, WAKE_ALL_INTERVAL_S))
 
     def dispatched(self, request: OpaqueRequest) -> None:
-        """Note that a request was sent to an engine."""
+        """Remove a request that was sent to an engine."""
         waiting = self._forget(request)
         if waiting is not None:
             self._wake(waiting.queue.dispatched(waiting.waiter, clock.now_s()))
 
     def leave(self, request: OpaqueRequest) -> None:
-        """Note that a request waits no more, whatever became of it."""
+        """Remove a request that no longer waits."""
         waiting = self._forget(request)
         if waiting is not None:
             self._wake(waiting.queue.leave(waiting.waiter))
--- a/liftrill/gateway/engines/engine_table.py
+++ b/liftrill/gateway/engines/engine_table.py
@@ -214,7 +214,7 @@
         self._starts_reported = False
         self.services: frozenset[str] = frozenset()
         self.conditions = EngineConditions()
-    # By engine id: revision up to which records that this node has not read yet are withheld.
+        # By engine id: revision up to which records that this node has not read yet are withheld.
         self._withheld: dict[str, int] = {}
 
     def __iter__(self) -> Iterator[EngineView]:
