--- a/liftrill/gateway/admission/quota_gate.py
+++ b/liftrill/gateway/admission/quota_gate.py
@@ -39,7 +39,7 @@
     """A period in which requests of a tenant are refused."""
 
     since: float
-    last_at: float
+    last_refused_at: float
     refused: int = 0
 
 
@@ -81,7 +81,7 @@
             self.send_notice(verdict.notice)
         return None
 
-    def record_repeat(self, request: OpaqueRequest, now: float) -> None:
+    def record_retry(self, request: OpaqueRequest, now: float) -> None:
         """Charge a request that is sent again, as it may run twice."""
         quota = self._quotas.get(request.tenant)
         if quota is not None:
@@ -112,12 +112,12 @@
 
     def expire(self, now: float) -> None:
         """End and log the limited periods of tenants without recent refusals."""
-        for tenant, spell in list(self._limited_periods.items()):
-            if now - spell.last_at > LIMITED_PERIOD_GAP_S:
+        for tenant, period in list(self._limited_periods.items()):
+            if now - period.last_refused_at > LIMITED_PERIOD_GAP_S:
                 del self._limited_periods[tenant]
-                lasted_s = round(spell.last_at - spell.since, 2)
+                lasted_s = round(period.last_refused_at - period.since, 2)
                 self.log.belief(
-                    "quota_free", tenant=tenant, lasted_s=lasted_s, refused=spell.refused
+                    "quota_free", tenant=tenant, lasted_s=lasted_s, refused=period.refused
                 )
         self.metrics.limited_tenants.set(len(self._limited_periods))
 
@@ -127,9 +127,9 @@
         return self.buckets.zone_report(report.zone, now)
 
     def _note_refusal(self, tenant: str, left: float, now: float) -> None:
-        spell = self._limited_periods.get(tenant)
-        if spell is None:
-            spell = self._limited_periods[tenant] = _LimitedPeriod(now, now)
+        period = self._limited_periods.get(tenant)
+        if period is None:
+            period = self._limited_periods[tenant] = _LimitedPeriod(now, now)
             limit = self._quotas[tenant].limit
             self.log.belief(
                 "quota_limited",
@@ -140,8 +140,8 @@
                 nodes=self.buckets.fleet.nodes,
                 nodes_heard=self.buckets.heard_nodes(),
             )
-        spell.last_at = now
-        spell.refused += 1
+        period.last_refused_at = now
+        period.refused += 1
         self.metrics.quota_refusals.labels(self._label(tenant)).inc()
 
     def _label(self, tenant: str) -> str:
--- a/liftrill/gateway/admission/retry_allowance.py
+++ b/liftrill/gateway/admission/retry_allowance.py
@@ -13,11 +13,11 @@
 @dataclass(slots=True)
 class _Window:
     requests: deque[float] = field(default_factory=deque)
-    repeats: deque[float] = field(default_factory=deque)
+    retries: deque[float] = field(default_factory=deque)
 
     def expire(self, before: float) -> None:
         """Drop times up to a given time."""
-        for times in (self.requests, self.repeats):
+        for times in (self.requests, self.retries):
             while times and times[0] <= before:
                 times.popleft()
 
@@ -42,7 +42,7 @@
     _windows: dict[str, _Window] = field(default_factory=dict)
 
     # Keeps the sum over all nodes below the budget.
-    SAFETY = 0.8
+    SAFETY_FACTOR = 0.8
 
     def record_request(self, service: str, now: float) -> None:
         """Record the first send of a request."""
@@ -53,14 +53,14 @@
         """Return the number of retries that may be sent now."""
         window = self._window(service, now)
         slack = self.slack / self.nodes if now >= self.slack_from else 0.0
-        allowed = (self.ratio * len(window.requests) + slack) * self.SAFETY
-        return allowed - len(window.repeats)
+        allowed = (self.ratio * len(window.requests) + slack) * self.SAFETY_FACTOR
+        return allowed - len(window.retries)
 
     def try_spend(self, service: str, now: float) -> bool:
         """Spend one retry; return False if none is left."""
         if self.left(service, now) < 1.0:
             return False
-        self._window(service, now).repeats.append(now)
+        self._window(service, now).retries.append(now)
         return True
 
     def _window(self, service: str, now: float) -> _Window:
--- a/liftrill/gateway/forwarder.py
+++ b/liftrill/gateway/forwarder.py
@@ -146,7 +146,7 @@
         self.coming_back.note_sent(request.service, now)
         self._selector.guard.note_sent(request, choice.expected_tokens)
         if self._quotas is not None and not first:
-            self._quotas.record_repeat(request, now)
+            self._quotas.record_retry(request, now)
 
     def record_not_run(self, request: OpaqueRequest, runs: int) -> None:
         """Note how many runs that a request was counted for were none."""
