--- a/liftrill/gateway/admission/quota_gate.py
+++ b/liftrill/gateway/admission/quota_gate.py
@@ -75,7 +75,7 @@
         verdict = self.buckets.try_take(request.tenant, units, now, patience_s)
         if verdict.wait_s > 0.0:
             self._note_refusal(request.tenant, verdict.left, now)
-            why = f"tenant {request.tenant} has {verdict.left:.0f} left, asked for {units:.0f}"
+            why = f"tenant {request.tenant} has {verdict.left:.0f} units left, needs {units:.0f}"
             return AdmissionRefusal(ResultCode.QUOTA_EXCEEDED, verdict.wait_s, why)
         if verdict.notice is not None:
             self.send_notice(verdict.notice)
--- a/liftrill/gateway/admission/request_admission.py
+++ b/liftrill/gateway/admission/request_admission.py
@@ -75,7 +75,7 @@
         assert self._view.current is not None
         if self._view.current.tenants_by_key is None or route.public:
             return None
-        # Without a proof nothing is said of the key, be it known here or not.
+        # Without proof that the configuration is current, a key is neither accepted nor rejected.
         if not self._view.is_proven(now):
             return AdmissionRefusal(ResultCode.KEY_NOT_PROVEN, NOT_PROVEN_RETRY_SECONDS)
         tenant = self._view.tenant_of(incoming.key)
--- a/liftrill/gateway/admission/request_queue.py
+++ b/liftrill/gateway/admission/request_queue.py
@@ -38,8 +38,8 @@
         tokens: tokens charged to the tenant when the request is dispatched.
         latest_start: time by which the request must begin to be answered within its target.
         until: time until which the request waits.
-        standing: whether the request is a retry.
-        needs_capacity: whether the request waits for capacity, not for weights or a part being read.
+        standing: rank of the request as a retry or a new request.
+        needs_capacity: whether engines are ready and lack capacity; False if none is ready.
     """
 
     urgency: int
--- a/liftrill/gateway/engines/engine_speed.py
+++ b/liftrill/gateway/engines/engine_speed.py
@@ -175,8 +175,8 @@
     def zone_work(self, zone: str, now: float) -> WorkSample:
         """Return the recent work observed by this node and the reporting nodes of its zone."""
         reports = (w for w in self._reports.values() if w.zone == zone and not w.is_sum)
-        heard = (report.work.decayed(now - report.received_at) for report in reports)
-        works = [work for work in (self.own_work(now), *heard) if work.is_significant]
+        reported = (report.work.decayed(now - report.received_at) for report in reports)
+        works = [work for work in (self.own_work(now), *reported) if work.is_significant]
         return merge_sources(works)
 
     def sources(self) -> int:
