--- a/features/limit_replay.py
+++ b/features/limit_replay.py
@@ -38,10 +38,10 @@
 class ReplayedNode(LimitPeers):
     """One node: its limits, and what it knows of the others."""
 
-    own = ""
+    node_id = ""
 
     def __init__(self, fleet, name):
-        self.own = name
+        self.node_id = name
         self.fleet = fleet
         self.offset_s = fleet.random.uniform(0.0, CLOCK_OFFSET_S)
         self.members = {name}
@@ -70,11 +70,11 @@
 
     def send(self, node, message):
         self.fleet.deliver(
-            self, node, lambda peer: peer.limits.receive(self.own, message, peer.now)
+            self, node, lambda peer: peer.limits.receive(self.node_id, message, peer.now)
         )
 
     def broadcast(self, limit):
-        for peer in self.members - {self.own}:
+        for peer in self.members - {self.node_id}:
             for repeat_s in REPEATS_S:
                 self.fleet.deliver(self, peer, lambda p: p.limits.merge(limit, p.now), repeat_s)
 
@@ -176,7 +176,7 @@
         peer = self.nodes.get(name)
         if (
             peer is None
-            or not self._reaches(sender.own, name)
+            or not self._reaches(sender.node_id, name)
             or self.random.random() < self.lost_share
         ):
             return
@@ -187,7 +187,7 @@
         return not any((sender in side) != (name in side) for side in self.cut)
 
     def send_to_engine(self, node, permit):
-        self.sent.append(Sent(self.now, node.own, node.told_at))
+        self.sent.append(Sent(self.now, node.node_id, node.told_at))
         named = self.limit_at(self.now)
         if self.random.random() >= self.names_share:
             named = None
@@ -217,7 +217,7 @@
     def forget(self, name):
         """Let the others take a node for gone."""
         for node in self.nodes.values():
-            if node.own != name:
+            if node.node_id != name:
                 node.members.discard(name)
 
     def kill(self, name):
@@ -245,7 +245,7 @@
 
     def _welcome(self, name):
         for node in self.nodes.values():
-            if self._reaches(name, node.own):
+            if self._reaches(name, node.node_id):
                 node.members.add(name)
 
     def divide(self, names):
--- a/features/steps/engine_limit_steps.py
+++ b/features/steps/engine_limit_steps.py
@@ -15,8 +15,8 @@
 from liftrill.gateway.delivery import Unavailable
 from liftrill.gateway.delivery_events import EngineAddress, EngineChoice
 from liftrill.gateway.engines.engine_limits import EngineLimit, NoLimitPeers
-from liftrill.gateway.engines.engine_update import EngineUpdate
 from liftrill.gateway.engines.placement import Candidate
+from liftrill.gateway.engines.unrecorded_engine_state import UnrecordedEngineState
 from liftrill.gateway.peers.notice_codec import datagrams_from_update, update_from_message
 from liftrill.node.membership_codec import GossipDecodeError, parse_message
 
@@ -173,7 +173,7 @@
 @then("it is in full use again within {seconds:g} s after that")
 def step_free(context, seconds):
     fleet, at = context.fleet, context.ends_at + seconds
-    limited = [n.own for n in fleet.nodes.values() if n.limits.is_limited(ENGINE)]
+    limited = [n.node_id for n in fleet.nodes.values() if n.limits.is_limited(ENGINE)]
     assert not limited, limited
     used = sum(sent.at >= at for sent in fleet.sent)
     assert used >= 0.9 * context.calls_per_s * (fleet.now - at), used
@@ -217,7 +217,7 @@
 
 @when("a node joins that was told of a limit of {limit:g} a second by others")
 def step_joins(context, limit):
-    told = EngineUpdate(limits=(EngineLimit(at(context, "a"), limit),))
+    told = UnrecordedEngineState(limits=(EngineLimit(at(context, "a"), limit),))
     for datagram in datagrams_from_update(told):
         update = update_from_message(parse_message(datagram.SerializeToString()))
         for row in update.limits:
@@ -400,7 +400,7 @@
 
 @given("a datagram of a peer that tells a limit of {rate} a second")
 def step_peer_limit(context, rate):
-    update = EngineUpdate(limits=(EngineLimit(ENGINE, float(rate)),))
+    update = UnrecordedEngineState(limits=(EngineLimit(ENGINE, float(rate)),))
     (context.datagram,) = datagrams_from_update(update)
 
 
--- a/liftrill/gateway/admission/queue_admission.py
+++ b/liftrill/gateway/admission/queue_admission.py
@@ -36,9 +36,9 @@
         self, request: OpaqueRequest, until: float, for_capacity: bool, now: float
     ) -> QueueEntry | None:
         """Return the queue entry of a request, or None if its turn would come too late."""
-        known = self.queues.entry_of(request)
-        if known is not None:
-            return replace(known, needs_capacity=for_capacity)
+        known_entry = self.queues.entry_of(request)
+        if known_entry is not None:
+            return replace(known_entry, needs_capacity=for_capacity)
         forecast = self.forecast(request)
         latest_start = request.received_at + request.route.target_seconds - forecast.prompt_read_s
         turn_at = now + self.wait_s(request, now)
--- a/liftrill/gateway/engines/engine_limits.py
+++ b/liftrill/gateway/engines/engine_limits.py
@@ -82,7 +82,7 @@
 
     @property
     @abstractmethod
-    def own(self) -> str:
+    def node_id(self) -> str:
         """The id of this node."""
 
     @abstractmethod
@@ -125,11 +125,11 @@
 class NoLimitPeers(LimitPeers):
     """Peers of a node that runs alone: this node issues all permits."""
 
-    own = "node"
+    node_id = "node"
 
     def issuer(self, engine: EngineAddress) -> str:
         """Return the id of this node."""
-        return self.own
+        return self.node_id
 
     def issuing_share(self) -> float:
         """Return 1.0: this node issues the whole limit."""
@@ -230,15 +230,15 @@
         """Request a permit: this node answers at once, another node only if `may_wait`."""
         state = self._states[engine]
         issuer = self.peers.issuer(engine)
-        if issuer != self.peers.own and not may_wait:
+        if issuer != self.peers.node_id and not may_wait:
             return
         if state.holder.user:
             self.peers.permit_unanswered(engine, issuer)
         number = next(self._numbers)
         state.holder.ask(number, user, now)
         request = PermitRequest(state.limit, number, patience_s)
-        if issuer == self.peers.own:
-            self._take_response(issuer, self._respond(request, now), now)
+        if issuer == self.peers.node_id:
+            self._apply_response(issuer, self._respond(request, now), now)
         else:
             self.peers.send(issuer, request)
 
@@ -253,8 +253,8 @@
         if permit is None:
             return
         receipt = PermitReceipt(engine, permit.run, permit.issued_at, rate_per_s)
-        if permit.issuer == self.peers.own:
-            self._take_receipt(receipt, now)
+        if permit.issuer == self.peers.node_id:
+            self._apply_receipt(receipt, now)
         else:
             self.peers.send(permit.issuer, receipt)
 
@@ -279,10 +279,10 @@
             self.peers.send(node, self._respond(message, now))
         elif isinstance(message, PermitResponse):
             self.merge(message.limit, now)
-            self._take_response(node, message, now)
+            self._apply_response(node, message, now)
             self.peers.permits_changed()
         else:
-            self._take_receipt(message, now)
+            self._apply_receipt(message, now)
 
     def expire(self, in_records: Iterable[EngineAddress], now: float) -> None:
         """Drop limits of engines without a record that were not confirmed for RETENTION_S."""
@@ -333,7 +333,7 @@
         engine = request.limit.engine
         state = self._states.get(engine)
         limit = state.limit if state is not None else request.limit
-        is_issuer = self.peers.issuer(engine) == self.peers.own
+        is_issuer = self.peers.issuer(engine) == self.peers.node_id
         share = self.peers.issuing_share() if is_issuer else 0.0
         decision = self._issuer.decide(
             engine,
@@ -345,7 +345,7 @@
         )
         return PermitResponse(limit, decision)
 
-    def _take_response(self, node: str, response: PermitResponse, now: float) -> None:
+    def _apply_response(self, node: str, response: PermitResponse, now: float) -> None:
         engine = response.limit.engine
         state = self._states.get(engine)
         if state is None:
@@ -361,7 +361,7 @@
         else:
             self.peers.permit_refused(engine, user, node, response.decision.wait_s)
 
-    def _take_receipt(self, receipt: PermitReceipt, now: float) -> None:
+    def _apply_receipt(self, receipt: PermitReceipt, now: float) -> None:
         state = self._states.get(receipt.engine)
         if state is None or not state.limit.in_force:
             return
--- a/liftrill/gateway/engines/engine_selector.py
+++ b/liftrill/gateway/engines/engine_selector.py
@@ -259,8 +259,8 @@
             for other in self._engines.of_service(request.service)
             if other.engine_id != broken.engine_id and self._accepts_run(other, model, version, now)
         ]
-        here = next((c for c in candidates if c.view is view), None)
-        return self._backup(here, candidates) if here else None
+        current = next((c for c in candidates if c.view is view), None)
+        return self._backup(current, candidates) if current else None
 
     def _wants_backup(self, request: OpaqueRequest) -> bool:
         """Return whether a broken run could only continue elsewhere from a copy."""
--- a/liftrill/gateway/engines/engine_table.py
+++ b/liftrill/gateway/engines/engine_table.py
@@ -15,7 +15,11 @@
     EngineSignal,
 )
 from liftrill.gateway.engines.engine_speed import EngineSpeed
-from liftrill.gateway.engines.engine_update import EngineUpdate, SeenWeights, WithheldRecord
+from liftrill.gateway.engines.unrecorded_engine_state import (
+    SeenWeights,
+    UnrecordedEngineState,
+    WithheldRecord,
+)
 from liftrill.gateway.records import EngineRecord
 
 
@@ -300,7 +304,7 @@
         """Return the engines that reported in an answer or a record that they are leaving."""
         return [view.at for view in self if view.condition.leaving]
 
-    def unrecorded_state(self, with_all_weights: bool = False) -> EngineUpdate:
+    def unrecorded_state(self, with_all_weights: bool = False) -> UnrecordedEngineState:
         """Return what this node knows about engines beyond what their records say.
 
         With `with_all_weights`, weights that the records do contain are included.
@@ -312,9 +316,11 @@
             for model, version in view.weights.items()
             if with_all_weights or version > view.record.weights.get(model, 0)
         ]
-        return EngineUpdate(tuple(self.leaving()), tuple(withheld), tuple(weights))
+        return UnrecordedEngineState(tuple(self.leaving()), tuple(withheld), tuple(weights))
 
-    def merge_unrecorded_state(self, update: EngineUpdate, now: float) -> list[WithheldRecord]:
+    def merge_unrecorded_state(
+        self, update: UnrecordedEngineState, now: float
+    ) -> list[WithheldRecord]:
         """Merge the state known to another node; return the records withdrawn because of it.
 
         The state may concern engines whose records this node has not read yet, because a joining
--- a/liftrill/gateway/engines/placement.py
+++ b/liftrill/gateway/engines/placement.py
@@ -87,10 +87,10 @@
 
         def order(candidate: Candidate) -> tuple[float, bool, tuple[int, str]]:
             view = candidate.view
-            away = view.record.zone != zone
+            in_other_zone = view.record.zone != zone
             per_slot = (view.requests + 1) / max(1, view.record.slots)
             completion = per_slot * view.speed.answer_slowness
-            return completion, away, rendezvous.weight(key, view.engine_id)
+            return completion, in_other_zone, rendezvous.weight(key, view.engine_id)
 
         return min(candidates, key=order)
 
@@ -158,7 +158,7 @@
             self.overflow_penalty_s, self.overflow_penalty_share * request.route.target_seconds
         )
         predicts_pauses = self.speeds.predicts_pauses(request.service)
-        for place, engine_id in enumerate(rendezvous.rank(key, by_id)):
+        for position, engine_id in enumerate(rendezvous.rank(key, by_id)):
             candidate = by_id[engine_id]
             to_read = tokens_to_read(request, candidate)
             cost_s = self._read_delay_s(candidate, to_read)
@@ -170,7 +170,7 @@
                 cost_s += self._pause_cost_s(candidate, to_read)
             if homes[candidate.scope] != engine_id:
                 cost_s += self._missing_parts_cost_s(request, candidate, is_large)
-                cost_s += overflow_penalty_s if place >= preferred_count else 0.0
+                cost_s += overflow_penalty_s if position >= preferred_count else 0.0
             if candidate.outdated_s > self.outdated_grace_s:
                 cost_s += self.outdated_penalty_s
             if cost_s < lowest_cost_s:
@@ -184,7 +184,10 @@
         engines: dict[str, list[Candidate]] = {}
         for candidate in candidates:
             engines.setdefault(candidate.scope, []).append(candidate)
-        return {scope: self._home(request, those, key) for scope, those in engines.items()}
+        return {
+            scope: self._home(request, scope_candidates, key)
+            for scope, scope_candidates in engines.items()
+        }
 
     def _home(self, request: OpaqueRequest, candidates: list[Candidate], key: bytes) -> str:
         """Return the engine that reads the first unread part, or is to read it.
@@ -210,11 +213,11 @@
         """Return the time until an engine starts to read, plus its extra time if it is slow."""
         view = candidate.view
         read_s_per_token = self.speeds.read_s_per_token(view)
-        until_s = candidate.slot_wait_s + self._backlog_tokens(view) * read_s_per_token
+        start_delay_s = candidate.slot_wait_s + self._backlog_tokens(view) * read_s_per_token
         if view.speed.slowness == 1.0:
-            return until_s
-        extra_s = read_s_per_token - self.speeds.service_read_s_per_token(view.record.service)
-        return until_s + to_read * extra_s
+            return start_delay_s
+        extra_read_s = read_s_per_token - self.speeds.service_read_s_per_token(view.record.service)
+        return start_delay_s + to_read * extra_read_s
 
     def _missing_parts_cost_s(
         self, request: OpaqueRequest, candidate: Candidate, is_large: bool
--- a/liftrill/gateway/engines/shared_part_tracker.py
+++ b/liftrill/gateway/engines/shared_part_tracker.py
@@ -88,8 +88,8 @@
             return 0.0
         tokens = request.shared_tokens if choice.is_saved else prompt.prompt_tokens
         view = self._engines.get(choice.engine_id)
-        near = view is not None and view.record.zone == zones.get(store)
-        factor = 1.0 if near else CROSS_ZONE_FACTOR
+        in_same_zone = view is not None and view.record.zone == zones.get(store)
+        factor = 1.0 if in_same_zone else CROSS_ZONE_FACTOR
         return factor * tokens * self.profile(request.service).store_move_s_per_token
 
     def _is_known(self, number: int, now: float) -> bool:
--- a/liftrill/gateway/engines/engine_update.py
+++ b/liftrill/gateway/engines/unrecorded_engine_state.py
@@ -28,7 +28,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class EngineUpdate:
+class UnrecordedEngineState:
     """Engine state that a joining node cannot read from the store.
 
     Attributes:
--- a/liftrill/gateway/gateway.py
+++ b/liftrill/gateway/gateway.py
@@ -35,7 +35,7 @@
 from liftrill.gateway.engines.engine_limits import LimitMessage
 from liftrill.gateway.engines.engine_selector import EngineSelector
 from liftrill.gateway.engines.engine_table import EngineNotice, EngineTable, EngineView
-from liftrill.gateway.engines.engine_update import EngineUpdate
+from liftrill.gateway.engines.unrecorded_engine_state import UnrecordedEngineState
 from liftrill.gateway.fleet_record import FleetRecord
 from liftrill.gateway.forwarder import Forwarder, ForwardingPorts
 from liftrill.gateway.gateway_metrics import GatewayMetrics
@@ -510,7 +510,7 @@
         """Take in what an engine says of itself in an answer to this node."""
         self._gossip.hear(word)
 
-    def _on_engine_update(self, update: EngineUpdate) -> None:
+    def _on_engine_update(self, update: UnrecordedEngineState) -> None:
         self._gossip.apply_update(update)
 
     def _on_notice(self, notice: EngineNotice) -> None:
--- a/liftrill/gateway/peers/engine_gossip.py
+++ b/liftrill/gateway/peers/engine_gossip.py
@@ -19,7 +19,7 @@
     LimitPeers,
 )
 from liftrill.gateway.engines.engine_table import EngineTable
-from liftrill.gateway.engines.engine_update import EngineUpdate
+from liftrill.gateway.engines.unrecorded_engine_state import UnrecordedEngineState
 from liftrill.gateway.gateway_metrics import GatewayMetrics
 from liftrill.gateway.peers.peer_link import PeerLink
 
@@ -67,7 +67,7 @@
             self._note_leaving(word.engine, word.source)
             self._peers.tell_leaving([word.engine])
 
-    def apply_update(self, update: EngineUpdate) -> None:
+    def apply_update(self, update: UnrecordedEngineState) -> None:
         """Take in what a peer tells."""
         now = clock.now_s()
         for engine in update.leaving:
@@ -142,7 +142,7 @@
         self._issuers_among: list[Member] = []
 
     @property
-    def own(self) -> str:
+    def node_id(self) -> str:
         """The name of this node."""
         return self._membership.own.node_id
 
@@ -155,7 +155,7 @@
         if engine not in self._issuers:
             key = f"{engine.engine_id} {engine.address} {engine.number}".encode()
             nodes = (member.node_id for member in members)
-            self._issuers[engine] = first(key, nodes) or self.own
+            self._issuers[engine] = first(key, nodes) or self.node_id
         return self._issuers[engine]
 
     def issuing_share(self) -> float:
--- a/liftrill/gateway/peers/notice_codec.py
+++ b/liftrill/gateway/peers/notice_codec.py
@@ -14,7 +14,11 @@
     PermitResponse,
 )
 from liftrill.gateway.engines.engine_table import EngineNotice
-from liftrill.gateway.engines.engine_update import EngineUpdate, SeenWeights, WithheldRecord
+from liftrill.gateway.engines.unrecorded_engine_state import (
+    SeenWeights,
+    UnrecordedEngineState,
+    WithheldRecord,
+)
 from liftrill.messages import peer_pb2 as messages
 from liftrill.node.membership_codec import GossipDecodeError
 
@@ -66,7 +70,7 @@
     return [messages.Datagram(limits=cut) for cut in _cuts(rows)]
 
 
-def datagrams_from_update(update: EngineUpdate) -> list[messages.Datagram]:
+def datagrams_from_update(update: UnrecordedEngineState) -> list[messages.Datagram]:
     """Return the datagrams that tell a node that joins of engines."""
     withheld = [
         messages.WithheldRecord(engine_id=record.engine_id, revision=record.revision)
@@ -90,9 +94,9 @@
     ]
 
 
-def update_from_message(message: messages.Datagram) -> EngineUpdate:
+def update_from_message(message: messages.Datagram) -> UnrecordedEngineState:
     """Return what a datagram tells of engines; those that leave and have no number are left out."""
-    return EngineUpdate(
+    return UnrecordedEngineState(
         tuple(leaving_from_message(message)),
         tuple(WithheldRecord(row.engine_id, row.revision) for row in message.withheld),
         tuple(
--- a/liftrill/gateway/peers/peer_link.py
+++ b/liftrill/gateway/peers/peer_link.py
@@ -25,7 +25,7 @@
 from liftrill.gateway.delivery_events import EngineAddress
 from liftrill.gateway.engines.engine_limits import EngineLimit, LimitMessage
 from liftrill.gateway.engines.engine_table import EngineNotice
-from liftrill.gateway.engines.engine_update import EngineUpdate
+from liftrill.gateway.engines.unrecorded_engine_state import UnrecordedEngineState
 from liftrill.gateway.peers.load_codec import (
     ReportAssembler,
     datagrams_from_report,
@@ -77,7 +77,7 @@
     member_changed: Callable[[Member], None]
     newer_version: Callable[[int], None]
     notice: Callable[[EngineNotice], None]
-    engine_update: Callable[[EngineUpdate], None]
+    engine_update: Callable[[UnrecordedEngineState], None]
     loads: Callable[[LoadReport], None]
     speeds: Callable[[LoadReport], None]
     reading_begun: Callable[[int, int], None]
@@ -204,7 +204,7 @@
         if member is not None:
             self._send(member.address, message)
 
-    def send_update(self, update: EngineUpdate, node: str) -> None:
+    def send_update(self, update: UnrecordedEngineState, node: str) -> None:
         """Tell one member, once, what records of engines do not say."""
         for message in datagrams_from_update(update):
             self._send_to(message, node)
