--- a/features/steps/engine_limit_steps.py
+++ b/features/steps/engine_limit_steps.py
@@ -190,7 +190,7 @@
 
 
 def at(context, name):
-    return context.node.engines.get(name).at
+    return context.node.engines.get(name).identity
 
 
 def name_limit(context, name, limit, now=0.0):
--- a/features/steps/engine_send_steps.py
+++ b/features/steps/engine_send_steps.py
@@ -92,13 +92,15 @@
 
 @when("it says that it leaves while the connection comes up")
 def step_leaves(context):
-    context.known.apply_signal(EngineSignal(context.chosen.at, "peer", leaving=True), clock.now_s())
+    context.known.apply_signal(
+        EngineSignal(context.chosen.identity, "peer", leaving=True), clock.now_s()
+    )
 
 
 @when("it asks for rest while the connection comes up")
 def step_rests(context):
     context.known.apply_signal(
-        EngineSignal(context.chosen.at, "request", backoff_s=3.0), clock.now_s()
+        EngineSignal(context.chosen.identity, "request", backoff_s=3.0), clock.now_s()
     )
 
 
@@ -189,15 +191,15 @@
 @then("the node has heard a limit of {limit:g} a second")
 def step_heard_limit(context, limit):
     (word,) = context.words
-    assert word.limit_per_s == limit and word.engine == context.view.at, word
+    assert word.limit_per_s == limit and word.engine == context.view.identity, word
 
 
 @when("it names a limit while the connection comes up")
 def step_limit_meanwhile(context):
-    context.ports.limits.note_answer(context.chosen.at, 1.0, None, clock.now_s())
+    context.ports.limits.note_answer(context.chosen.identity, 1.0, None, clock.now_s())
 
 
 @then("the node has heard that it leaves")
 def step_heard(context):
     (word,) = context.words
-    assert word.leaving and word.engine == context.view.at, word
+    assert word.leaving and word.engine == context.view.identity, word
--- a/features/steps/engine_word_steps.py
+++ b/features/steps/engine_word_steps.py
@@ -35,7 +35,7 @@
 
 @when("{name} says in an answer that it leaves")
 def step_says(context, name):
-    context.engine = context.node.engines.get(name).at
+    context.engine = context.node.engines.get(name).identity
     assert say(context, context.engine, leaving=True)
 
 
@@ -90,7 +90,7 @@
 @then("no run goes on at a, nor is a copy kept there")
 def step_no_run(context):
     selector, request, now = context.node.selector, opaque_request(), clock.now_s()
-    b = context.node.engines.get("b").at
+    b = context.node.engines.get("b").identity
     broken = EngineChoice("b", b.address, 1, number=b.number, backup=context.engine)
     assert selector.continue_at_backup(request, broken, now) is None
     broken = EngineChoice("a", context.engine.address, 1, number=context.engine.number, backup=b)
@@ -117,13 +117,13 @@
 
 @when("another engine at the address of {name} says that it leaves")
 def step_other(context, name):
-    at = context.node.engines.get(name).at
+    at = context.node.engines.get(name).identity
     say(context, EngineAddress("another", at.address), leaving=True)
 
 
 @when("the record of a goes, a peer tells that it leaves, and the record is back")
 def step_peer_tells(context):
-    engine = context.node.engines.get("a").at
+    engine = context.node.engines.get("a").identity
     without_record(context, gap=False)
     assert say(context, engine, leaving=True)
     context.node.write("a", context.bodies["a"])
@@ -133,7 +133,7 @@
 def step_many(context, count):
     for number in range(1, count + 1):
         say(context, EngineAddress(f"other-{number}", "10.0.0.9:1", number), leaving=True)
-    say(context, context.node.engines.get("a").at, leaving=True)
+    say(context, context.node.engines.get("a").identity, leaving=True)
 
 
 @then("{count:d} are remembered")
@@ -152,7 +152,7 @@
 def step_one(context):
     engines = context.node.engines
     assert len(engines.conditions) == 1
-    assert engines.conditions.of(engines.get("a").at).leaving
+    assert engines.conditions.of(engines.get("a").identity).leaving
 
 
 @given("an engine whose answers have {headers}")
@@ -177,7 +177,7 @@
 
 
 def ask_for_rest(context, name, backoff_s, at_s=0.0):
-    at = context.node.engines.get(name).at
+    at = context.node.engines.get(name).identity
     context.node.engines.apply_signal(EngineSignal(at, "request", 503, backoff_s=backoff_s), at_s)
 
 
@@ -297,10 +297,10 @@
 
 @when("a says that it leaves before its load is announced, and b after it")
 def step_leaves_around_load(context):
-    say(context, context.node.engines.get("a").at, leaving=True)
+    say(context, context.node.engines.get("a").identity, leaving=True)
     announced = due_at(context, 0.1)
     assert [each.engine_id for each in announced] == ["b"], announced
-    say(context, context.node.engines.get("b").at, leaving=True)
+    say(context, context.node.engines.get("b").identity, leaving=True)
 
 
 def due_at(context, now):
--- a/features/steps/gateway_placement_steps.py
+++ b/features/steps/gateway_placement_steps.py
@@ -256,7 +256,7 @@
 @when("the engine that read the prompt has said that it leaves")
 def step_said_leaving(context):
     engines = context.selectors[0]._engines
-    engine = engines.get(context.first.engine_id).at
+    engine = engines.get(context.first.engine_id).identity
     assert engines.apply_signal(EngineSignal(engine, "request", leaving=True), 0.2)
 
 
--- a/liftrill/gateway/engines/engine_selector.py
+++ b/liftrill/gateway/engines/engine_selector.py
@@ -116,7 +116,7 @@
     ) -> EngineChoice | Unavailable | None:
         """Return the choice with a permit, NONE_READY to wait for one, or None to try others."""
         user = request.request_id
-        limited = [view.at for view in ready if self.limits.is_limited(view.at)]
+        limited = [view.identity for view in ready if self.limits.is_limited(view.identity)]
         if any(self.limits.is_pending(at, user, now) for at in limited):
             permit = self.limits.claim(choice.engine, user, now)
         else:
@@ -142,7 +142,7 @@
     def _blocked_s(self, views: list[EngineView], user: str, now: float) -> float:
         """Return the time until the first of these engines takes a request, or 0 if one does."""
         waits = (
-            max(view.condition.backoff_left_s(now), self.limits.wait_s(view.at, user, now))
+            max(view.condition.backoff_left_s(now), self.limits.wait_s(view.identity, user, now))
             for view in views
         )
         return min(waits, default=0.0)
@@ -217,8 +217,8 @@
             return None
         if view.condition.is_backing_off(now):
             return None
-        permit = self.limits.obtain(view.at, request.request_id, 0.0, False, now)
-        if permit is None and self.limits.is_limited(view.at):
+        permit = self.limits.obtain(view.identity, request.request_id, 0.0, False, now)
+        if permit is None and self.limits.is_limited(view.identity):
             return None
         return replace(
             broken,
@@ -282,7 +282,7 @@
 
         def order(candidate: Candidate) -> tuple[bool, bool, int]:
             view = candidate.view
-            return self.limits.is_limited(view.at), view.record.zone != zone, view.requests
+            return self.limits.is_limited(view.identity), view.record.zone != zone, view.requests
 
         best = min(others, key=order)
         return EngineAddress(best.view.engine_id, best.view.record.address, best.view.number)
@@ -306,7 +306,7 @@
             or not view.breaker.allows(now)
         ):
             return False
-        if self.limits.wait_s(view.at, request.request_id, now):
+        if self.limits.wait_s(view.identity, request.request_id, now):
             return False
         if request.prompt is None:
             return True
--- a/liftrill/gateway/engines/engine_table.py
+++ b/liftrill/gateway/engines/engine_table.py
@@ -126,7 +126,7 @@
         return self.record.engine_id
 
     @property
-    def at(self) -> EngineAddress:
+    def identity(self) -> EngineAddress:
         """The id, address and number of the incarnation."""
         return EngineAddress(self.engine_id, self.record.address, self.number)
 
@@ -270,13 +270,13 @@
             return view
         if view is None:
             view = self._views[record.engine_id] = EngineView(record)
-            view.condition = self.conditions.of(view.at)
+            view.condition = self.conditions.of(view.identity)
             self._by_number[view.number] = view
         view.apply_record(record)
         if record.revision <= self._withheld.pop(record.engine_id, -1):
             view.withdrawn = True
         if view.condition.leaving:
-            self.conditions.remember(view.at, view.condition, clock.now_s())
+            self.conditions.remember(view.identity, view.condition, clock.now_s())
         return view
 
     def apply_signal(self, signal: EngineSignal, now: float) -> bool:
@@ -284,7 +284,7 @@
         view = self._find_incarnation(signal.engine)
         if view is None and not signal.engine.number:
             return False
-        engine = view.at if view is not None else signal.engine
+        engine = view.identity if view is not None else signal.engine
         condition = view.condition if view is not None else self.conditions.of(engine)
         is_news = signal.leaving and not condition.leaving
         condition.leaving = condition.leaving or signal.leaving
@@ -297,12 +297,12 @@
         """Return the incarnation that an answer came from, or None if unknown."""
         view = self._find_incarnation(engine)
         if view is not None:
-            return view.at
+            return view.identity
         return engine if engine.number else None
 
     def leaving(self) -> list[EngineAddress]:
         """Return the engines that reported in an answer or a record that they are leaving."""
-        return [view.at for view in self if view.condition.leaving]
+        return [view.identity for view in self if view.condition.leaving]
 
     def unrecorded_state(self, with_all_weights: bool = False) -> UnrecordedEngineState:
         """Return what this node knows about engines beyond what their records say.
@@ -311,7 +311,7 @@
         """
         withheld = [WithheldRecord(v.engine_id, v.record.revision) for v in self if v.withdrawn]
         weights = [
-            SeenWeights(view.at, model, version)
+            SeenWeights(view.identity, model, version)
             for view in self
             for model, version in view.weights.items()
             if with_all_weights or version > view.record.weights.get(model, 0)
@@ -374,7 +374,7 @@
         view = self._views.pop(engine_id, None)
         if view is not None:
             view.gone = True
-            self.conditions.remember(view.at, view.condition, clock.now_s())
+            self.conditions.remember(view.identity, view.condition, clock.now_s())
             self._by_number.pop(view.number, None)
 
     def mark_vanished(self, engine_ids: Iterable[str], now: float) -> None:
--- a/liftrill/gateway/forwarder.py
+++ b/liftrill/gateway/forwarder.py
@@ -288,7 +288,7 @@
         now = clock.now_s()
         if not self._ports.beliefs_hold(now) or view.rejects_requests(now):
             return False
-        return self._ports.limits.may_send(view.at, choice.permit, now)
+        return self._ports.limits.may_send(view.identity, choice.permit, now)
 
     def renew_limits(self) -> None:
         """Look anew until when each attempt may begin."""
--- a/liftrill/gateway/gateway.py
+++ b/liftrill/gateway/gateway.py
@@ -714,7 +714,7 @@
             self._beliefs.expire(now)
             self._engines.conditions.expire((view.condition for view in self._engines), now)
             self.metrics.limited_engines.set(len(self._limits.in_force()))
-            self._limits.expire((view.at for view in self._engines), now)
+            self._limits.expire((view.identity for view in self._engines), now)
             self._follower.reconsider()
             self.metrics.version.set(self.view.version)
             self.metrics.engines.set(len(self._engines))
