--- a/liftrill/gateway/admission/request_queue.py
+++ b/liftrill/gateway/admission/request_queue.py
@@ -9,8 +9,8 @@
 from dataclasses import dataclass, field
 from enum import IntEnum
 
-# After this many dispatches in a row of more urgent queued requests, the next place is offered to
-# less urgent ones, so that a queue that never empties does not starve them. Requests that find
+# After this many dispatches in a row of more urgent queued requests, free capacity is offered to
+# less urgent requests, so that a queue that never empties does not starve them. Requests that find
 # capacity on arrival are not counted.
 MAX_DISPATCHES_IN_A_ROW = 8
 # Tenants whose virtual times are kept while none of their requests waits; 100 bytes each.
@@ -81,7 +81,7 @@
     """Waiting requests of one service.
 
     A woken request calls `dispatched`, `found_no_capacity` or `leave`; each returns the request to
-    wake next, if any. A freed place thus wakes one request at a time, until one takes it or all
+    wake next, if any. Freed capacity thus wakes one request at a time, until one takes it or all
     were woken.
     """
 
--- a/liftrill/gateway/engines/engine_table.py
+++ b/liftrill/gateway/engines/engine_table.py
@@ -208,8 +208,8 @@
     """
 
     # How long an engine stays in use after its record disappeared in a store outage. Writers
-    # restore their records within about two seconds. An engine that left must not be used for
-    # longer than that, and expiry runs three times a second.
+    # restore their records within about two seconds, and an engine that left must be out of use
+    # by then. Expiry runs three times a second.
     VANISHED_GRACE_SECONDS = 1.6
 
     def __init__(self) -> None:
@@ -286,12 +286,12 @@
             return False
         engine = view.identity if view is not None else signal.engine
         condition = view.condition if view is not None else self.conditions.of(engine)
-        is_news = signal.leaving and not condition.leaving
+        is_new = signal.leaving and not condition.leaving
         condition.leaving = condition.leaving or signal.leaving
         if signal.backoff_s:
             condition.begin_backoff(signal.backoff_s, now)
         self.conditions.remember(engine, condition, now)
-        return is_news
+        return is_new
 
     def incarnation(self, engine: EngineAddress) -> EngineAddress | None:
         """Return the incarnation that an answer came from, or None if unknown."""
