--- a/features/steps/engine_limit_steps.py
+++ b/features/steps/engine_limit_steps.py
@@ -14,9 +14,9 @@
 from liftrill.coordination.permits import Permit, PermitDecision, PermitHolder
 from liftrill.gateway.delivery import Unavailable
 from liftrill.gateway.delivery_events import EngineAddress, EngineChoice
-from liftrill.gateway.engines.engine_limits import EngineLimit, NoPeers
-from liftrill.gateway.engines.engine_update import EngineUpdate
+from liftrill.gateway.engines.engine_limits import EngineLimit, NoLimitPeers
 from liftrill.gateway.engines.placement import Candidate
+from liftrill.gateway.engines.unrecorded_engine_state import UnrecordedEngineState
 from liftrill.gateway.peers.notice_codec import datagrams_from_update, update_from_message
 from liftrill.node.membership_codec import GossipDecodeError, parse_message
 
@@ -173,7 +173,7 @@
 @then("it is in full use again within {seconds:g} s after that")
 def step_free(context, seconds):
     fleet, at = context.fleet, context.ends_at + seconds
-    limited = [n.own for n in fleet.nodes.values() if n.limits.is_limited(ENGINE)]
+    limited = [n.node_id for n in fleet.nodes.values() if n.limits.is_limited(ENGINE)]
     assert not limited, limited
     used = sum(sent.at >= at for sent in fleet.sent)
     assert used >= 0.9 * context.calls_per_s * (fleet.now - at), used
@@ -190,7 +190,7 @@
 
 
 def at(context, name):
-    return context.node.engines.get(name).at
+    return context.node.engines.get(name).identity
 
 
 def name_limit(context, name, limit, now=0.0):
@@ -217,7 +217,7 @@
 
 @when("a node joins that was told of a limit of {limit:g} a second by others")
 def step_joins(context, limit):
-    told = EngineUpdate(limits=(EngineLimit(at(context, "a"), limit),))
+    told = UnrecordedEngineState(limits=(EngineLimit(at(context, "a"), limit),))
     for datagram in datagrams_from_update(told):
         update = update_from_message(parse_message(datagram.SerializeToString()))
         for row in update.limits:
@@ -265,7 +265,7 @@
     assert is_end == (end == "do"), word
 
 
-class OtherIssuer(NoPeers):
+class OtherIssuer(NoLimitPeers):
     """The surroundings of a node whose peer issues all permits, and answers nothing."""
 
     def __init__(self):
@@ -310,7 +310,7 @@
         name_limit(context, name, limit)
     limits = context.node.selector.limits
     for name in ("a", "b"):
-        limits.ask(at(context, name), "user", 0.0, True, 0.0)
+        limits.request_permit(at(context, name), "user", 0.0, True, 0.0)
     context.now = 1.0 / limit
     while isinstance(choice := choose_at(context, context.now), EngineChoice):
         assert choice.permit is not None
@@ -324,7 +324,7 @@
 @then("a request is refused at once, with the time until there is a permit again")
 def step_refused_at_once(context):
     assert choose_at(context, context.now) is Unavailable.PAUSED
-    left_s = context.node.selector.room_in_s(opaque_request(), context.now)
+    left_s = context.node.selector.capacity_wait_s(opaque_request(), context.now)
     assert isinstance(choose_at(context, context.now + left_s + 0.01), EngineChoice)
     assert 0.5 / context.limit < left_s <= 1.0 / context.limit, left_s
 
@@ -375,7 +375,7 @@
     taken = []
     while len(taken) < count:
         now += 0.05
-        limits.ask(engine, "user", 0.0, False, now)
+        limits.request_permit(engine, "user", 0.0, False, now)
         permit = limits.claim(engine, "user", now)
         taken += [permit] if permit is not None else []
     return taken, now
@@ -400,7 +400,7 @@
 
 @given("a datagram of a peer that tells a limit of {rate} a second")
 def step_peer_limit(context, rate):
-    update = EngineUpdate(limits=(EngineLimit(ENGINE, float(rate)),))
+    update = UnrecordedEngineState(limits=(EngineLimit(ENGINE, float(rate)),))
     (context.datagram,) = datagrams_from_update(update)
 
 
--- a/features/steps/engine_send_steps.py
+++ b/features/steps/engine_send_steps.py
@@ -15,8 +15,8 @@
 from liftrill.gateway.admission.retry_allowance import RetryAllowance
 from liftrill.gateway.decision_log import DecisionLog
 from liftrill.gateway.delivery_events import EngineChoice, StartAttempt
+from liftrill.gateway.engines.engine_condition import EngineSignal
 from liftrill.gateway.engines.engine_selector import EngineSelector
-from liftrill.gateway.engines.engine_standing import EngineWord
 from liftrill.gateway.engines.engine_table import EngineTable, EngineView
 from liftrill.gateway.forwarder import Forwarder, ForwardingPorts
 from liftrill.gateway.gateway_metrics import GatewayMetrics
@@ -92,12 +92,16 @@
 
 @when("it says that it leaves while the connection comes up")
 def step_leaves(context):
-    context.known.hear(EngineWord(context.chosen.at, "peer", leaving=True), clock.now_s())
+    context.known.apply_signal(
+        EngineSignal(context.chosen.identity, "peer", leaving=True), clock.now_s()
+    )
 
 
 @when("it asks for rest while the connection comes up")
 def step_rests(context):
-    context.known.hear(EngineWord(context.chosen.at, "request", rest_s=3.0), clock.now_s())
+    context.known.apply_signal(
+        EngineSignal(context.chosen.identity, "request", backoff_s=3.0), clock.now_s()
+    )
 
 
 @when("its record is removed while the connection comes up")
@@ -187,15 +191,15 @@
 @then("the node has heard a limit of {limit:g} a second")
 def step_heard_limit(context, limit):
     (word,) = context.words
-    assert word.limit_per_s == limit and word.engine == context.view.at, word
+    assert word.limit_per_s == limit and word.engine == context.view.identity, word
 
 
 @when("it names a limit while the connection comes up")
 def step_limit_meanwhile(context):
-    context.ports.limits.note_answer(context.chosen.at, 1.0, None, clock.now_s())
+    context.ports.limits.note_answer(context.chosen.identity, 1.0, None, clock.now_s())
 
 
 @then("the node has heard that it leaves")
 def step_heard(context):
     (word,) = context.words
-    assert word.leaving and word.engine == context.view.at, word
+    assert word.leaving and word.engine == context.view.identity, word
--- a/liftrill/gateway/admission/quota_gate.py
+++ b/liftrill/gateway/admission/quota_gate.py
@@ -1,4 +1,4 @@
-"""Holds requests to the limits of their tenants, and tells other nodes what was spent."""
+"""Enforces the quotas of tenants and reports their spending to other nodes."""
 
 from collections.abc import Callable
 from dataclasses import dataclass, field, replace
@@ -14,18 +14,18 @@
 from liftrill.gateway.peers.load_exchange import LoadReport, LoadScope, SendReport
 from liftrill.gateway.records import Quota
 
-# A tenant counts as limited until it was refused nothing for so long: two refusals further
-# apart are told as two spells (guess).
-LIMITED_FOR_S = 2.0
-# How many tenants have figures of their own; the rest share one.
-COUNTED_TENANTS = 32
+# A limited period of a tenant ends after this time without a refusal; later refusals are logged as
+# a new period.
+LIMITED_PERIOD_GAP_S = 2.0
+# Tenants with metrics of their own; the others share the label OTHER_TENANTS.
+MAX_LABELLED_TENANTS = 32
 OTHER_TENANTS = "other"
 
-TellSpending = Callable[[SpendingNotice], None]
+SendSpending = Callable[[SpendingNotice], None]
 
 
-def units_of(quota: Quota, request: OpaqueRequest) -> float:
-    """Return what a request counts under a limit."""
+def request_units(quota: Quota, request: OpaqueRequest) -> float:
+    """Return the units that a request takes from a quota."""
     if not quota.counts_tokens:
         return 1.0
     if request.prompt is None:
@@ -35,91 +35,91 @@
 
 
 @dataclass(slots=True)
-class _Spell:
-    """A time in which a tenant was refused."""
+class _LimitedPeriod:
+    """A period in which requests of a tenant are refused."""
 
     since: float
-    last_at: float
+    last_refused_at: float
     refused: int = 0
 
 
 @dataclass(slots=True)
 class QuotaGate:
-    """The limits in force at one node.
+    """Quotas in force at one node.
 
     Attributes:
-        buckets: what is left to each tenant.
-        tell: how to tell all other nodes at once of what a tenant spends.
+        buckets: token buckets of the tenants, shared with the other nodes.
+        send_notice: sends a spending notice to all other nodes at once.
     """
 
     buckets: SharedBuckets
     log: DecisionLog
     metrics: GatewayMetrics
-    tell: TellSpending
+    send_notice: SendSpending
     _quotas: dict[str, Quota] = field(default_factory=dict)
-    _spells: dict[str, _Spell] = field(default_factory=dict)
-    _counted: set[str] = field(default_factory=set)
+    _limited_periods: dict[str, _LimitedPeriod] = field(default_factory=dict)
+    _labelled_tenants: set[str] = field(default_factory=set)
 
     def configure(self, view: ConfigurationView, now: float) -> None:
-        """Put the limits of a configuration in force."""
+        """Apply the quotas of a configuration."""
         self._quotas = view.quotas()
         self.buckets.configure({name: q.limit for name, q in self._quotas.items()}, now)
 
     def check(self, request: OpaqueRequest, now: float) -> AdmissionRefusal | None:
-        """Take what a request counts, or return why it is refused."""
+        """Take the units of a request from its tenant's quota, or return why it is refused."""
         quota = self._quotas.get(request.tenant)
         if quota is None:
             return None
-        units = units_of(quota, request)
+        units = request_units(quota, request)
         patience_s = request.max_retry_wait_s(now)
         verdict = self.buckets.try_take(request.tenant, units, now, patience_s)
         if verdict.wait_s > 0.0:
             self._note_refusal(request.tenant, verdict.left, now)
-            why = f"tenant {request.tenant} has {verdict.left:.0f} left, asked for {units:.0f}"
+            why = f"tenant {request.tenant} has {verdict.left:.0f} units left, needs {units:.0f}"
             return AdmissionRefusal(ResultCode.QUOTA_EXCEEDED, verdict.wait_s, why)
         if verdict.notice is not None:
-            self.tell(verdict.notice)
+            self.send_notice(verdict.notice)
         return None
 
-    def record_repeat(self, request: OpaqueRequest, now: float) -> None:
-        """Count a request that is sent once more: it may run twice."""
+    def record_retry(self, request: OpaqueRequest, now: float) -> None:
+        """Charge a request that is sent again, as it may run twice."""
         quota = self._quotas.get(request.tenant)
         if quota is not None:
-            self.buckets.take_unconditionally(request.tenant, units_of(quota, request), now)
+            self.buckets.take_unconditionally(request.tenant, request_units(quota, request), now)
 
     def record_not_run(self, request: OpaqueRequest, runs: int, now: float) -> None:
-        """Give back what a request had taken for some runs that were none."""
+        """Refund the units of runs that turned out not to have run."""
         quota = self._quotas.get(request.tenant)
         if quota is None:
             return
         for _ in range(runs):
-            units = units_of(quota, request)
+            units = request_units(quota, request)
             notice = self.buckets.refund(request.tenant, units, now)
             if notice is not None:
-                self.tell(notice)
+                self.send_notice(notice)
 
-    def hear(self, report: LoadReport, now: float) -> None:
-        """Take in what a node or a zone spent."""
+    def apply_report(self, report: LoadReport, now: float) -> None:
+        """Apply the spending that a node or a zone reports."""
         if report.quota is None:
             return
         node = report.node if report.scope is LoadScope.NODE else ""
         self.buckets.hear(QuotaSource(report.zone, node), report.quota, now)
 
-    def add_to(self, word: SendReport, now: float) -> SendReport:
-        """Return a word to other nodes with what was spent by whom it is of."""
-        quota = self._report(word.report, now)
-        return replace(word, report=replace(word.report, quota=quota))
+    def with_quota(self, message: SendReport, now: float) -> SendReport:
+        """Return a message to other nodes with the spending of its node or zone added."""
+        quota = self._report(message.report, now)
+        return replace(message, report=replace(message.report, quota=quota))
 
     def expire(self, now: float) -> None:
-        """Tell of the tenants that are refused nothing any more."""
-        for tenant, spell in list(self._spells.items()):
-            if now - spell.last_at > LIMITED_FOR_S:
-                del self._spells[tenant]
-                lasted_s = round(spell.last_at - spell.since, 2)
+        """End and log the limited periods of tenants without recent refusals."""
+        for tenant, period in list(self._limited_periods.items()):
+            if now - period.last_refused_at > LIMITED_PERIOD_GAP_S:
+                del self._limited_periods[tenant]
+                lasted_s = round(period.last_refused_at - period.since, 2)
                 self.log.state_changed(
-                    "quota_free", tenant=tenant, lasted_s=lasted_s, refused=spell.refused
+                    "quota_free", tenant=tenant, lasted_s=lasted_s, refused=period.refused
                 )
-        self.metrics.limited_tenants.set(len(self._spells))
+        self.metrics.limited_tenants.set(len(self._limited_periods))
 
     def _report(self, report: LoadReport, now: float) -> QuotaReport:
         if report.scope is LoadScope.NODE:
@@ -127,9 +127,9 @@
         return self.buckets.zone_report(report.zone, now)
 
     def _note_refusal(self, tenant: str, left: float, now: float) -> None:
-        spell = self._spells.get(tenant)
-        if spell is None:
-            spell = self._spells[tenant] = _Spell(now, now)
+        period = self._limited_periods.get(tenant)
+        if period is None:
+            period = self._limited_periods[tenant] = _LimitedPeriod(now, now)
             limit = self._quotas[tenant].limit
             self.log.state_changed(
                 "quota_limited",
@@ -140,12 +140,15 @@
                 nodes=self.buckets.fleet.nodes,
                 nodes_heard=self.buckets.reporting_nodes(),
             )
-        spell.last_at = now
-        spell.refused += 1
+        period.last_refused_at = now
+        period.refused += 1
         self.metrics.quota_refusals.labels(self._label(tenant)).inc()
 
     def _label(self, tenant: str) -> str:
-        if tenant not in self._counted and len(self._counted) >= COUNTED_TENANTS:
+        if (
+            tenant not in self._labelled_tenants
+            and len(self._labelled_tenants) >= MAX_LABELLED_TENANTS
+        ):
             return OTHER_TENANTS
-        self._counted.add(tenant)
+        self._labelled_tenants.add(tenant)
         return tenant
--- a/liftrill/gateway/decision_log.py
+++ b/liftrill/gateway/decision_log.py
@@ -14,7 +14,7 @@
 from liftrill.coordination.token_bucket import TokenBucket
 from liftrill.gateway import delivery_events as events
 from liftrill.gateway.delivery import AttemptTimes, DeliveryMachine
-from liftrill.gateway.engines.engine_standing import EngineWord
+from liftrill.gateway.engines.engine_condition import EngineSignal
 from liftrill.gateway.opaque_request import OpaqueRequest
 
 MESSAGE_PREFIX = "liftrill:"
@@ -95,7 +95,7 @@
         """Log that an answer of the store names an earlier era than the known one, or none."""
         self._write_failure("store_era_refused", era=era, told=raw_era[:20])
 
-    def engine_backoff_requested(self, signal: EngineWord) -> None:
+    def engine_backoff_requested(self, signal: EngineSignal) -> None:
         """Log that an engine asked this node to back off."""
         self._write_failure(
             "engine_rests",
@@ -103,7 +103,7 @@
             address=signal.engine.address,
             source=signal.source,
             status=signal.status,
-            rest_s=signal.rest_s,
+            rest_s=signal.backoff_s,
         )
 
     def permit_refused(
@@ -122,7 +122,7 @@
         """Log that the node that issues an engine's permits did not answer in time."""
         self._write_failure("permit_unanswered", engine=engine.engine_id, issuer=issuer)
 
-    def engine_limit_named(self, signal: EngineWord) -> None:
+    def engine_limit_named(self, signal: EngineSignal) -> None:
         """Log that an answer of an engine names a rate limit."""
         self._write_failure(
             "engine_limit_named",
--- a/liftrill/gateway/delivery_driver.py
+++ b/liftrill/gateway/delivery_driver.py
@@ -7,8 +7,8 @@
 
 from liftrill import clock
 from liftrill.gateway import delivery_events as events
-from liftrill.gateway.admission.engine_lines import EngineLines
-from liftrill.gateway.admission.line import Place
+from liftrill.gateway.admission.request_queue import QueueEntry
+from liftrill.gateway.admission.service_queues import ServiceQueues
 from liftrill.gateway.decision_log import DecisionLog
 from liftrill.gateway.delivery import (
     FIRST_SERVER_ERROR,
@@ -38,14 +38,14 @@
     """
 
     def __init__(self, log: DecisionLog, metrics: GatewayMetrics) -> None:
-        self.queues = EngineLines()
+        self.queues = ServiceQueues()
         self.log = log
         self.metrics = metrics
 
     @abstractmethod
     def new_queue_entry(
         self, request: OpaqueRequest, until: float, for_capacity: bool
-    ) -> Place | None:
+    ) -> QueueEntry | None:
         """Return the queue entry of a waiting request, or None if waiting cannot help."""
 
     @abstractmethod
@@ -154,7 +154,7 @@
         if self._view is not None:
             self._view.own_load.add(self._load, -1)
             self._view = None
-            self._owner.queues.came_free(self._machine.request.service)
+            self._owner.queues.capacity_freed(self._machine.request.service)
 
     def record_caller_gone(self) -> None:
         """Record that the caller closed its connection, unless the request had ended before."""
@@ -255,7 +255,7 @@
             self._view.own_load.add(self._load)
             self._queued_prefill_tokens = self._view.waiting_tokens
             self._requests_at_engine = self._view.requests
-        self._owner.queues.took(machine.request)
+        self._owner.queues.dispatched(machine.request)
         return await self._record_events(await self._read_before_overdue(self._attempt.open()))
 
     async def _wait_for_engine(self, for_capacity: bool) -> events.DeliveryEvent:
--- a/liftrill/gateway/engines/engine_end_check.py
+++ b/liftrill/gateway/engines/engine_end_check.py
@@ -1,4 +1,4 @@
-"""Asks whether engines have ended whose connections broke."""
+"""Checks whether an engine's process has ended after a connection to it broke."""
 
 import asyncio
 from collections.abc import Callable
@@ -7,13 +7,13 @@
 from liftrill.gateway.engines.engine_table import EngineView
 from liftrill.gateway.transport import EngineTransport
 
-# How long what follows a broken attempt waits for the answer: a port in use or free answers
-# within a round trip, and a machine that says nothing tells nothing.
-LONGEST_WAIT_S = 0.1
+# Bound of the delay before the next step after a broken attempt. A machine that is up answers for
+# an open or closed port within a round trip; no answer proves nothing.
+MAX_WAIT_S = 0.1
 
 
 class EngineEndCheck:
-    """One question at a time for each engine."""
+    """Runs at most one check at a time for each engine."""
 
     def __init__(
         self, transport: EngineTransport, on_ended: Callable[[EngineView, float], None]
@@ -22,15 +22,15 @@
         self._on_ended = on_ended
         self._running: dict[int, asyncio.Task[None]] = {}
 
-    async def ask(self, view: EngineView) -> None:
-        """Find out whether an engine has ended; return without an answer if it takes long."""
+    async def check(self, view: EngineView) -> None:
+        """Check whether an engine has ended, waiting at most MAX_WAIT_S for the result."""
         task = self._running.get(view.number)
         if task is None:
-            task = asyncio.ensure_future(self._ask(view))
+            task = asyncio.ensure_future(self._check(view))
             self._running[view.number] = task
             task.add_done_callback(lambda _: self._running.pop(view.number, None))
-        await asyncio.wait({task}, timeout=LONGEST_WAIT_S)
+        await asyncio.wait({task}, timeout=MAX_WAIT_S)
 
-    async def _ask(self, view: EngineView) -> None:
+    async def _check(self, view: EngineView) -> None:
         if await self._transport.has_ended(view.record.address):
             self._on_ended(view, clock.now_s())
--- a/liftrill/gateway/engines/engine_limits.py
+++ b/liftrill/gateway/engines/engine_limits.py
@@ -1,7 +1,7 @@
-"""Keeps, with all other nodes, to the limits that engines name, sans-IO.
+"""Enforces the request rate limits that engines impose, across all nodes; performs no I/O.
 
-An engine that names a limit gets a request for each permit that one node, its issuer, gives.
-The limit holds for one incarnation, whatever becomes of its record.
+Every request to a limited engine needs a permit from one node, the issuer of that engine. A limit
+applies to one incarnation, independent of its record.
 """
 
 import itertools
@@ -13,22 +13,22 @@
 from liftrill.coordination.permits import Permit, PermitDecision, PermitHolder, PermitIssuer
 from liftrill.gateway.delivery_events import EngineAddress
 
-# As for what else engines said: see engine_standing.
-REMEMBERED_S = 600.0
-MOST_REMEMBERED = 4_096
-EXPIRED_EACH_S = 10.0
-# The numbers of a node's requests begin anywhere below, so that those of two runs differ.
-FIRST_REQUESTS = 1 << 32
+# Same values and reasons as in engine_condition.
+RETENTION_S = 600.0
+MAX_ENTRIES = 4_096
+EXPIRY_INTERVAL_S = 10.0
+# Request numbers start at a random value below, so that two runs of a node use different ones.
+FIRST_REQUEST_NUMBERS = 1 << 32
 
 
 @dataclass(frozen=True, slots=True)
 class EngineLimit:
-    """How many requests a second an engine takes from all nodes together.
+    """Request rate that an engine accepts from all nodes together.
 
     Attributes:
-        rate_per_s: as the engine named it last.
-        serial: rises each time that the limit begins or ends.
-        in_force: whether it holds; False once the engine names it no more.
+        rate_per_s: the rate that the engine stated last.
+        serial: incremented each time the limit begins or ends.
+        in_force: whether the limit applies; False once the engine stops stating it.
     """
 
     engine: EngineAddress
@@ -42,9 +42,9 @@
     """Asks an issuer for one permit.
 
     Attributes:
-        limit: as the asking node knows it.
-        number: of the request.
-        patience_s: within which the permit is of use.
+        limit: the limit as known to the requesting node.
+        number: the number of the request.
+        patience_s: how long the requesting node waits for the permit.
     """
 
     limit: EngineLimit
@@ -54,7 +54,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PermitResponse:
-    """Answers a request, with the limit as the issuer knows it."""
+    """Answer to a permit request, with the limit as known to the issuer."""
 
     limit: EngineLimit
     decision: PermitDecision
@@ -62,10 +62,10 @@
 
 @dataclass(frozen=True, slots=True)
 class PermitReceipt:
-    """Tells an issuer what the engine said in its answer to a request with a permit.
+    """Reports to an issuer the limit in an engine's answer to a request with a permit.
 
     Attributes:
-        rate_per_s: the limit that the answer named, or None.
+        rate_per_s: the limit that the answer stated, or None.
     """
 
     engine: EngineAddress
@@ -78,20 +78,20 @@
 
 
 class LimitPeers(ABC):
-    """What the limits of a node ask of its peers, and whom they tell."""
+    """Access of the limits to peers, logs and waiting requests."""
 
     @property
     @abstractmethod
-    def own(self) -> str:
-        """The name of this node."""
+    def node_id(self) -> str:
+        """The id of this node."""
 
     @abstractmethod
     def issuer(self, engine: EngineAddress) -> str:
-        """Return the node that issues permits for an engine."""
+        """Return the id of the node that issues permits for an engine."""
 
     @abstractmethod
     def issuing_share(self) -> float:
-        """Return the share of a limit that this node may issue, 0 where it may not issue yet."""
+        """Return the share of a limit that this node may issue; 0 before it may issue any."""
 
     @abstractmethod
     def send(self, node: str, message: LimitMessage) -> None:
@@ -99,62 +99,62 @@
 
     @abstractmethod
     def broadcast(self, limit: EngineLimit) -> None:
-        """Tell all nodes of a limit that begins or ends."""
+        """Send a limit that begins or ends to all nodes."""
 
     @abstractmethod
     def limit_changed(self, limit: EngineLimit, source: str) -> None:
-        """Note that a limit began, changed or ended, as an answer or a peer told."""
+        """Record that a limit began, changed or ended; `source` says how it became known."""
 
     @abstractmethod
     def permit_granted(self) -> None:
-        """Note that this node got a permit."""
+        """Record that this node received a permit."""
 
     @abstractmethod
     def permit_refused(self, engine: EngineAddress, user: str, issuer: str, wait_s: float) -> None:
-        """Note that a request got no permit."""
+        """Record that a request was refused a permit."""
 
     @abstractmethod
     def permit_unanswered(self, engine: EngineAddress, issuer: str) -> None:
-        """Note that an issuer did not respond to the last request in time."""
+        """Record that an issuer did not answer the last permit request in time."""
 
     @abstractmethod
     def permits_changed(self) -> None:
-        """Note that requests which wait may find a permit, or none."""
+        """Wake waiting requests: a permit may have become available or been refused."""
 
 
-class NoPeers(LimitPeers):
-    """The surroundings of a node without peers."""
+class NoLimitPeers(LimitPeers):
+    """Peers of a node that runs alone: this node issues all permits."""
 
-    own = "node"
+    node_id = "node"
 
     def issuer(self, engine: EngineAddress) -> str:
-        """Return this node."""
-        return self.own
+        """Return the id of this node."""
+        return self.node_id
 
     def issuing_share(self) -> float:
-        """Return all of it."""
+        """Return 1.0: this node issues the whole limit."""
         return 1.0
 
     def send(self, node: str, message: LimitMessage) -> None:
-        """Send nothing."""
+        """Send nothing; there are no peers."""
 
     def broadcast(self, limit: EngineLimit) -> None:
-        """Tell nobody."""
+        """Send nothing; there are no peers."""
 
     def limit_changed(self, limit: EngineLimit, source: str) -> None:
-        """Note nothing."""
+        """Record nothing."""
 
     def permit_granted(self) -> None:
-        """Note nothing."""
+        """Record nothing."""
 
     def permit_refused(self, engine: EngineAddress, user: str, issuer: str, wait_s: float) -> None:
-        """Note nothing."""
+        """Record nothing."""
 
     def permit_unanswered(self, engine: EngineAddress, issuer: str) -> None:
-        """Note nothing."""
+        """Record nothing."""
 
     def permits_changed(self) -> None:
-        """Note nothing."""
+        """Wake nothing."""
 
 
 @dataclass(slots=True)
@@ -165,30 +165,30 @@
 
 
 class EngineLimits:
-    """The limits of engines as one node knows them, its permits, and those that it issues.
+    """Limits of engines known to one node, its own permits, and the permits that it issues.
 
     Attributes:
-        peers: set before the node starts, where it has any.
+        peers: set before the node starts, if it has peers.
     """
 
     def __init__(self) -> None:
-        self.peers: LimitPeers = NoPeers()
-        self._known: dict[EngineAddress, _LimitState] = {}
+        self.peers: LimitPeers = NoLimitPeers()
+        self._states: dict[EngineAddress, _LimitState] = {}
         self._issuer = PermitIssuer()
-        self._numbers = itertools.count(random.randrange(FIRST_REQUESTS))
+        self._numbers = itertools.count(random.randrange(FIRST_REQUEST_NUMBERS))
         self._expired_at = 0.0
 
     def in_force(self) -> tuple[EngineLimit, ...]:
-        """Return the limits that hold."""
-        return tuple(known.limit for known in self._known.values() if known.limit.in_force)
+        """Return the limits that currently apply."""
+        return tuple(state.limit for state in self._states.values() if state.limit.in_force)
 
     def is_limited(self, engine: EngineAddress) -> bool:
-        """Return whether an engine gets requests with permits only."""
-        known = self._known.get(engine)
-        return known is not None and known.limit.in_force
+        """Return whether requests to an engine need a permit."""
+        state = self._states.get(engine)
+        return state is not None and state.limit.in_force
 
     def may_send(self, engine: EngineAddress, permit: Permit | None, now: float) -> bool:
-        """Return whether a request that was given a permit, or none, may be sent now."""
+        """Return whether a request with this permit, or with none, may be sent now."""
         if not self.is_limited(engine):
             return True
         return permit is not None and now <= permit.usable_until
@@ -196,144 +196,144 @@
     # Permits of this node
 
     def wait_s(self, engine: EngineAddress, user: str, now: float) -> float:
-        """Return in how long a request may get a permit for an engine, or 0 if it may now."""
-        if not self._known or not self.is_limited(engine):
+        """Return the time until a request may get a permit for an engine, or 0 if it may now."""
+        if not self._states or not self.is_limited(engine):
             return 0.0
-        holder = self._known[engine].holder
+        holder = self._states[engine].holder
         if holder.has_permit(now) or holder.is_pending(user, now):
             return 0.0
         return holder.wait_s(now)
 
     def is_pending(self, engine: EngineAddress, user: str, now: float) -> bool:
-        """Return whether a request waits for a permit that was asked for."""
-        known = self._known.get(engine)
-        return known is not None and known.holder.is_pending(user, now)
+        """Return whether a permit requested for this request is still pending."""
+        state = self._states.get(engine)
+        return state is not None and state.holder.is_pending(user, now)
 
     def claim(self, engine: EngineAddress, user: str, now: float) -> Permit | None:
-        """Take a permit that this node holds."""
-        known = self._known.get(engine)
-        return known.holder.claim(user, now) if known is not None else None
+        """Take a permit that this node already holds, or return None."""
+        state = self._states.get(engine)
+        return state.holder.claim(user, now) if state is not None else None
 
     def obtain(
         self, engine: EngineAddress, user: str, patience_s: float, may_wait: bool, now: float
     ) -> Permit | None:
-        """Take a permit, and ask for one where there is none yet."""
+        """Take a permit, requesting one if this node holds none."""
         permit = self.claim(engine, user, now)
         if permit is not None or not self.is_limited(engine):
             return permit
-        self.ask(engine, user, patience_s, may_wait, now)
+        self.request_permit(engine, user, patience_s, may_wait, now)
         return self.claim(engine, user, now)
 
-    def ask(
+    def request_permit(
         self, engine: EngineAddress, user: str, patience_s: float, may_wait: bool, now: float
     ) -> None:
-        """Ask for a permit; this node itself answers at once, another only who may wait."""
-        known = self._known[engine]
+        """Request a permit: this node answers at once, another node only if `may_wait`."""
+        state = self._states[engine]
         issuer = self.peers.issuer(engine)
-        if issuer != self.peers.own and not may_wait:
+        if issuer != self.peers.node_id and not may_wait:
             return
-        if known.holder.user:
+        if state.holder.user:
             self.peers.permit_unanswered(engine, issuer)
         number = next(self._numbers)
-        known.holder.ask(number, user, now)
-        request = PermitRequest(known.limit, number, patience_s)
-        if issuer == self.peers.own:
-            self._take_response(issuer, self._respond(request, now), now)
+        state.holder.ask(number, user, now)
+        request = PermitRequest(state.limit, number, patience_s)
+        if issuer == self.peers.node_id:
+            self._apply_response(issuer, self._respond(request, now), now)
         else:
             self.peers.send(issuer, request)
 
-    # What is heard of limits
+    # Limits reported by engines and peers
 
     def note_answer(
         self, engine: EngineAddress, rate_per_s: float | None, permit: Permit | None, now: float
     ) -> None:
-        """Take in the limit that an answer to this node named, or None."""
+        """Apply the limit stated in an answer to this node, or its absence."""
         if rate_per_s is not None:
-            self._note_named(engine, rate_per_s, now)
+            self._apply_named_limit(engine, rate_per_s, now)
         if permit is None:
             return
         receipt = PermitReceipt(engine, permit.run, permit.issued_at, rate_per_s)
-        if permit.issuer == self.peers.own:
-            self._take_receipt(receipt, now)
+        if permit.issuer == self.peers.node_id:
+            self._apply_receipt(receipt, now)
         else:
             self.peers.send(permit.issuer, receipt)
 
     def merge(self, limit: EngineLimit, now: float) -> None:
-        """Take in what a peer knows of a limit."""
-        known = self._known.get(limit.engine)
-        if known is None:
+        """Merge a limit known to a peer; the higher serial wins."""
+        state = self._states.get(limit.engine)
+        if state is None:
             if limit.in_force:
-                self._note(limit, "peer", now)
+                self._set_limit(limit, "peer", now)
             return
-        known.updated_at = now
-        is_newer = limit.serial > known.limit.serial
-        if is_newer and (limit.in_force or known.limit.in_force):
-            self._note(limit, "peer", now)
+        state.updated_at = now
+        is_newer = limit.serial > state.limit.serial
+        if is_newer and (limit.in_force or state.limit.in_force):
+            self._set_limit(limit, "peer", now)
         elif is_newer:
-            known.limit = limit
+            state.limit = limit
 
-    def take(self, node: str, message: LimitMessage, now: float) -> None:
-        """Take in a message from another node."""
+    def receive(self, node: str, message: LimitMessage, now: float) -> None:
+        """Handle a message from another node."""
         if isinstance(message, PermitRequest):
             self.merge(message.limit, now)
             self.peers.send(node, self._respond(message, now))
         elif isinstance(message, PermitResponse):
             self.merge(message.limit, now)
-            self._take_response(node, message, now)
+            self._apply_response(node, message, now)
             self.peers.permits_changed()
         else:
-            self._take_receipt(message, now)
+            self._apply_receipt(message, now)
 
     def expire(self, in_records: Iterable[EngineAddress], now: float) -> None:
-        """Forget the limits of engines that are in no record and were not heard of for long."""
-        if not self._known or now - self._expired_at < EXPIRED_EACH_S:
+        """Drop limits of engines without a record that were not confirmed for RETENTION_S."""
+        if not self._states or now - self._expired_at < EXPIRY_INTERVAL_S:
             return
         self._expired_at = now
         for engine in in_records:
-            known = self._known.get(engine)
-            if known is not None and known.limit.in_force:
-                known.updated_at = now
-        for engine, known in list(self._known.items()):
-            if now - known.updated_at > REMEMBERED_S:
+            state = self._states.get(engine)
+            if state is not None and state.limit.in_force:
+                state.updated_at = now
+        for engine, state in list(self._states.items()):
+            if now - state.updated_at > RETENTION_S:
                 self._forget(engine)
 
-    def _note_named(self, engine: EngineAddress, rate_per_s: float, now: float) -> None:
-        known = self._known.get(engine)
-        if known is not None and known.limit.in_force:
-            known.updated_at = now
-            if known.limit.rate_per_s != rate_per_s:
-                self._note(replace(known.limit, rate_per_s=rate_per_s), "answer", now)
+    def _apply_named_limit(self, engine: EngineAddress, rate_per_s: float, now: float) -> None:
+        state = self._states.get(engine)
+        if state is not None and state.limit.in_force:
+            state.updated_at = now
+            if state.limit.rate_per_s != rate_per_s:
+                self._set_limit(replace(state.limit, rate_per_s=rate_per_s), "answer", now)
             return
-        serial = known.limit.serial + 1 if known is not None else 1
+        serial = state.limit.serial + 1 if state is not None else 1
         limit = EngineLimit(engine, rate_per_s, serial)
-        self._note(limit, "answer", now)
+        self._set_limit(limit, "answer", now)
         self.peers.broadcast(limit)
 
-    def _note(self, limit: EngineLimit, source: str, now: float) -> None:
-        known = self._known.get(limit.engine)
-        if known is None:
-            self._known[limit.engine] = _LimitState(limit, now)
-            if len(self._known) > MOST_REMEMBERED:
-                self._forget(min(self._known, key=lambda engine: self._known[engine].updated_at))
+    def _set_limit(self, limit: EngineLimit, source: str, now: float) -> None:
+        state = self._states.get(limit.engine)
+        if state is None:
+            self._states[limit.engine] = _LimitState(limit, now)
+            if len(self._states) > MAX_ENTRIES:
+                self._forget(min(self._states, key=lambda engine: self._states[engine].updated_at))
         else:
-            known.limit, known.updated_at = limit, now
+            state.limit, state.updated_at = limit, now
         if not limit.in_force:
             self._issuer.stop(limit.engine)
         self.peers.limit_changed(limit, source)
         self.peers.permits_changed()
 
     def _forget(self, engine: EngineAddress) -> None:
-        del self._known[engine]
+        del self._states[engine]
         self._issuer.stop(engine)
 
     # Permits that this node issues
 
     def _respond(self, request: PermitRequest, now: float) -> PermitResponse:
-        """Answer a request as the issuer, where this node is the one."""
+        """Decide on a permit request; a node that is not the issuer has a share of 0."""
         engine = request.limit.engine
-        known = self._known.get(engine)
-        limit = known.limit if known is not None else request.limit
-        is_issuer = self.peers.issuer(engine) == self.peers.own
+        state = self._states.get(engine)
+        limit = state.limit if state is not None else request.limit
+        is_issuer = self.peers.issuer(engine) == self.peers.node_id
         share = self.peers.issuing_share() if is_issuer else 0.0
         decision = self._issuer.decide(
             engine,
@@ -345,33 +345,33 @@
         )
         return PermitResponse(limit, decision)
 
-    def _take_response(self, node: str, response: PermitResponse, now: float) -> None:
+    def _apply_response(self, node: str, response: PermitResponse, now: float) -> None:
         engine = response.limit.engine
-        known = self._known.get(engine)
-        if known is None:
+        state = self._states.get(engine)
+        if state is None:
             return
-        if response.limit.serial == known.limit.serial:
-            # The issuer receives each number that the engine names.
-            known.limit = response.limit
-        user = known.holder.user
-        if not known.holder.decided(response.decision, node, now):
+        if response.limit.serial == state.limit.serial:
+            # The issuer receives every rate that the engine states, so its rate is the newest.
+            state.limit = response.limit
+        user = state.holder.user
+        if not state.holder.decided(response.decision, node, now):
             return
         if response.decision.granted:
             self.peers.permit_granted()
         else:
             self.peers.permit_refused(engine, user, node, response.decision.wait_s)
 
-    def _take_receipt(self, receipt: PermitReceipt, now: float) -> None:
-        known = self._known.get(receipt.engine)
-        if known is None or not known.limit.in_force:
+    def _apply_receipt(self, receipt: PermitReceipt, now: float) -> None:
+        state = self._states.get(receipt.engine)
+        if state is None or not state.limit.in_force:
             return
         if receipt.rate_per_s is not None:
-            known.updated_at = now
-            known.limit = replace(known.limit, rate_per_s=receipt.rate_per_s)
+            state.updated_at = now
+            state.limit = replace(state.limit, rate_per_s=receipt.rate_per_s)
         ended = self._issuer.record_receipt(
             receipt.engine, receipt.run, receipt.issued_at, receipt.rate_per_s is not None, now
         )
         if ended:
-            limit = replace(known.limit, serial=known.limit.serial + 1, in_force=False)
-            self._note(limit, "permits", now)
+            limit = replace(state.limit, serial=state.limit.serial + 1, in_force=False)
+            self._set_limit(limit, "permits", now)
             self.peers.broadcast(limit)
--- a/liftrill/gateway/engines/engine_selector.py
+++ b/liftrill/gateway/engines/engine_selector.py
@@ -1,4 +1,4 @@
-"""Applies what must hold for an engine, then lets the policy choose."""
+"""Filters the engines that may serve a request and lets a placement policy choose among them."""
 
 import math
 from collections.abc import Callable
@@ -6,13 +6,12 @@
 
 from liftrill import constants
 from liftrill.coordination.permits import DECISION_TIMEOUT_S
+from liftrill.gateway.admission.capacity_filter import CapacityFilter
 from liftrill.gateway.admission.overload import OverloadGuard
-from liftrill.gateway.admission.room import EngineRoom
 from liftrill.gateway.delivery import Unavailable
 from liftrill.gateway.delivery_events import EngineAddress, EngineChoice
 from liftrill.gateway.engines.engine_limits import EngineLimits
 from liftrill.gateway.engines.engine_table import EngineTable, EngineView
-from liftrill.gateway.engines.part_keeping import BETWEEN_ZONES, PartKeeping
 from liftrill.gateway.engines.placement import (
     Candidate,
     LeastLoaded,
@@ -20,32 +19,33 @@
     PromptCost,
     cache_salt,
 )
+from liftrill.gateway.engines.shared_part_tracker import CROSS_ZONE_FACTOR, SharedPartTracker
 from liftrill.gateway.engines.shared_parts import SharedParts, find_shared_parts
 from liftrill.gateway.engines.slot_times import SlotTimes
-from liftrill.gateway.engines.speed_board import SpeedBoard
+from liftrill.gateway.engines.speed_estimator import SpeedEstimator
 from liftrill.gateway.opaque_request import OpaqueRequest, PromptShape
 from liftrill.gateway.weight_targets import WeightTargets
 
 
 @dataclass(frozen=True, slots=True)
 class _Scope:
-    """What a prompt finds at all engines of one weight version."""
+    """Cache state of a prompt at all engines of one weight version."""
 
     salt: str
     shared: SharedParts
-    replaced_s: float
+    outdated_s: float
 
 
 class EngineSelector:
     """Chooses engines for requests.
 
     Attributes:
-        parts: where the shared parts of prompts are kept.
-        speeds: how fast engines work.
-        slot_times: for how long requests hold their engines' slots.
-        guard: which waits at engines requests are sent into.
-        room: which engines have room for a request.
-        limits: which engines get requests with permits only, and the permits.
+        parts: locations of the shared parts of prompts.
+        speeds: estimated engine speeds.
+        slot_times: observed times that requests hold engine slots.
+        guard: bounds the wait at an engine that a request may be sent into.
+        capacity_filter: selects the engines that have capacity for a request.
+        limits: rate limits of engines and their permits.
     """
 
     def __init__(
@@ -56,8 +56,8 @@
         prompt_policy: PlacementPolicy | None = None,
         plain_policy: PlacementPolicy | None = None,
     ) -> None:
-        self.parts = PartKeeping(engines)
-        self.speeds = SpeedBoard(engines)
+        self.parts = SharedPartTracker(engines)
+        self.speeds = SpeedEstimator(engines)
         self.slot_times = SlotTimes()
         self._engines = engines
         self._targets = targets
@@ -65,7 +65,7 @@
         self._prompt_policy = prompt_policy or PromptCost(self.speeds, services=self.parts.services)
         self._plain_policy = plain_policy or LeastLoaded(lambda: self.parts.nodes)
         self.guard = OverloadGuard()
-        self.room = EngineRoom()
+        self.capacity_filter = CapacityFilter()
         self.limits = EngineLimits()
 
     def choose(
@@ -73,31 +73,31 @@
         request: OpaqueRequest,
         excluded: frozenset[str],
         now: float,
-        quietest: bool = False,
+        least_loaded: bool = False,
     ) -> EngineChoice | Unavailable:
-        """Return an engine, one with the fewest requests if asked to, or why there is none."""
-        able = [v for v in self._engines.of_service(request.service) if not v.leaving]
-        left = [view for view in able if view.engine_id not in excluded]
-        if able and not left:
+        """Return an engine, on request one with the fewest requests, or why there is none."""
+        serving = [v for v in self._engines.of_service(request.service) if not v.leaving]
+        untried = [view for view in serving if view.engine_id not in excluded]
+        if serving and not untried:
             return Unavailable.NONE_LEFT
-        floor = self._version_floor(able, request)
-        ready = [view for view in left if self._is_ready(view, request, floor, now)]
-        # One that an engine turned away has waited already.
+        floor = self._version_floor(serving, request)
+        ready = [view for view in untried if self._is_ready(view, request, floor, now)]
+        # A request that was already tried at an engine does not wait for a permit again.
         may_wait = not excluded and now + DECISION_TIMEOUT_S < request.wait_deadline
         while ready:
-            choice = self._choose_ready(request, ready, now, quietest)
+            choice = self._choose_ready(request, ready, now, least_loaded)
             if isinstance(choice, Unavailable) or not self.limits.is_limited(choice.engine):
                 return choice
             permitted = self._with_permit(choice, request, ready, may_wait, now)
             if permitted is not None:
                 return permitted
             ready = [view for view in ready if view.engine_id != choice.engine_id]
-        return self._none_ready(request, left, now)
+        return self._unavailable_reason(request, untried, now)
 
     def _choose_ready(
-        self, request: OpaqueRequest, ready: list[EngineView], now: float, quietest: bool
+        self, request: OpaqueRequest, ready: list[EngineView], now: float, least_loaded: bool
     ) -> EngineChoice | Unavailable:
-        if quietest:
+        if least_loaded:
             fewest = min(view.requests for view in ready)
             ready = [view for view in ready if view.requests == fewest]
         if request.prompt is None:
@@ -114,13 +114,13 @@
         may_wait: bool,
         now: float,
     ) -> EngineChoice | Unavailable | None:
-        """Return a limited engine with a permit, or whether to wait for one; None for neither."""
+        """Return the choice with a permit, NONE_READY to wait for one, or None to try others."""
         user = request.request_id
-        limited = [view.at for view in ready if self.limits.is_limited(view.at)]
+        limited = [view.identity for view in ready if self.limits.is_limited(view.identity)]
         if any(self.limits.is_pending(at, user, now) for at in limited):
             permit = self.limits.claim(choice.engine, user, now)
         else:
-            # Other engines serve it sooner than a permit that has to be waited for.
+            # While unlimited engines are ready, a request does not wait for a permit.
             waits = may_wait and len(limited) == len(ready)
             patience_s = max(0.0, request.wait_deadline - now) if waits else 0.0
             permit = self.limits.obtain(choice.engine, user, patience_s, may_wait, now)
@@ -129,20 +129,20 @@
         is_pending = any(self.limits.is_pending(at, user, now) for at in limited)
         return Unavailable.NONE_READY if may_wait and is_pending else None
 
-    def _none_ready(
-        self, request: OpaqueRequest, left: list[EngineView], now: float
+    def _unavailable_reason(
+        self, request: OpaqueRequest, untried: list[EngineView], now: float
     ) -> Unavailable:
-        """Return whether waiting may help: not where all take nothing for longer than that."""
-        blocked_s = self._blocked_s(left, request.request_id, now)
+        """Return NONE_READY, or RESTING if all engines stay blocked longer than it waits."""
+        blocked_s = self._blocked_s(untried, request.request_id, now)
         if not blocked_s:
             return Unavailable.NONE_READY
-        is_in_vain = now + blocked_s > request.wait_deadline
-        return Unavailable.PAUSED if is_in_vain else Unavailable.NONE_READY
+        outlasts_request = now + blocked_s > request.wait_deadline
+        return Unavailable.PAUSED if outlasts_request else Unavailable.NONE_READY
 
     def _blocked_s(self, views: list[EngineView], user: str, now: float) -> float:
-        """Return in how long the first of some engines takes a request, or 0 if one does."""
+        """Return the time until the first of these engines takes a request, or 0 if one does."""
         waits = (
-            max(view.standing.rest_left_s(now), self.limits.wait_s(view.at, user, now))
+            max(view.condition.backoff_left_s(now), self.limits.wait_s(view.identity, user, now))
             for view in views
         )
         return min(waits, default=0.0)
@@ -150,73 +150,75 @@
     def _choose_for_prompt(
         self, request: OpaqueRequest, prompt: PromptShape, ready: list[EngineView], now: float
     ) -> EngineChoice | Unavailable:
-        roomy = self._with_room(request, ready, now)
-        if not roomy:
+        with_capacity = self._with_capacity(request, ready, now)
+        if not with_capacity:
             return Unavailable.FULL
-        candidates = self._candidates(request, prompt, roomy, now)
+        candidates = self._candidates(request, prompt, with_capacity, now)
         chosen = self._prompt_policy.choose(request, candidates, self._zone)
-        behind_reading = chosen.shared.reader == chosen.view.number
-        # Among many engines, peers tell of a reading too late to wait for its end.
-        few_engines = len(roomy) < constants.MANY_ENGINES
-        if behind_reading and few_engines and now < self._hold_until(request):
+        waits_for_reader = chosen.shared.reader == chosen.view.number
+        # Reports about a part being read arrive too late among many engines to wait for its end.
+        few_engines = len(with_capacity) < constants.MANY_ENGINES
+        if waits_for_reader and few_engines and now < self._reading_wait_until(request):
             return Unavailable.NONE_READY
         choice = self._prompt_choice(chosen, prompt, now)
         if not self._wants_backup(request):
             return choice
         return replace(choice, backup=self._backup(chosen, candidates))
 
-    def _with_room(
+    def _with_capacity(
         self, request: OpaqueRequest, ready: list[EngineView], now: float
     ) -> list[EngineView]:
-        """Return the engines at which a request does not wait too long, nor lacks memory."""
+        """Return the engines with an acceptable wait and enough free memory for a request."""
         waits_s = {view.engine_id: self.expected_wait_s(view) for view in ready}
         memory = self.parts.profile(request.service).cache_tokens
-        return self.room.with_room(self.guard, request, ready, waits_s, memory, now)
+        return self.capacity_filter.engines_with_capacity(
+            self.guard, request, ready, waits_s, memory, now
+        )
 
-    def room_in_s(self, request: OpaqueRequest, now: float) -> float:
-        """Return in how long an engine takes a request again, if nothing more comes."""
+    def capacity_wait_s(self, request: OpaqueRequest, now: float) -> float:
+        """Return the time until an engine takes a request again, if no other requests arrive."""
         blocked_s = self.blocked_s(request.service, now)
-        return max(blocked_s, self.guard.room_in_s(request))
+        return max(blocked_s, self.guard.capacity_wait_s(request))
 
     def blocked_s(self, service: str, now: float) -> float:
-        """Return in how long the first engine of a service takes something, or 0 if one does."""
-        able = [view for view in self._engines.of_service(service) if not view.leaving]
-        return self._blocked_s(able, "", now)
+        """Return the time until the first engine of a service takes requests, or 0 if one does."""
+        serving = [view for view in self._engines.of_service(service) if not view.leaving]
+        return self._blocked_s(serving, "", now)
 
-    def reading_s(self, request: OpaqueRequest) -> float:
-        """Return how long an engine that keeps nothing of a prompt takes to read it."""
+    def prompt_read_s(self, request: OpaqueRequest) -> float:
+        """Return the time that an engine without cached parts needs to read the prompt."""
         tokens = request.prompt.prompt_tokens if request.prompt else 0
-        return tokens * self.speeds.service_reading_s(request.service)
+        return tokens * self.speeds.service_read_s_per_token(request.service)
 
     def expected_wait_s(self, view: EngineView) -> float:
-        """Return how long a request waits at an engine before its prompt is read."""
-        reading_s = view.waiting_tokens * self.speeds.careful_reading_s(view)
-        return reading_s + self._slot_wait_s(view)
+        """Return the expected time before an engine starts to read a new prompt."""
+        prompt_read_s = view.waiting_tokens * self.speeds.conservative_read_s_per_token(view)
+        return prompt_read_s + self._slot_wait_s(view)
 
     def _slot_wait_s(self, view: EngineView) -> float:
         record = view.record
         return self.slot_times.wait_s(record.service, view.requests, record.slots)
 
-    def _hold_until(self, request: OpaqueRequest) -> float:
-        """Return until when a request waits for a part that another one is having read."""
+    def _reading_wait_until(self, request: OpaqueRequest) -> float:
+        """Return the time until which a request waits while an engine reads its shared part."""
         share = constants.READING_WAIT_TARGET_SHARE
         return request.received_at + share * request.route.target_seconds
 
     def continue_at_backup(
         self, request: OpaqueRequest, broken: EngineChoice, now: float
     ) -> EngineChoice | None:
-        """Return how to go on at the engine that has the copy of a run that broke."""
+        """Return how to continue a broken run at its backup engine, or None."""
         view = self._engines.get(broken.backup.engine_id) if broken.backup else None
         if view is None or request.prompt is None:
             return None
-        if broken.backup is not None and not view.is_meant_by(broken.backup.number):
+        if broken.backup is not None and not view.matches_number(broken.backup.number):
             return None
-        if not self._goes_on(view, request.prompt.model, broken.weight_version, now):
+        if not self._accepts_run(view, request.prompt.model, broken.weight_version, now):
             return None
-        if view.standing.rests(now):
+        if view.condition.is_backing_off(now):
             return None
-        permit = self.limits.obtain(view.at, request.request_id, 0.0, False, now)
-        if permit is None and self.limits.is_limited(view.at):
+        permit = self.limits.obtain(view.identity, request.request_id, 0.0, False, now)
+        if permit is None and self.limits.is_limited(view.identity):
             return None
         return replace(
             broken,
@@ -230,38 +232,38 @@
         )
 
     def begin_by(self, choice: EngineChoice, request: OpaqueRequest) -> float:
-        """Return until when a request may begin where it was sent, by what is named now."""
-        # A run that goes on with its copy has begun, and without the copy engines refuse it.
+        """Return the time by which a sent request must begin, by the current weight targets."""
+        # A continued run has begun, and an engine that lost the copy refuses the request.
         if request.prompt is None or choice.continues_at_backup:
             return math.inf
         return self._targets.begin_by(request.prompt.model, choice.weight_version)
 
     def when_weights_named(self, listener: Callable[[], None]) -> None:
-        """Call a listener whenever `begin_by` may have changed."""
+        """Call a listener whenever the result of `begin_by` may have changed."""
         self._targets.on_published(listener)
 
-    def _goes_on(self, view: EngineView, model: str, version: int, now: float) -> bool:
-        """Return whether an engine takes runs of some weights now."""
+    def _accepts_run(self, view: EngineView, model: str, version: int, now: float) -> bool:
+        """Return whether an engine takes runs of a weight version now."""
         if view.leaving or view.withdrawn or view.weight_version(model) != version:
             return False
-        return not view.is_loading(now) and view.breaker.allows(now)
+        return not view.is_paused(now) and view.breaker.allows(now)
 
     def _next_backup(
         self, view: EngineView, broken: EngineChoice, request: OpaqueRequest, now: float
     ) -> EngineAddress | None:
-        """Return where the copy of a run that goes on is to be, should it break again."""
+        """Return the engine for the copy of a continued run, in case the run breaks again."""
         assert request.prompt is not None
         model, version = request.prompt.model, broken.weight_version
         candidates = [
             Candidate(other, broken.cache_salt)
             for other in self._engines.of_service(request.service)
-            if other.engine_id != broken.engine_id and self._goes_on(other, model, version, now)
+            if other.engine_id != broken.engine_id and self._accepts_run(other, model, version, now)
         ]
-        here = next((c for c in candidates if c.view is view), None)
-        return self._backup(here, candidates) if here else None
+        current = next((c for c in candidates if c.view is view), None)
+        return self._backup(current, candidates) if current else None
 
     def _wants_backup(self, request: OpaqueRequest) -> bool:
-        """Return whether a run could not go on elsewhere without a copy of it."""
+        """Return whether a broken run could only continue elsewhere from a copy."""
         if not request.is_stream or request.may_run_again or request.prompt is None:
             return False
         if request.prompt.output_tokens < constants.BACKUP_OUTPUT_TOKENS:
@@ -269,9 +271,9 @@
         return self.parts.profile(request.service).backups
 
     def _backup(self, chosen: Candidate, candidates: list[Candidate]) -> EngineAddress | None:
-        """Return the least busy other engine with the same weights, near it if there is one.
+        """Return the least busy other engine with the same weights, preferably in the same zone.
 
-        A run can't go on at once at an engine that takes few requests.
+        Limited engines come last: a run cannot continue at once where it needs a permit.
         """
         others = [c for c in candidates if c is not chosen and c.scope == chosen.scope]
         if not others:
@@ -280,27 +282,31 @@
 
         def order(candidate: Candidate) -> tuple[bool, bool, int]:
             view = candidate.view
-            return self.limits.is_limited(view.at), view.record.zone != zone, view.requests
+            return self.limits.is_limited(view.identity), view.record.zone != zone, view.requests
 
         best = min(others, key=order)
         return EngineAddress(best.view.engine_id, best.view.record.address, best.view.number)
 
-    def _version_floor(self, able: list[EngineView], request: OpaqueRequest) -> int:
-        """Return the lowest version to use, as far as versions of unknown age decide it.
+    def _version_floor(self, serving: list[EngineView], request: OpaqueRequest) -> int:
+        """Return the lowest version to use while the ages of the versions are unknown.
 
-        Weights may have been out of use since before this process began. The engines show
-        how far they were brought: those that are behind the others are left alone.
+        Weights may have been replaced before this process started. Engines that are behind the
+        newest version reached by any engine are not used.
         """
         if request.prompt is None:
             return 0
         model = request.prompt.model
-        reached = max((view.weight_version(model) for view in able), default=0)
+        reached = max((view.weight_version(model) for view in serving), default=0)
         return min(self._targets.newest_undated(model), reached)
 
     def _is_ready(self, view: EngineView, request: OpaqueRequest, floor: int, now: float) -> bool:
-        if view.is_loading(now) or view.standing.rests(now) or not view.breaker.allows(now):
+        if (
+            view.is_paused(now)
+            or view.condition.is_backing_off(now)
+            or not view.breaker.allows(now)
+        ):
             return False
-        if self.limits.wait_s(view.at, request.request_id, now):
+        if self.limits.wait_s(view.identity, request.request_id, now):
             return False
         if request.prompt is None:
             return True
@@ -308,7 +314,7 @@
         version = view.weight_version(model)
         if version > 0 and version >= max(floor, self._targets.newest(model)):
             return True
-        # It must begin in time there, after what waits before it.
+        # The request must begin in time at the engine, after the requests that wait there.
         required = max(
             floor, self._targets.minimum_version(model, now + self.expected_wait_s(view))
         )
@@ -317,7 +323,7 @@
     def _candidates(
         self, request: OpaqueRequest, prompt: PromptShape, views: list[EngineView], now: float
     ) -> list[Candidate]:
-        """Return the engines with what each of their weight versions means for a prompt."""
+        """Return the candidates, each with the cache state of its weight version."""
         scopes: dict[int, _Scope] = {}
         candidates: list[Candidate] = []
         for view in views:
@@ -334,7 +340,7 @@
                     scope.shared,
                     move_s,
                     holder,
-                    scope.replaced_s,
+                    scope.outdated_s,
                     self._slot_wait_s(view),
                 )
             )
@@ -343,18 +349,18 @@
     def _scope(
         self, request: OpaqueRequest, prompt: PromptShape, version: int, now: float
     ) -> _Scope:
-        """Return what a weight version means for a prompt."""
+        """Return the cache state of a prompt under a weight version."""
         salt = cache_salt(request.tenant, request.isolated, prompt.model, version)
-        replaced_s = max(0.0, now - self._targets.superseded_at(prompt.model, version))
+        outdated_s = max(0.0, now - self._targets.superseded_at(prompt.model, version))
 
         def is_source(number: int) -> bool:
-            # An engine that has other weights by now, or is about to, is not asked: what it
-            # keeps for runs that went on may have been made under either.
+            # An engine that has loaded other weights, or is about to, is no source: parts that it
+            # keeps for continued runs may have been computed with either version.
             view = self._engines.by_number(number)
-            return view is not None and self._goes_on(view, prompt.model, version, now)
+            return view is not None and self._accepts_run(view, prompt.model, version, now)
 
         shared = find_shared_parts(self.parts.directory, salt, prompt, now, is_source)
-        return _Scope(salt, shared, replaced_s)
+        return _Scope(salt, shared, outdated_s)
 
     def _holder(self, view: EngineView, shared: SharedParts) -> EngineView | None:
         """Return another engine to fetch the shared parts from, or None for the store."""
@@ -362,12 +368,12 @@
         return None if holder is view else holder
 
     def _move_s(self, request: OpaqueRequest, view: EngineView, holder: EngineView | None) -> float:
-        """Return how long moving the shared parts to an engine takes."""
+        """Return the time that moving the shared parts to an engine takes."""
         profile = self.parts.profile(view.record.service)
         tokens = request.shared_tokens
         if holder is None:
-            return BETWEEN_ZONES * tokens * profile.store_transfer_s_per_token
-        factor = 1.0 if holder.record.zone == view.record.zone else BETWEEN_ZONES
+            return CROSS_ZONE_FACTOR * tokens * profile.store_transfer_s_per_token
+        factor = 1.0 if holder.record.zone == view.record.zone else CROSS_ZONE_FACTOR
         return factor * tokens * profile.transfer_s_per_token
 
     def _prompt_choice(self, chosen: Candidate, prompt: PromptShape, now: float) -> EngineChoice:
--- a/liftrill/gateway/engines/placement.py
+++ b/liftrill/gateway/engines/placement.py
@@ -1,4 +1,4 @@
-"""Chooses the engine for a request."""
+"""Policies that choose the engine for a request."""
 
 import hashlib
 import math
@@ -12,21 +12,21 @@
 from liftrill.coordination import rendezvous
 from liftrill.gateway.engines.engine_table import EngineView
 from liftrill.gateway.engines.shared_parts import NOTHING_KEPT, SharedParts
-from liftrill.gateway.engines.speed_board import SpeedBoard
+from liftrill.gateway.engines.speed_estimator import SpeedEstimator
 from liftrill.gateway.opaque_request import OpaqueRequest, PromptShape
 from liftrill.gateway.records import ServiceProfile
 
 SALT_DIGEST_BYTES = 8
-# Among how many plain engines a request chooses where many nodes choose at once: two already
-# avoid most of a queue, and hardly any node sends where all the others do.
-PLAIN_CHOICES = 2
+# Engines among which a plain request chooses when many nodes choose at once: with two, most of the
+# queueing is avoided, and the nodes rarely all choose the same engine.
+PLAIN_CANDIDATES = 2
 
 
 def cache_salt(tenant: str, isolated: bool, model: str, version: int) -> str:
-    """Return the scope under which an engine keeps the parts of a prompt.
+    """Return the cache salt, the scope under which an engine caches the parts of a prompt.
 
-    It names the weights, so that nothing made under others is found, and the tenant
-    where that shares with nobody.
+    The salt depends on the weights, so that parts computed with other weights are never reused,
+    and on the tenant if the tenant is isolated.
     """
     owner = tenant if isolated else ""
     content = f"{owner}\0{model}\0{version}".encode()
@@ -38,12 +38,12 @@
     """An engine that could serve a request.
 
     Attributes:
-        scope: the cache salt that the request would have there, or empty.
-        shared: what is known of its shared parts in that scope.
-        move_s: how long it takes to fetch them.
+        scope: the cache salt of the request at this engine, or empty.
+        shared: known locations of the request's shared parts in that scope.
+        move_s: time to fetch these parts.
         holder: the engine to fetch them from, or None for the store.
-        replaced_s: for how long newer weights than it has have been named.
-        slot_wait_s: how long a request waits there until a slot is free.
+        outdated_s: time since newer weights than the engine's were named.
+        slot_wait_s: expected wait for a free slot at the engine.
     """
 
     view: EngineView
@@ -51,191 +51,200 @@
     shared: SharedParts = NOTHING_KEPT
     move_s: float = 0.0
     holder: EngineView | None = None
-    replaced_s: float = 0.0
+    outdated_s: float = 0.0
     slot_wait_s: float = 0.0
 
 
 class PlacementPolicy(ABC):
-    """Orders engines that could all serve a request."""
+    """Chooses among engines that could all serve a request."""
 
     @abstractmethod
     def choose(self, request: OpaqueRequest, candidates: list[Candidate], zone: str) -> Candidate:
-        """Return the engine to send to; the list is not empty."""
+        """Return the engine to send to; `candidates` is not empty."""
 
 
 @dataclass(slots=True)
 class LeastLoaded(PlacementPolicy):
-    """The engine that is expected to complete first; engines of the own zone win ties.
+    """Chooses the engine with the earliest expected completion; the own zone wins ties.
 
-    Where engines are alike that is the one with the fewest requests for its slots.
+    Among equally fast engines that is the one with the fewest requests per slot.
 
     Attributes:
-        nodes: tells how many nodes choose.
-        many_nodes: with more, all of them would send to the engine that the last reports show
-            idle, so that each request chooses among a few engines of its own.
+        nodes: returns the number of nodes that choose.
+        many_nodes: above this number of nodes a request chooses among a few engines of its own,
+            since all nodes would send to the engine that the last reports show as idle.
     """
 
     nodes: Callable[[], int] = lambda: 1
     many_nodes: int = constants.MANY_CHOOSING_NODES
 
     def choose(self, request: OpaqueRequest, candidates: list[Candidate], zone: str) -> Candidate:
-        """Return the engine with the least expected completion."""
+        """Return the engine with the earliest expected completion."""
         key = request.request_id.encode()
-        if self.nodes() > self.many_nodes and len(candidates) > PLAIN_CHOICES:
+        if self.nodes() > self.many_nodes and len(candidates) > PLAIN_CANDIDATES:
             by_id = {candidate.view.engine_id: candidate for candidate in candidates}
-            candidates = [by_id[name] for name in rendezvous.rank(key, by_id)[:PLAIN_CHOICES]]
+            candidates = [by_id[name] for name in rendezvous.rank(key, by_id)[:PLAIN_CANDIDATES]]
 
         def order(candidate: Candidate) -> tuple[float, bool, tuple[int, str]]:
             view = candidate.view
-            away = view.record.zone != zone
+            in_other_zone = view.record.zone != zone
             per_slot = (view.requests + 1) / max(1, view.record.slots)
-            completion = per_slot * view.model.answer_slowness
-            return completion, away, rendezvous.weight(key, view.engine_id)
+            completion = per_slot * view.speed.answer_slowness
+            return completion, in_other_zone, rendezvous.weight(key, view.engine_id)
 
         return min(candidates, key=order)
 
 
 @dataclass(slots=True)
 class PromptCost(PlacementPolicy):
-    """The engine on which the prompt is expected to be read first.
+    """Chooses the engine that is expected to finish reading the prompt first.
 
-    All is counted in seconds, at each engine by its own speed. Within each scope one engine,
-    the same for all nodes, is taken to hold the shared parts. Another one pays for moving what
-    is kept, and for reading the rest a second time.
+    Costs are in seconds, by the estimated speed of each engine. Within each scope one engine, the
+    same for all nodes, is the home of the shared parts. Other engines are charged for moving
+    the cached parts and for reading the remaining ones a second time.
 
-    A part that nobody has read yet is read at the engine of the first such part: prompts
-    that begin alike would otherwise be read at as many engines as they have continuations.
+    An unread part is read at the home of the first unread part. Otherwise prompts with a common
+    prefix would be read at as many engines as they have continuations.
 
     Attributes:
-        speeds: how fast engines are.
-        least_move_s: the least that moving a shared part costs: engines answer this much later.
-        engines_per_beginning: engines of a scope for each one that reads the beginning of
-            many prompts.
-        reread_factor: how much dearer reading a shared part again is than waiting as long.
-        rare_factor: the same for a part of few prompts that nobody is known to read.
-        long_prompt_s: a prompt that takes longer to read makes the streams that run on its
-            engine pause, longer than their callers allow, where no route declares a pause.
-        pause_share: what each such stream adds, as a share of the time to read.
-        replaced_wait_s: how long a wait is better than weights that were replaced some time
-            ago: what is made on them is worth less.
-        replaced_grace_s: for how long after their replacement weights are as good as new.
-        memory_share: share of an engine's memory from which running requests count too.
-        many_engines: with more, and so more nodes, loads are known so late that all nodes
-            would send to the engine that the last reports show idle.
-        few_choices: among how many engines, others for each prompt, that is avoided.
-        far_s: how long a wait is better than any other engine then, at most.
-        far_share: the same as a share of the request's target: others wait there as well.
-        services: what the operator declares of engines, by service.
+        speeds: estimated engine speeds.
+        min_move_s: lower bound of the cost of moving a shared part: the answer is this much later.
+        engines_per_prefix_reader: number of engines in a scope per engine that reads the common
+            prefix of many prompts.
+        reread_factor: cost of reading a shared part again, relative to waiting as long.
+        rare_reread_factor: the same for a part of few prompts that no engine is known to read.
+        long_prompt_s: reading time above which a prompt is taken to delay the running streams of
+            its engine too much, where no route declares a pause target.
+        pause_share: cost of each delayed stream, as a share of the reading time.
+        outdated_penalty_s: cost of weights that were replaced longer than the grace period ago:
+            their output is worth less.
+        outdated_grace_s: time after their replacement in which weights cost nothing extra.
+        memory_share: share of engine memory above which the tokens of running requests count as
+            backlog.
+        many_engines: above this number of engines, and so of nodes, loads become known so late
+            that all nodes would send to the engine that the last reports show as idle.
+        preferred_engines: number of engines, different for each prompt, that are then preferred.
+        overflow_penalty_s: upper bound of the cost of any other engine then.
+        overflow_penalty_share: the same as a share of the request's target: other requests wait
+            at the preferred engines as well, and a tight target must not be used up there.
+        services: profiles that the operator declares, by service.
     """
 
-    speeds: SpeedBoard
-    least_move_s: float = 0.015
-    engines_per_beginning: int = 5
+    speeds: SpeedEstimator
+    min_move_s: float = 0.015
+    engines_per_prefix_reader: int = 5
     reread_factor: float = constants.REREAD_FACTOR
-    rare_factor: float = constants.RARE_REREAD_FACTOR
+    rare_reread_factor: float = constants.RARE_REREAD_FACTOR
     long_prompt_s: float = constants.LONG_PROMPT_S
     pause_share: float = constants.LONG_PROMPT_PAUSE_SHARE
-    replaced_wait_s: float = constants.REPLACED_WEIGHTS_S
-    replaced_grace_s: float = constants.REPLACED_WEIGHTS_GRACE_S
+    outdated_penalty_s: float = constants.REPLACED_WEIGHTS_S
+    outdated_grace_s: float = constants.REPLACED_WEIGHTS_GRACE_S
     memory_share: float = 0.6
     many_engines: int = constants.MANY_ENGINES
-    few_choices: int = constants.FEW_CHOICES
-    far_s: float = constants.FAR_S
-    far_share: float = constants.FAR_TARGET_SHARE
+    preferred_engines: int = constants.FEW_CHOICES
+    overflow_penalty_s: float = constants.FAR_S
+    overflow_penalty_share: float = constants.FAR_TARGET_SHARE
     services: Mapping[str, ServiceProfile] = field(default_factory=dict)
 
     def choose(self, request: OpaqueRequest, candidates: list[Candidate], zone: str) -> Candidate:
-        """Return the engine with the least cost."""
+        """Return the engine with the lowest cost."""
         key = affinity_key(request) or request.request_id.encode()
         by_id = {candidate.view.engine_id: candidate for candidate in candidates}
         homes = self._homes(request, candidates, key)
-        best, least_s = candidates[0], math.inf
+        best, lowest_cost_s = candidates[0], math.inf
         is_large = len(candidates) > self.many_engines
-        few = self.few_choices if is_large else len(candidates)
-        far_s = min(self.far_s, self.far_share * request.route.target_seconds)
-        foresees = self.speeds.foresees_pauses(request.service)
-        for place, engine_id in enumerate(rendezvous.rank(key, by_id)):
+        preferred_count = self.preferred_engines if is_large else len(candidates)
+        overflow_penalty_s = min(
+            self.overflow_penalty_s, self.overflow_penalty_share * request.route.target_seconds
+        )
+        predicts_pauses = self.speeds.predicts_pauses(request.service)
+        for position, engine_id in enumerate(rendezvous.rank(key, by_id)):
             candidate = by_id[engine_id]
             to_read = tokens_to_read(request, candidate)
-            cost_s = self._until_read_s(candidate, to_read)
-            if foresees:
+            cost_s = self._read_delay_s(candidate, to_read)
+            if predicts_pauses:
                 late = self.speeds.late_streams(candidate.view, to_read, request.is_stream)
-                # A stream with a long pause is late, as is one whose first event comes late.
+                # A long pause makes a stream as late as a late first event does.
                 cost_s += late * request.route.target_seconds
             else:
-                cost_s += self._pauses_s(candidate, to_read)
+                cost_s += self._pause_cost_s(candidate, to_read)
             if homes[candidate.scope] != engine_id:
-                cost_s += self._sharing_s(request, candidate, is_large)
-                cost_s += far_s if place >= few else 0.0
-            if candidate.replaced_s > self.replaced_grace_s:
-                cost_s += self.replaced_wait_s
-            if cost_s < least_s:
-                best, least_s = candidate, cost_s
+                cost_s += self._missing_parts_cost_s(request, candidate, is_large)
+                cost_s += overflow_penalty_s if position >= preferred_count else 0.0
+            if candidate.outdated_s > self.outdated_grace_s:
+                cost_s += self.outdated_penalty_s
+            if cost_s < lowest_cost_s:
+                best, lowest_cost_s = candidate, cost_s
         return best
 
     def _homes(
         self, request: OpaqueRequest, candidates: list[Candidate], key: bytes
     ) -> dict[str, str]:
-        """Return the engine of each scope that is taken to hold the shared parts."""
+        """Return the home engine of the shared parts, by scope."""
         engines: dict[str, list[Candidate]] = {}
         for candidate in candidates:
             engines.setdefault(candidate.scope, []).append(candidate)
-        return {scope: self._home(request, those, key) for scope, those in engines.items()}
+        return {
+            scope: self._home(request, scope_candidates, key)
+            for scope, scope_candidates in engines.items()
+        }
 
     def _home(self, request: OpaqueRequest, candidates: list[Candidate], key: bytes) -> str:
         """Return the engine that reads the first unread part, or is to read it.
 
-        Among many engines the beginning of many prompts is read at several of them: what
-        nodes know of each other's requests is too old there to keep one from being swamped.
+        Among many engines several of them read a common prefix: nodes learn of each other's
+        requests too late to keep a single engine from being overloaded.
         """
         first = candidates[0]
         unread = first_unread(request, first) or key
-        beginnings = max(1, len(candidates) // self.engines_per_beginning)
-        if beginnings > 1 and unread != key:
-            unread += b"%d" % (xxhash.xxh3_64_intdigest(key) % beginnings)
+        prefix_readers = max(1, len(candidates) // self.engines_per_prefix_reader)
+        if prefix_readers > 1 and unread != key:
+            unread += b"%d" % (xxhash.xxh3_64_intdigest(key) % prefix_readers)
         else:
             for candidate in candidates:
                 if candidate.view.number == first.shared.reader:
                     return candidate.view.engine_id
-        weights = {c.view.engine_id: c.view.model.home_weight for c in candidates}
+        weights = {c.view.engine_id: c.view.speed.home_weight for c in candidates}
         home = rendezvous.first_weighted(unread, weights)
         assert home is not None
         return home
 
-    def _until_read_s(self, candidate: Candidate, to_read: int) -> float:
-        """Return what an engine does before it begins a prompt, and how much longer it reads."""
+    def _read_delay_s(self, candidate: Candidate, to_read: int) -> float:
+        """Return the time until an engine starts to read, plus its extra time if it is slow."""
         view = candidate.view
-        reading_s = self.speeds.reading_s(view)
-        until_s = candidate.slot_wait_s + self._backlog_tokens(view) * reading_s
-        if view.model.slowness == 1.0:
-            return until_s
-        extra_s = reading_s - self.speeds.service_reading_s(view.record.service)
-        return until_s + to_read * extra_s
-
-    def _sharing_s(self, request: OpaqueRequest, candidate: Candidate, is_large: bool) -> float:
-        """Return what it costs to have the shared parts at an engine that lacks them."""
+        read_s_per_token = self.speeds.read_s_per_token(view)
+        start_delay_s = candidate.slot_wait_s + self._backlog_tokens(view) * read_s_per_token
+        if view.speed.slowness == 1.0:
+            return start_delay_s
+        extra_read_s = read_s_per_token - self.speeds.service_read_s_per_token(view.record.service)
+        return start_delay_s + to_read * extra_read_s
+
+    def _missing_parts_cost_s(
+        self, request: OpaqueRequest, candidate: Candidate, is_large: bool
+    ) -> float:
+        """Return the cost of having the shared parts at an engine that lacks them."""
         missing = request.shared_tokens - candidate.shared.kept_tokens
         if not missing:
-            return max(self.least_move_s, candidate.move_s)
-        reading_s = self.speeds.reading_s(candidate.view)
+            return max(self.min_move_s, candidate.move_s)
+        read_s_per_token = self.speeds.read_s_per_token(candidate.view)
         if is_large and not candidate.shared.reader:
-            return self._rare_reading(request, missing) * reading_s
-        return missing * self.reread_factor * reading_s
+            return self._reread_cost_tokens(request, missing) * read_s_per_token
+        return missing * self.reread_factor * read_s_per_token
 
-    def _rare_reading(self, request: OpaqueRequest, missing_tokens: int) -> float:
-        """Return what it costs, in tokens, that others may begin to read the parts elsewhere.
+    def _reread_cost_tokens(self, request: OpaqueRequest, missing_tokens: int) -> float:
+        """Return the cost, in tokens, of reading parts that other nodes may also be reading.
 
-        What many prompts have in common is being asked for all the time. The last shared
-        part belongs to few, so that nobody else is likely to read it just now.
+        The common parts of many prompts are requested all the time. The last shared part belongs
+        to few prompts, so that another engine is unlikely to read it at this moment.
         """
         assert request.prompt is not None
         rare_tokens = min(missing_tokens, request.prompt.shared_parts[-1].tokens)
         common_tokens = missing_tokens - rare_tokens
-        return common_tokens * self.reread_factor + rare_tokens * self.rare_factor
+        return common_tokens * self.reread_factor + rare_tokens * self.rare_reread_factor
 
-    def _pauses_s(self, candidate: Candidate, to_read: int) -> float:
-        """Return what the pauses of other streams there cost, if the prompt is long."""
-        read_s = to_read * self.speeds.reading_s(candidate.view)
+    def _pause_cost_s(self, candidate: Candidate, to_read: int) -> float:
+        """Return the cost of the pauses that a long prompt causes in the engine's streams."""
+        read_s = to_read * self.speeds.read_s_per_token(candidate.view)
         if read_s < self.long_prompt_s:
             return 0.0
         return candidate.view.requests * read_s * self.pause_share
@@ -248,13 +257,13 @@
 
 
 def tokens_to_read(request: OpaqueRequest, candidate: Candidate) -> int:
-    """Return the prompt tokens that an engine would have to read."""
+    """Return the number of prompt tokens that an engine would have to read."""
     prompt_tokens = request.prompt.prompt_tokens if request.prompt else 0
     return max(0, prompt_tokens - candidate.shared.kept_tokens)
 
 
 def affinity_key(request: OpaqueRequest) -> bytes | None:
-    """Return what requests with the same shared prompt have in common, or None."""
+    """Return the key shared by requests with the same shared prompt parts, or None."""
     prompt: PromptShape | None = request.prompt
     if prompt is None or not prompt.shared_parts:
         return None
@@ -262,7 +271,7 @@
 
 
 def first_unread(request: OpaqueRequest, candidate: Candidate) -> bytes | None:
-    """Return the name of the first shared part that is not kept, or None."""
+    """Return the id of the first shared part that is not cached, or None."""
     parts = request.prompt.shared_parts if request.prompt else ()
     if candidate.shared.kept_parts >= len(parts):
         return None
--- a/liftrill/gateway/engines/prefix_directory.py
+++ b/liftrill/gateway/engines/prefix_directory.py
@@ -1,7 +1,6 @@
-"""Where shared prompt parts are kept, as far as this node has seen or heard.
+"""Directory of cached shared prompt parts, as observed by this node or reported by peers.
 
-A part is read by an engine, is then held in that engine's memory for some seconds, and
-may be saved to a kept store.
+An engine reads a part, then holds it in memory for some seconds, and may save it to a kept store.
 """
 
 import math
@@ -14,24 +13,23 @@
 
 from liftrill import constants
 
-# A part is told of for this long, so that a lost datagram or two do not matter.
-NEWS_LIFETIME_S = 1.0
-MOST_NEWS = 256
-# Peers are told again that an engine holds a part after this share of the time it does
-# (guess).
-RETELL_SHARE = 0.5
-# Peers count from when they hear it, so it is told for this share of that time alone
-# (guess).
-TOLD_SHARE = 0.25
+# Updates are sent repeatedly for this long, so that one or two lost datagrams do not matter.
+UPDATE_LIFETIME_S = 1.0
+MAX_UPDATES = 256
+# A held part is announced again after this share of the time that engines hold parts.
+REANNOUNCE_SHARE = 0.5
+# A held part is announced only for this share of that time, since peers count the whole time from
+# the moment they receive the announcement.
+ANNOUNCE_SHARE = 0.25
 
 
 def part_number(salt: str, part_id: str) -> int:
-    """Return a 64-bit name for a shared part under one cache salt, the same on all nodes."""
+    """Return the 64-bit hash of a shared part under one cache salt, the same on all nodes."""
     return xxhash.xxh3_64_intdigest(f"{salt}\0{part_id}".encode())
 
 
 class PartStage(Enum):
-    """What an engine has done with a shared part."""
+    """Progress of an engine with a shared part."""
 
     BEING_READ = auto()
     HELD = auto()
@@ -39,8 +37,8 @@
 
 
 @dataclass(frozen=True, slots=True)
-class KeptPart:
-    """A shared part, and the engine that reads it, holds it, or has also saved it."""
+class PartLocation:
+    """A shared part and the engine that reads, holds or has saved it."""
 
     part: int
     engine: int
@@ -48,30 +46,30 @@
 
 
 @dataclass(frozen=True, slots=True)
-class KeptNews:
-    """Parts that engines read or used lately: for this node, and for its zone."""
+class PartUpdates:
+    """Recent updates to send: those of this node, and those of all nodes of its zone."""
 
-    own: tuple[KeptPart, ...] = ()
-    zone: tuple[KeptPart, ...] = ()
+    own: tuple[PartLocation, ...] = ()
+    zone: tuple[PartLocation, ...] = ()
 
 
 @dataclass(frozen=True, slots=True)
-class _News:
-    kept: KeptPart
-    noted_at: float
+class _PendingUpdate:
+    location: PartLocation
+    recorded_at: float
     own: bool
 
 
 @dataclass(slots=True)
 class _Entry:
-    """What is known of one part.
+    """Known state of one part.
 
     Attributes:
-        saved_at: when it was last sent to a store, or minus infinity.
-        stored_at: since when a store has it, as far as it was sent there.
-        engine: the engine that reads it, or used it last, or 0.
-        used_at: when that engine did.
-        was_read: whether the engine has it whole.
+        saved_at: time when the part was last sent to a store, or minus infinity.
+        stored_at: time from which a store has the part.
+        engine: number of the engine that reads the part or used it last, or 0.
+        used_at: time of that reading or use.
+        was_read: whether the engine has read the whole part.
     """
 
     saved_at: float = -math.inf
@@ -83,118 +81,120 @@
 
 @dataclass(slots=True)
 class PrefixDirectory:
-    """Remembers, in bounded memory, what became of shared parts.
+    """Remembers the state of shared parts in bounded memory.
 
     Attributes:
-        capacity: how many parts are remembered.
-        lifetime_s: after which a part is saved again: the store may have dropped it.
-        settle_s: after which a part that was sent to a store has arrived there.
-        reading_s: for how long an engine is taken to read a part.
-        held_s: for how long an engine still holds what it used.
+        capacity: maximum number of parts.
+        lifetime_s: time after which a part is saved again, since the store may have dropped it.
+        store_delay_s: time that a part takes to reach the store.
+        reading_lifetime_s: time for which an engine is assumed to read a part.
+        held_s: time for which an engine is assumed to hold a part after its last use.
     """
 
     capacity: int = 4_096
     lifetime_s: float = 20.0
-    settle_s: float = constants.KEPT_SETTLE_S
-    reading_s: float = constants.READING_S
+    store_delay_s: float = constants.KEPT_SETTLE_S
+    reading_lifetime_s: float = constants.READING_S
     held_s: float = constants.KEPT_HOLDER_S
     _entries: OrderedDict[int, _Entry] = field(default_factory=OrderedDict)
-    _news: deque[_News] = field(default_factory=lambda: deque(maxlen=MOST_NEWS))
+    _pending: deque[_PendingUpdate] = field(default_factory=lambda: deque(maxlen=MAX_UPDATES))
 
     def is_saved(self, part: int, now: float) -> bool:
-        """Return whether a store is believed to have a part, or to get it."""
+        """Return whether a store is believed to have a part, or to receive it now."""
         entry = self._entries.get(part)
         return entry is not None and now - entry.saved_at < self.lifetime_s
 
-    def is_settled(self, part: int, now: float) -> bool:
-        """Return whether a store is believed to have a part by now."""
+    def is_stored(self, part: int, now: float) -> bool:
+        """Return whether a store is believed to have a part already."""
         entry = self._entries.get(part)
         return entry is not None and now >= entry.stored_at and self.is_saved(part, now)
 
     def reader(self, part: int, now: float) -> int:
-        """Return the engine that is believed to read a part now, or 0."""
+        """Return the number of the engine that is believed to read a part now, or 0."""
         entry = self._entries.get(part)
-        if entry is None or entry.was_read or now - entry.used_at >= self.reading_s:
+        if entry is None or entry.was_read or now - entry.used_at >= self.reading_lifetime_s:
             return 0
         return entry.engine
 
     def holder(self, part: int, now: float) -> int:
-        """Return the engine that is believed to hold a part in its own memory, or 0."""
+        """Return the number of the engine that is believed to hold a part in memory, or 0."""
         entry = self._entries.get(part)
         if entry is None or not entry.was_read or now - entry.used_at >= self.held_s:
             return 0
         return entry.engine
 
     def record_reading(self, part: int, engine: int, now: float) -> None:
-        """Note that an engine is about to read a part, and tell of it."""
-        self._take(KeptPart(part, engine, PartStage.BEING_READ), now, own=True)
+        """Record and announce that an engine is about to read a part."""
+        self._record_and_announce(PartLocation(part, engine, PartStage.BEING_READ), now, own=True)
 
     def record_read(
-        self, part: int, engine: int, now: float, *, saved: bool, worth_telling: bool
+        self, part: int, engine: int, now: float, *, saved: bool, announce: bool
     ) -> None:
-        """Note that an engine runs a prompt with a part, and saves it if it was told to."""
-        kept = KeptPart(part, engine, PartStage.SAVED if saved else PartStage.HELD)
-        if worth_telling and (saved or self._is_news(kept, now)):
-            self._take(kept, now, own=True)
+        """Record that an engine has read a prompt with a part, and whether it saves the part."""
+        location = PartLocation(part, engine, PartStage.SAVED if saved else PartStage.HELD)
+        if announce and (saved or self._is_new(location, now)):
+            self._record_and_announce(location, now, own=True)
         else:
-            self._remember(kept, now)
+            self._remember(location, now)
 
-    def _is_news(self, kept: KeptPart, now: float) -> bool:
-        """Return whether peers need to be told that an engine holds a part."""
-        entry = self._entries.get(kept.part)
-        if entry is None or not entry.was_read or entry.engine != kept.engine:
+    def _is_new(self, location: PartLocation, now: float) -> bool:
+        """Return whether peers must be told that an engine holds a part."""
+        entry = self._entries.get(location.part)
+        if entry is None or not entry.was_read or entry.engine != location.engine:
             return True
-        return now - entry.used_at >= RETELL_SHARE * self.held_s
+        return now - entry.used_at >= REANNOUNCE_SHARE * self.held_s
 
-    def hear(self, news: Iterable[KeptPart], now: float, of_zone: bool) -> None:
-        """Note what other nodes tell, and pass on what those of the own zone do."""
-        for kept in news:
-            if self._is_old(kept, now):
+    def apply_updates(
+        self, locations: Iterable[PartLocation], now: float, of_own_zone: bool
+    ) -> None:
+        """Apply updates of other nodes, and pass on those of the own zone."""
+        for location in locations:
+            if self._is_known(location, now):
                 continue
-            if of_zone:
-                self._take(kept, now, own=False)
+            if of_own_zone:
+                self._record_and_announce(location, now, own=False)
             else:
-                self._remember(kept, now)
-
-    def _is_old(self, kept: KeptPart, now: float) -> bool:
-        if kept.stage is PartStage.SAVED:
-            return self.is_saved(kept.part, now)
-        if kept.stage is PartStage.HELD:
-            return not self._is_news(kept, now)
-        known = self.holder(kept.part, now) or self.reader(kept.part, now)
-        return known != 0 or self.is_saved(kept.part, now)
-
-    def _take(self, kept: KeptPart, now: float, own: bool) -> None:
-        self._remember(kept, now)
-        self._news.append(_News(kept, now, own))
-
-    def news(self, now: float) -> KeptNews:
-        """Return what to tell other nodes."""
-        while self._news and now - self._news[0].noted_at > NEWS_LIFETIME_S:
-            self._news.popleft()
-        rows = [row for row in self._news if self._is_told(row, now)]
-        own = tuple(row.kept for row in rows if row.own)
-        return KeptNews(own, tuple(row.kept for row in rows))
-
-    def _is_told(self, row: _News, now: float) -> bool:
-        """Return whether what a row tells is still young beside how long it holds."""
-        if row.kept.stage is not PartStage.HELD:
+                self._remember(location, now)
+
+    def _is_known(self, location: PartLocation, now: float) -> bool:
+        if location.stage is PartStage.SAVED:
+            return self.is_saved(location.part, now)
+        if location.stage is PartStage.HELD:
+            return not self._is_new(location, now)
+        known = self.holder(location.part, now) or self.reader(location.part, now)
+        return known != 0 or self.is_saved(location.part, now)
+
+    def _record_and_announce(self, location: PartLocation, now: float, own: bool) -> None:
+        self._remember(location, now)
+        self._pending.append(_PendingUpdate(location, now, own))
+
+    def updates(self, now: float) -> PartUpdates:
+        """Return the updates to send to other nodes."""
+        while self._pending and now - self._pending[0].recorded_at > UPDATE_LIFETIME_S:
+            self._pending.popleft()
+        rows = [row for row in self._pending if self._is_announced(row, now)]
+        own = tuple(row.location for row in rows if row.own)
+        return PartUpdates(own, tuple(row.location for row in rows))
+
+    def _is_announced(self, row: _PendingUpdate, now: float) -> bool:
+        """Return whether an update is still recent enough to announce."""
+        if row.location.stage is not PartStage.HELD:
             return True
-        return now - row.noted_at <= TOLD_SHARE * self.held_s
+        return now - row.recorded_at <= ANNOUNCE_SHARE * self.held_s
 
-    def _remember(self, kept: KeptPart, now: float) -> None:
-        entry = self._entries.setdefault(kept.part, _Entry())
-        entry.engine = kept.engine
+    def _remember(self, location: PartLocation, now: float) -> None:
+        entry = self._entries.setdefault(location.part, _Entry())
+        entry.engine = location.engine
         entry.used_at = now
-        entry.was_read = kept.stage is not PartStage.BEING_READ
-        if kept.stage is PartStage.SAVED:
+        entry.was_read = location.stage is not PartStage.BEING_READ
+        if location.stage is PartStage.SAVED:
             self._note_saved(entry, now)
-        self._entries.move_to_end(kept.part)
+        self._entries.move_to_end(location.part)
         if len(self._entries) > self.capacity:
             self._entries.popitem(last=False)
 
     def _note_saved(self, entry: _Entry, now: float) -> None:
-        """Note that a part is sent to a store, which may have it already."""
+        """Record that a part was sent to a store, which may already have it."""
         if now - entry.saved_at >= self.lifetime_s:
-            entry.stored_at = now + self.settle_s
+            entry.stored_at = now + self.store_delay_s
         entry.saved_at = now
--- a/liftrill/gateway/engines/part_keeping.py
+++ b/liftrill/gateway/engines/shared_part_tracker.py
@@ -1,4 +1,4 @@
-"""Keeps account of the shared parts of the prompts that a node sends to engines."""
+"""Tracks the shared prompt parts that a node sends to engines."""
 
 from liftrill import constants
 from liftrill.coordination import rendezvous
@@ -15,20 +15,20 @@
 )
 from liftrill.gateway.records import PrefixStoreProfile, ServiceProfile
 
-# How much longer a move between zones takes than one within a zone.
-BETWEEN_ZONES = 2.0
+# Duration of a transfer between zones, relative to one within a zone.
+CROSS_ZONE_FACTOR = 2.0
 
 
-class PartKeeping:
-    """Where shared parts are kept, and what may be saved and fetched.
+class SharedPartTracker:
+    """Where shared parts are cached, and which of them engines save and fetch.
 
     Attributes:
-        kept_stores: where parts are saved to and fetched from.
-        services: what the operator declares of engines, by service.
-        nodes: how many nodes share engines and stores.
-        directory: where parts are, as far as is known.
-        retention: for how long engines hold them.
-        store_link: whether the stores' links are short.
+        kept_stores: stores that parts are saved to and fetched from.
+        services: profiles that the operator declares, by service.
+        nodes: number of nodes that share the engines and stores.
+        directory: known locations of parts.
+        retention: estimates how long engines hold parts.
+        store_link: estimates whether the stores' links are overloaded.
     """
 
     def __init__(self, engines: EngineTable) -> None:
@@ -41,11 +41,11 @@
         self._engines = engines
 
     def profile(self, service: str) -> ServiceProfile:
-        """Return what the operator declares of a service's engines."""
+        """Return the profile that the operator declares for a service, or an empty one."""
         return self.services.get(service) or ServiceProfile(service, 0)
 
     def store_for(self, prompt: PromptShape, shared: SharedParts, now: float) -> tuple[str, bool]:
-        """Return the store to fetch from, or nothing, and whether to save there too."""
+        """Return the store to fetch from, or an empty name, and whether to save there too."""
         store = self._home_store(prompt)
         if not store:
             return "", False
@@ -56,11 +56,11 @@
         return store, not shared.saved and is_worth_saving(prompt)
 
     def is_link_short(self, now: float) -> bool:
-        """Return whether more is to be moved than the stores' links carry."""
+        """Return whether the demand exceeds the capacity of the stores' links."""
         return self.store_link.is_saturated(len(self.kept_stores), self.nodes, now)
 
     def record_sent(self, choice: EngineChoice, request: OpaqueRequest, now: float) -> None:
-        """Note that an engine is about to read what of a prompt is kept nowhere."""
+        """Record that an engine is about to read the parts of a prompt that are not cached."""
         prompt = request.prompt
         if prompt is None:
             return
@@ -73,25 +73,27 @@
     def _record_traffic(
         self, choice: EngineChoice, request: OpaqueRequest, prompt: PromptShape, now: float
     ) -> None:
-        """Note what a prompt takes of the engines' memory and of the stores' links."""
+        """Record the load of a prompt on engine memory and on the stores' links."""
         self.retention.record(prompt.declared_tokens, now)
         capacity = self.profile(request.service).cache_tokens
         if capacity:
             views = self._engines.of_service(request.service)
             free_tokens = sum(max(0, capacity - view.resident_tokens) for view in views)
             self.directory.held_s = self.retention.held_s(free_tokens, self.nodes, now)
-        self.store_link.record_demand(self._store_s(choice, request, prompt), now)
+        self.store_link.record_demand(self._store_link_s(choice, request, prompt), now)
 
-    def _store_s(self, choice: EngineChoice, request: OpaqueRequest, prompt: PromptShape) -> float:
-        """Return for how long a request takes a store's link, if nothing is left out."""
+    def _store_link_s(
+        self, choice: EngineChoice, request: OpaqueRequest, prompt: PromptShape
+    ) -> float:
+        """Return the time that a request occupies a store's link if all its parts are moved."""
         zones = {store.address: store.zone for store in self.kept_stores}
         store = self._home_store(prompt)
         if choice.is_saved and choice.fetch_from not in ("", store):
             return 0.0
         tokens = request.shared_tokens if choice.is_saved else prompt.prompt_tokens
         view = self._engines.get(choice.engine_id)
-        near = view is not None and view.record.zone == zones.get(store)
-        factor = 1.0 if near else BETWEEN_ZONES
+        in_same_zone = view is not None and view.record.zone == zones.get(store)
+        factor = 1.0 if in_same_zone else CROSS_ZONE_FACTOR
         return factor * tokens * self.profile(request.service).store_transfer_s_per_token
 
     def _is_known(self, number: int, now: float) -> bool:
@@ -100,7 +102,7 @@
         return found != 0 or directory.is_saved(number, now)
 
     def record_read(self, choice: EngineChoice, request: OpaqueRequest, now: float) -> None:
-        """Note that an engine has read a prompt, and sends to the store what it was told to."""
+        """Record that an engine has read a prompt and saves its parts if told to."""
         prompt = request.prompt
         if prompt is None:
             return
@@ -110,13 +112,14 @@
                 choice.number,
                 now,
                 saved=bool(choice.save_to),
-                worth_telling=part.tokens >= constants.KEPT_NEWS_TOKENS,
+                announce=part.tokens >= constants.KEPT_NEWS_TOKENS,
             )
 
     def _home_store(self, prompt: PromptShape) -> str:
-        """Return the store that keeps the shared parts, the same on every node, or nothing.
+        """Return the store that keeps the shared parts, the same on every node, or an empty name.
 
-        A part and all before it lie in one store: an engine fetches from one.
+        The store depends on the last shared part only, since an engine fetches all parts of a
+        prompt from one store.
         """
         if not prompt.shared_parts:
             return ""
--- a/liftrill/gateway/forwarder.py
+++ b/liftrill/gateway/forwarder.py
@@ -6,11 +6,11 @@
 
 from liftrill import clock, constants
 from liftrill.gateway import delivery_events as events
-from liftrill.gateway.admission.coming_back import ComingBack
-from liftrill.gateway.admission.line import Place
-from liftrill.gateway.admission.overload import OverloadTurn
-from liftrill.gateway.admission.places import Outlook, PlacesInLine
+from liftrill.gateway.admission.overload import OverloadChange
+from liftrill.gateway.admission.queue_admission import QueueAdmission, QueueForecast
 from liftrill.gateway.admission.quota_gate import QuotaGate
+from liftrill.gateway.admission.request_queue import QueueEntry
+from liftrill.gateway.admission.retry_after import RetryAfterPolicy
 from liftrill.gateway.admission.retry_allowance import RetryAllowance
 from liftrill.gateway.begin_deadlines import BeginDeadlines
 from liftrill.gateway.decision_log import DecisionLog
@@ -71,7 +71,7 @@
         self.speeds = selector.speeds
         self.limits = selector.limits
         self.must_wait: Callable[[OpaqueRequest], bool] = _never_waits
-        self.retry_after = ComingBack(self._capacity_in_s, _zero_wait_s)
+        self.retry_after = RetryAfterPolicy(self._capacity_in_s, _zero_wait_s)
         self._selector = selector
         self._allowance = allowance
         self._quotas = quotas
@@ -126,14 +126,14 @@
         """Call a listener whenever `begin_by` may have changed."""
         self._selector.when_weights_named(listener)
 
-    def on_overload_change(self, listener: Callable[[OverloadTurn], None]) -> None:
+    def on_overload_change(self, listener: Callable[[OverloadChange], None]) -> None:
         """Call a listener whenever a service enters or leaves overload."""
-        self._selector.guard.turned = listener
+        self._selector.guard.on_change = listener
 
-    def wait_conditions(self, request: OpaqueRequest) -> Outlook:
+    def wait_conditions(self, request: OpaqueRequest) -> QueueForecast:
         """Return what a request's queue entry has to take into account about the engines."""
-        is_overloaded = self._selector.guard.stands(request.service)
-        return Outlook(self._selector.reading_s(request), is_overloaded)
+        is_overloaded = self._selector.guard.is_overloaded(request.service)
+        return QueueForecast(self._selector.prompt_read_s(request), is_overloaded)
 
     def try_spend_retry(self, request: OpaqueRequest) -> bool:
         """Take one retry from the retry budget of the request's service."""
@@ -146,7 +146,7 @@
         self.retry_after.note_sent(request.service, now)
         self._selector.guard.note_sent(request, choice.expected_prefill_tokens)
         if self._quotas is not None and not first:
-            self._quotas.record_repeat(request, now)
+            self._quotas.record_retry(request, now)
 
     def record_not_run(self, request: OpaqueRequest, runs: int) -> None:
         """Record how many of the runs charged for a request were not executed."""
@@ -177,7 +177,7 @@
         return self.retry_after.retry_after_s(request, now)
 
     def _capacity_in_s(self, request: OpaqueRequest) -> float:
-        return self._selector.room_in_s(request, clock.now_s())
+        return self._selector.capacity_wait_s(request, clock.now_s())
 
 
 def _ignore_prefill_start(view: EngineView, tokens: int) -> None:
@@ -203,10 +203,10 @@
     ) -> None:
         super().__init__(log, metrics)
         ports.must_wait = self.queues.must_wait
-        self._queue_entries = PlacesInLine(
-            self.queues, ports.retry_after.returning, ports.wait_conditions, log
+        self._queue_entries = QueueAdmission(
+            self.queues, ports.retry_after.refused_requests, ports.wait_conditions, log
         )
-        ports.retry_after.line_wait_s = self._queue_entries.wait_s
+        ports.retry_after.queue_wait_s = self._queue_entries.wait_s
         ports.on_overload_change(self._log_overload)
         self._quarantine = quarantine
         self._end_check = EngineEndCheck(transport, quarantine.engine_ended)
@@ -248,11 +248,11 @@
 
     def new_queue_entry(
         self, request: OpaqueRequest, until: float, for_capacity: bool
-    ) -> Place | None:
+    ) -> QueueEntry | None:
         """Return the queue entry of a waiting request, or None if waiting cannot help."""
-        return self._queue_entries.place(request, until, for_capacity, clock.now_s())
+        return self._queue_entries.entry(request, until, for_capacity, clock.now_s())
 
-    def _log_overload(self, change: OverloadTurn) -> None:
+    def _log_overload(self, change: OverloadChange) -> None:
         depth, age_s = self.queues.depth_and_age_s(clock.now_s())
         self.log.state_changed(
             "overload" if change.overloaded else "overload_over",
@@ -273,8 +273,10 @@
         view = self._engines.get(start.choice.engine_id)
         if view is not None:
             view.breaker.record_start(now)
-            view.standing.note_sent(now)
-            reading_s = start.choice.expected_prefill_tokens * self._ports.speeds.reading_s(view)
+            view.condition.note_sent(now)
+            reading_s = start.choice.expected_prefill_tokens * self._ports.speeds.read_s_per_token(
+                view
+            )
             if reading_s >= constants.TOLD_READING_LEAST_S:
                 self.prefill_started(view, start.choice.expected_prefill_tokens)
         self._ports.record_sent(start.choice, request, first)
@@ -286,9 +288,9 @@
     def _may_send(self, view: EngineView, choice: events.EngineChoice) -> bool:
         """Return whether an engine chosen earlier may still be sent the request now."""
         now = clock.now_s()
-        if not self._ports.state_is_current(now) or view.wants_nothing(now):
+        if not self._ports.state_is_current(now) or view.rejects_requests(now):
             return False
-        return self._ports.limits.may_send(view.at, choice.permit, now)
+        return self._ports.limits.may_send(view.identity, choice.permit, now)
 
     def refresh_begin_deadlines(self) -> None:
         """Recompute until when each attempt may begin."""
@@ -319,7 +321,7 @@
             view.breaker.record_failure(now)
         elif isinstance(event, events.CompleteResponse | events.EventReceived):
             view.breaker.record_success()
-            view.standing.note_answered(sent_at)
+            view.condition.note_answered(sent_at)
 
     async def run_lost(
         self, machine: DeliveryMachine, view: EngineView, times: AttemptTimes
@@ -330,7 +332,7 @@
             return
         self._quarantine.run_lost(machine.request, view, times, clock.now_s())
         if not self._quarantine.knows_end(view):
-            await self._end_check.ask(view)
+            await self._end_check.check(view)
 
     def run_abandoned(
         self, machine: DeliveryMachine, view: EngineView, times: AttemptTimes
@@ -346,7 +348,7 @@
     def record_prefill(self, machine: DeliveryMachine, tokens: int, elapsed_s: float) -> None:
         """Record the prefill time of the newest attempt, and the tokens processed in it."""
         self._ports.record_prefill(machine.attempts[-1], machine.request, tokens, elapsed_s)
-        self.queues.was_read(machine.request.service)
+        self.queues.prompt_read(machine.request.service)
 
     def record_slot_time(self, machine: DeliveryMachine, held_s: float) -> None:
         """Record for how long a request occupied a slot of its engine."""
@@ -378,4 +380,4 @@
             view.breaker.record_abandoned()
         else:
             view.breaker.record_abandoned()
-            view.loading_until = max(view.loading_until, now + REFUSAL_BACKOFF_SECONDS)
+            view.paused_until = max(view.paused_until, now + REFUSAL_BACKOFF_SECONDS)
--- a/liftrill/gateway/gateway.py
+++ b/liftrill/gateway/gateway.py
@@ -30,11 +30,11 @@
 from liftrill.gateway.cluster_state import ClusterState
 from liftrill.gateway.configuration_view import ConfigurationView
 from liftrill.gateway.decision_log import DecisionLog, rounded_age
+from liftrill.gateway.engines.engine_condition import EngineSignal
 from liftrill.gateway.engines.engine_limits import LimitMessage
 from liftrill.gateway.engines.engine_selector import EngineSelector
-from liftrill.gateway.engines.engine_standing import EngineWord
 from liftrill.gateway.engines.engine_table import EngineNotice, EngineTable, EngineView
-from liftrill.gateway.engines.engine_update import EngineUpdate
+from liftrill.gateway.engines.unrecorded_engine_state import UnrecordedEngineState
 from liftrill.gateway.fleet_record import FleetRecord
 from liftrill.gateway.forwarder import Forwarder, ForwardingPorts
 from liftrill.gateway.freshness_checker import FreshnessChecker, FreshnessDelegate
@@ -190,7 +190,7 @@
             engines, ports, self._allowance, transport, log, metrics, self._quarantine
         )
         self.forwarder.prefill_started = self._send_prefill_start
-        link.wake_waiting = self.forwarder.queues.changed
+        link.wake_waiting = self.forwarder.queues.wake_all
         self._leadership = self._new_leadership()
         self._controller = self._new_controller(orders, targets)
         self._fleet_record = FleetRecord(
@@ -393,7 +393,7 @@
         self._beliefs.apply(change, known_until)
         self._apply_quarantine(change)
         self._announce_if_newer(before)
-        self.forwarder.queues.changed()
+        self.forwarder.queues.wake_all()
 
     def store_era_began(self, era: int) -> None:
         """Handle a later era in a store's response: the store was restored from an older copy."""
@@ -507,26 +507,26 @@
             incarnation=member.incarnation,
         )
 
-    def record_engine_word(self, word: EngineWord) -> None:
+    def record_engine_word(self, word: EngineSignal) -> None:
         """Process what an engine reported about itself in a response to this node."""
         self._gossip.handle_engine_message(word)
 
-    def _on_engine_update(self, update: EngineUpdate) -> None:
+    def _on_engine_update(self, update: UnrecordedEngineState) -> None:
         self._gossip.apply_update(update)
 
     def _on_notice(self, notice: EngineNotice) -> None:
         until = clock.now_s() + constants.LOADING_BELIEF_SECONDS
         self._engines.apply_notice(notice, until)
         if not notice.loading:
-            self.forwarder.queues.changed()
+            self.forwarder.queues.wake_all()
 
     def _on_loads(self, report: LoadReport) -> None:
         now = clock.now_s()
         of_zone = report.zone == self.settings.zone
-        self._beliefs.selector.parts.directory.hear(report.kept, now, of_zone)
-        self._quotas.hear(report, now)
+        self._beliefs.selector.parts.directory.apply_updates(report.kept, now, of_zone)
+        self._quotas.apply_report(report, now)
         if report.kept:
-            self.forwarder.queues.changed()
+            self.forwarder.queues.wake_all()
         if report.scope is LoadScope.NODE:
             self._peer_silence.record_report(report.node, now)
             self._load_board.update(report.node, report.loads, now, report.zone)
@@ -575,7 +575,7 @@
         self._quarantine.apply_quarantined(entry, clock.now_s())
 
     def _on_limit_message(self, node: str, message: LimitMessage) -> None:
-        self._limits.take(node, message, clock.now_s())
+        self._limits.receive(node, message, clock.now_s())
 
     def _on_served(self, fingerprint: bytes) -> None:
         self._quarantine.apply_served(fingerprint, clock.now_s())
@@ -618,12 +618,12 @@
             now = clock.now_s()
             members = self._membership.members()
             topology = topology_for(members)
-            kept = self._beliefs.selector.parts.directory.news(now)
+            kept = self._beliefs.selector.parts.directory.updates(now)
             messages = topology.own_reports(own, self._load_board, kept, members)
             has_load = any(message.report.loads or message.report.kept for message in messages)
             is_due = now - reported_at >= MAX_REPORT_INTERVAL_S
             if has_load or had_load or is_due:
-                messages = [self._quotas.add_to(message, now) for message in messages]
+                messages = [self._quotas.with_quota(message, now) for message in messages]
                 self._peers.send_reports([self._add_capacity(message, now) for message in messages])
                 reported_at = now
             self._peers.send_reports(self._speed_exchange.due_reports(messages, now))
@@ -717,9 +717,9 @@
             self._check_standstill(now)
             self._measure_capacity(now)
             self._beliefs.expire(now)
-            self._engines.standings.expire((view.standing for view in self._engines), now)
+            self._engines.conditions.expire((view.condition for view in self._engines), now)
             self.metrics.limited_engines.set(len(self._limits.in_force()))
-            self._limits.expire((view.at for view in self._engines), now)
+            self._limits.expire((view.identity for view in self._engines), now)
             self._follower.reselect_reader()
             self.metrics.version.set(self.view.version)
             self.metrics.engines.set(len(self._engines))
--- a/liftrill/gateway/gateway_metrics.py
+++ b/liftrill/gateway/gateway_metrics.py
@@ -8,7 +8,7 @@
 from liftrill.errors import ResultCode
 from liftrill.gateway import delivery_events as events
 from liftrill.gateway.delivery import DeliveryMachine
-from liftrill.gateway.engines.engine_standing import EngineWord
+from liftrill.gateway.engines.engine_condition import EngineSignal
 from liftrill.gateway.engines.service_speeds import SpeedFigures
 from liftrill.gateway.opaque_request import OpaqueRequest
 from liftrill.gateway.peers.node_capacity import NodeLoad
@@ -158,11 +158,11 @@
         """Count a request by outcome."""
         self.outcomes.labels(outcome).inc()
 
-    def count_engine_signal(self, signal: EngineWord) -> None:
+    def count_engine_signal(self, signal: EngineSignal) -> None:
         """Count an engine's answer that announces its leaving, a backoff or a rate limit."""
         if signal.leaving:
             self.engine_signals.labels("leaving").inc()
-        if signal.rest_s:
+        if signal.backoff_s:
             self.engine_signals.labels("rest").inc()
         if signal.limit_per_s is not None:
             self.engine_signals.labels("limit").inc()
--- a/liftrill/gateway/peers/engine_gossip.py
+++ b/liftrill/gateway/peers/engine_gossip.py
@@ -11,15 +11,15 @@
 from liftrill.coordination.rendezvous import first, rank
 from liftrill.gateway.decision_log import DecisionLog
 from liftrill.gateway.delivery_events import EngineAddress
+from liftrill.gateway.engines.engine_condition import EngineSignal
 from liftrill.gateway.engines.engine_limits import (
     EngineLimit,
     EngineLimits,
     LimitMessage,
     LimitPeers,
 )
-from liftrill.gateway.engines.engine_standing import EngineWord
 from liftrill.gateway.engines.engine_table import EngineTable
-from liftrill.gateway.engines.engine_update import EngineUpdate
+from liftrill.gateway.engines.unrecorded_engine_state import UnrecordedEngineState
 from liftrill.gateway.gateway_metrics import GatewayMetrics
 from liftrill.gateway.peers.peer_link import PeerLink
 
@@ -53,10 +53,10 @@
         self._log = log
         self._metrics = metrics
 
-    def handle_engine_message(self, message: EngineWord) -> None:
+    def handle_engine_message(self, message: EngineSignal) -> None:
         """Apply what an engine reports of itself in an answer, and broadcast that it leaves."""
         self._metrics.count_engine_signal(message)
-        if message.rest_s:
+        if message.backoff_s:
             self._log.engine_backoff_requested(message)
         if message.limit_per_s is not None:
             self._log.engine_limit_named(message)
@@ -64,19 +64,19 @@
         engine = self._engines.incarnation(message.engine)
         if engine is not None:
             self._limits.note_answer(engine, message.limit_per_s, message.permit, now)
-        if self._engines.hear(message, now):
+        if self._engines.apply_signal(message, now):
             self._log_leaving(message.engine, message.source)
             self._peers.broadcast_leaving([message.engine])
 
-    def apply_update(self, update: EngineUpdate) -> None:
+    def apply_update(self, update: UnrecordedEngineState) -> None:
         """Apply an update from a peer."""
         now = clock.now_s()
         for engine in update.leaving:
-            if self._engines.hear(EngineWord(engine, "peer", leaving=True), now):
+            if self._engines.apply_signal(EngineSignal(engine, "peer", leaving=True), now):
                 self._log_leaving(engine, "peer")
         for limit in update.limits:
             self._limits.merge(limit, now)
-        for record in self._engines.learn_unwritten(update, now):
+        for record in self._engines.merge_unrecorded_state(update, now):
             self._log.state_changed(
                 "engine_withheld", engine=record.engine_id, revision=record.revision
             )
@@ -104,7 +104,7 @@
         return self._membership.own.node_id in senders
 
     def _send_state(self, node: str, with_all_weights: bool = False) -> None:
-        update = self._engines.unwritten(with_all_weights)
+        update = self._engines.unrecorded_state(with_all_weights)
         self._peers.send_update(replace(update, limits=self._limits.in_force()), node)
 
     def _log_leaving(self, engine: EngineAddress, source: str) -> None:
@@ -145,7 +145,7 @@
         self._issuer_members: list[Member] = []
 
     @property
-    def own(self) -> str:
+    def node_id(self) -> str:
         """The name of this node."""
         return self._membership.own.node_id
 
@@ -158,7 +158,7 @@
         if engine not in self._issuers:
             key = f"{engine.engine_id} {engine.address} {engine.number}".encode()
             nodes = (member.node_id for member in members)
-            self._issuers[engine] = first(key, nodes) or self.own
+            self._issuers[engine] = first(key, nodes) or self.node_id
         return self._issuers[engine]
 
     def issuing_share(self) -> float:
--- a/liftrill/gateway/peers/load_exchange.py
+++ b/liftrill/gateway/peers/load_exchange.py
@@ -17,8 +17,8 @@
 from liftrill.coordination import rendezvous
 from liftrill.coordination.membership_messages import Member
 from liftrill.coordination.quota import QuotaReport
-from liftrill.gateway.engines.prefix_directory import KeptNews, KeptPart
-from liftrill.gateway.engines.speed_board import SpeedRow
+from liftrill.gateway.engines.prefix_directory import PartLocation, PartUpdates
+from liftrill.gateway.engines.speed_estimator import SpeedRow
 from liftrill.gateway.peers.capable_nodes import capable_members
 from liftrill.gateway.peers.load_table import LoadByEngine, LoadTable
 from liftrill.gateway.peers.node_capacity import NodeLoad
@@ -56,7 +56,7 @@
     node: str
     zone: str
     loads: LoadByEngine
-    kept: tuple[KeptPart, ...] = ()
+    kept: tuple[PartLocation, ...] = ()
     quota: QuotaReport | None = None
     speeds: tuple[SpeedRow, ...] = ()
     node_load: NodeLoad | None = None
@@ -79,7 +79,7 @@
 
     @abstractmethod
     def own_reports(
-        self, own: Member, table: LoadTable, kept: KeptNews, members: list[Member]
+        self, own: Member, table: LoadTable, kept: PartUpdates, members: list[Member]
     ) -> list[SendReport]:
         """Return the reports of a node on its own load, and on its zone's if it is the delegate."""
 
@@ -98,7 +98,7 @@
         return MIN_INTERVAL_S
 
     def own_reports(
-        self, own: Member, table: LoadTable, kept: KeptNews, members: list[Member]
+        self, own: Member, table: LoadTable, kept: PartUpdates, members: list[Member]
     ) -> list[SendReport]:
         """Return one report for all other members."""
         report = LoadReport(LoadScope.NODE, own.node_id, own.zone, table.own_loads(), kept.own)
@@ -120,7 +120,7 @@
         return min(MAX_INTERVAL_S, max(MIN_INTERVAL_S, local * INTERVAL_PER_NODE_S))
 
     def own_reports(
-        self, own: Member, table: LoadTable, kept: KeptNews, members: list[Member]
+        self, own: Member, table: LoadTable, kept: PartUpdates, members: list[Member]
     ) -> list[SendReport]:
         """Return a report for the own zone, and the delegate's sum for the other zones."""
         report = LoadReport(LoadScope.NODE, own.node_id, own.zone, table.own_loads(), kept.own)
--- a/liftrill/gateway/peers/load_table.py
+++ b/liftrill/gateway/peers/load_table.py
@@ -132,7 +132,7 @@
         counted = tuple(
             (view, load)
             for view, load in known
-            if view is not None and view.is_meant_by(load.number)
+            if view is not None and view.matches_number(load.number)
         )
         for view, load in counted:
             view.peer_load.add(load)
@@ -148,4 +148,4 @@
     """Return the own load on an engine, without the tokens of broadcast prefills."""
     load = view.own_load
     waiting_tokens = max(0, load.waiting_tokens - announced_tokens)
-    return replace(load, waiting_tokens=waiting_tokens, number=view.told_number)
+    return replace(load, waiting_tokens=waiting_tokens, number=view.advertised_number)
--- a/liftrill/gateway/peers/node_capacity.py
+++ b/liftrill/gateway/peers/node_capacity.py
@@ -9,7 +9,7 @@
 from collections.abc import Sequence
 from dataclasses import dataclass, field
 
-from liftrill.gateway.engines.service_model import middle
+from liftrill.gateway.engines.engine_speed import lower_median
 from liftrill.gateway.peers.silence_detector import SILENCE_TIMEOUT_S
 from liftrill.gateway.settings import MachineLimits
 
@@ -122,7 +122,7 @@
     @property
     def late_s(self) -> float:
         """Return the larger of the loop's lag and the delay of bodies over the link."""
-        arrival_s = middle(self._arrival_delays_s) if self._arrival_delays_s else 0.0
+        arrival_s = lower_median(self._arrival_delays_s) if self._arrival_delays_s else 0.0
         return max(self.lag_s, min(arrival_s, MAX_LAG_S))
 
     def record_request(self, body_bytes: int, arrival_s: float) -> None:
@@ -249,14 +249,14 @@
         return NodeLoad(0.0, 0.0)
     capacity = sum(load.capacity_cores for load in loads)
     used = sum(load.used_cores for load in loads)
-    return NodeLoad(capacity, used, middle(load.late_s for load in loads))
+    return NodeLoad(capacity, used, lower_median(load.late_s for load in loads))
 
 
 def _median_load(loads: list[NodeLoad]) -> NodeLoad:
     if not loads:
         return NodeLoad(0.0, 0.0)
     return NodeLoad(
-        middle(load.capacity_cores for load in loads),
-        middle(load.used_cores for load in loads),
-        middle(load.late_s for load in loads),
+        lower_median(load.capacity_cores for load in loads),
+        lower_median(load.used_cores for load in loads),
+        lower_median(load.late_s for load in loads),
     )
--- a/liftrill/gateway/peers/speed_exchange.py
+++ b/liftrill/gateway/peers/speed_exchange.py
@@ -7,7 +7,7 @@
 import math
 from dataclasses import dataclass, replace
 
-from liftrill.gateway.engines.speed_board import SpeedBoard
+from liftrill.gateway.engines.speed_estimator import SpeedEstimator
 from liftrill.gateway.peers.load_exchange import LoadReport, LoadScope, SendReport
 
 # Short enough that the recovery of an engine is known within two seconds.
@@ -22,7 +22,7 @@
         zone: the zone of this node.
     """
 
-    board: SpeedBoard
+    board: SpeedEstimator
     zone: str
     _reported_at: float = -math.inf
 
@@ -34,15 +34,15 @@
         deliveries = [
             SendReport(self._report(delivery.report, now), delivery.members) for delivery in loads
         ]
-        self.board.told()
+        self.board.reset_longest_pauses()
         return [delivery for delivery in deliveries if delivery.report.speeds and delivery.members]
 
     def apply_report(self, report: LoadReport, now: float) -> None:
         """Apply the measurements of a node, or of the nodes of another zone."""
         if report.scope is LoadScope.NODE:
-            self.board.hear(report.node, report.zone, report.speeds, now)
+            self.board.apply_report(report.node, report.zone, report.speeds, now)
         elif report.zone != self.zone:
-            self.board.hear("", report.zone, report.speeds, now)
+            self.board.apply_report("", report.zone, report.speeds, now)
 
     def _report(self, loads: LoadReport, now: float) -> LoadReport:
         if loads.scope is LoadScope.NODE:
