--- a/features/steps/machine_steps.py
+++ b/features/steps/machine_steps.py
@@ -6,9 +6,14 @@
 
 from liftrill.errors import Execution, ResultCode
 from liftrill.routing import events
-from liftrill.routing.machine import EngineChoice, RequestMachine, RoutingPorts, Unavailable
 from liftrill.routing.outcome import Completed, Failed
 from liftrill.routing.request import RoutedRequest
+from liftrill.routing.request_state_machine import (
+    EngineChoice,
+    RequestStateMachine,
+    RoutingPorts,
+    Unavailable,
+)
 
 ENGINES = ("engine-0", "engine-1", "engine-2")
 
@@ -39,7 +44,7 @@
 
 def begin(context, tokens, repeatable):
     context.ports = FakePorts()
-    context.machine = RequestMachine(new_request(tokens, repeatable), context.ports)
+    context.machine = RequestStateMachine(new_request(tokens, repeatable), context.ports)
     context.instructions = []
     context.delivered = []
 
@@ -76,7 +81,7 @@
 
 @when("it is started")
 def step_started(context):
-    feed(context, events.Started())
+    feed(context, events.DispatchPermitted())
 
 
 @when("tokens {first:d} to {last:d} arrive")
@@ -174,7 +179,7 @@
 
 @then("{count:d} chunk was dropped as {reason}")
 def step_dropped(context, count, reason):
-    assert context.machine.dropped[events.DroppedChunk(reason)] == count
+    assert context.machine.dropped[events.ChunkDropReason(reason)] == count
 
 
 EVENT_KINDS = strategies.sampled_from(
@@ -186,7 +191,7 @@
     current = f"request-{max(0, len(machine.chosen) - 1)}"
     index = machine.next_index
     table = {
-        "start": events.Started(),
+        "start": events.DispatchPermitted(),
         "token": events.TokenReceived("request", current, index, "t"),
         "repeat": events.TokenReceived("request", current, max(0, index - 1), "t"),
         "gap": events.TokenReceived("request", current, index + 1, "t"),
@@ -207,12 +212,12 @@
     if not machine.chosen or machine.phase.name == "WAITING":
         return kind == "deadline"
     if kind == "refuse":
-        return machine.phase.name == "RUNNING" and machine.next_index == machine.attempt_start
+        return machine.phase.name == "RUNNING" and machine.next_index == machine.attempt_start_index
     return True
 
 
 def check_history(kinds, repeatable):
-    machine = RequestMachine(new_request(4, repeatable), FakePorts())
+    machine = RequestStateMachine(new_request(4, repeatable), FakePorts())
     possibly_run = set()
     outcome = None
     for kind in kinds:
--- a/features/steps/routing_steps.py
+++ b/features/steps/routing_steps.py
@@ -16,12 +16,12 @@
 from liftrill.cache.event_stream import BlockEvent, EventStream
 from liftrill.cache.home import AgedHolder, HomeDirectory, PrefixReport
 from liftrill.cache.tokenizer import FixedWidthTokenizer
-from liftrill.planning.sections import view_of
+from liftrill.planning.sections import configuration_view
 from liftrill.routing.admission import AdmissionController
 from liftrill.routing.engine_state import EngineIdentity, EngineListing, EngineTable
-from liftrill.routing.machine import EngineChoice, Unavailable
 from liftrill.routing.policies import POLICIES
 from liftrill.routing.request import RoutedRequest
+from liftrill.routing.request_state_machine import EngineChoice, Unavailable
 from liftrill.routing.router import Router
 
 PREFIX = b"the same folio " * 400
@@ -43,7 +43,7 @@
         self.router = Router(
             self.table, policy, self.directory, AdmissionController(), b"secret", time.monotonic
         )
-        self.router.view = view_of(configuration_of(deployment))
+        self.router.view = configuration_view(configuration_of(deployment))
         self.numbers = itertools.count()
 
     def state(self, number):
@@ -115,9 +115,9 @@
 def step_queued(context, number):
     router = context.router.router
     assert router.enqueue(context.request) is not None
-    assert router.grant_turns() == []
+    assert router.grant_dispatches() == []
     context.router.state(number).record_end()
-    context.turns = router.grant_turns()
+    context.turns = router.grant_dispatches()
 
 
 @then("its turn comes and it goes to engine {number:d}")
@@ -145,7 +145,7 @@
     for _ in range(3):
         request = under_test.request()
         context.choice = under_test.router.choose(request, frozenset(), None)
-        under_test.router.record_answer(request, context.choice.engine_id, 0)
+        under_test.router.record_completion(request, context.choice.engine_id, 0)
 
 
 def believed(under_test):
--- a/liftrill/bench/decision.py
+++ b/liftrill/bench/decision.py
@@ -9,12 +9,12 @@
 from liftrill.bench.simulation.simulator import configuration_of
 from liftrill.bench.summary import percentiles
 from liftrill.cache.directory import PrefixDirectory
-from liftrill.planning.sections import view_of
+from liftrill.planning.sections import configuration_view
 from liftrill.routing.admission import AdmissionController
 from liftrill.routing.engine_state import EngineIdentity, EngineListing, EngineTable
-from liftrill.routing.machine import EngineChoice
 from liftrill.routing.policies import POLICIES
 from liftrill.routing.request import RoutedRequest
+from liftrill.routing.request_state_machine import EngineChoice
 from liftrill.routing.router import Router
 
 PROMPT_BYTES = 4_000
@@ -84,7 +84,7 @@
         state.apply_identity(EngineIdentity(1, 0, pool.weight_version, False))
     chosen = POLICIES[policy](directory, source)
     router = Router(table, chosen, directory, AdmissionController(), SECRET, time.monotonic)
-    router.view = view_of(configuration_of(deployment))
+    router.view = configuration_view(configuration_of(deployment))
     return router
 
 
--- a/liftrill/bench/memory.py
+++ b/liftrill/bench/memory.py
@@ -15,7 +15,7 @@
 from liftrill.coordination.membership import Membership, MembershipParameters
 from liftrill.coordination.membership_messages import Member
 from liftrill.messages.configuration_pb2 import Tenant
-from liftrill.planning.sections import api_key_digest, encode_tenants, view_of
+from liftrill.planning.sections import api_key_digest, configuration_view, encode_tenants
 from liftrill.routing.engine_records import EngineObservation, EngineRecords
 from liftrill.routing.engine_state import EngineIdentity, EngineListing, EngineTable
 
@@ -123,7 +123,7 @@
     )
     digests = {name: content_digest(content) for name, content in sections.items()}
     configuration = Configuration(Head(1, digests), sections)
-    return configuration, view_of(configuration)
+    return configuration, configuration_view(configuration)
 
 
 def _claims() -> ClaimMember:
--- a/liftrill/bench/simulation/kept_store.py
+++ b/liftrill/bench/simulation/kept_store.py
@@ -4,7 +4,7 @@
 from collections.abc import Sequence
 from typing import TYPE_CHECKING
 
-from liftrill.routing.router import KeepPrefix
+from liftrill.routing.router import PrefixSaveAdvice
 
 if TYPE_CHECKING:
     from liftrill.bench.simulation.engine import SimulatedEngine
@@ -26,7 +26,7 @@
                 return self._prefixes[name]
         return 0
 
-    def keep(self, advice: KeepPrefix, engine: "SimulatedEngine") -> None:
+    def keep(self, advice: PrefixSaveAdvice, engine: "SimulatedEngine") -> None:
         """Take a prefix from an engine, if the engine still holds it."""
         if advice.name not in engine.model.cache:
             return
--- a/liftrill/bench/simulation/node.py
+++ b/liftrill/bench/simulation/node.py
@@ -19,14 +19,14 @@
     TokenProduced,
 )
 from liftrill.errors import ResultCode
-from liftrill.planning.sections import view_of
+from liftrill.planning.sections import configuration_view
 from liftrill.routing import events
 from liftrill.routing.admission import AdmissionController
 from liftrill.routing.engine_state import EngineListing, EngineState, EngineTable
-from liftrill.routing.machine import RequestMachine
 from liftrill.routing.outcome import Completed, Outcome
 from liftrill.routing.policies import POLICIES
 from liftrill.routing.request import RoutedRequest
+from liftrill.routing.request_state_machine import RequestStateMachine
 from liftrill.routing.router import Router
 
 REFUSALS = {
@@ -47,7 +47,7 @@
         on_end: called with the outcome.
     """
 
-    machine: RequestMachine
+    machine: RequestStateMachine
     on_first_token: Callable[[float], None]
     on_end: Callable[[Outcome], None]
     engine: EngineState | None = None
@@ -101,7 +101,7 @@
         self.router = Router(
             table, policy, self.directory, self._admission(), b"simulation", self._clock.now
         )
-        self.router.view = view_of(self._configuration)
+        self.router.view = configuration_view(self._configuration)
         self._streams = {e: EventStream(e, self.directory) for e in self._engines}
         for engine in self._engines.values():
             self._take_report(engine)
@@ -121,7 +121,7 @@
 
     def exchange(self, homes: dict[str, "SimulatedNode"]) -> None:
         """Report the prefixes in use to their homes and take in the answers."""
-        reports = self.router.reporter.take_reports(sorted(homes), self._clock.now())
+        reports = self.router.home_reporter.take_reports(sorted(homes), self._clock.now())
         for home_id, home_reports in reports.items():
             self._exchange_with(homes[home_id], home_reports)
 
@@ -130,7 +130,7 @@
 
         def deliver() -> None:
             answers = home.home.exchange(self.node_id, reports, self._clock.now())
-            reporter = self.router.reporter
+            reporter = self.router.home_reporter
             self._clock.call_later(
                 delay, lambda: reporter.apply_answers(answers, self._clock.now())
             )
@@ -154,10 +154,10 @@
         on_end: Callable[[Outcome], None],
     ) -> None:
         """Serve a request."""
-        machine = RequestMachine(request, self.router)
+        machine = RequestStateMachine(request, self.router)
         opened = OpenRequest(machine, on_first_token, on_end)
         self._clock.call_at(request.deadline, lambda: self._on_deadline(opened))
-        self._feed(opened, events.Started())
+        self._feed(opened, events.DispatchPermitted())
 
     def _on_deadline(self, opened: OpenRequest) -> None:
         if not opened.ended:
@@ -284,7 +284,9 @@
         self._queued.pop(request.request_id, None)
         if isinstance(outcome, Completed) and opened.engine is not None:
             opened.engine.record_success()
-            advice = self.router.record_answer(request, outcome.engine_id, outcome.cached_tokens)
+            advice = self.router.record_completion(
+                request, outcome.engine_id, outcome.cached_tokens
+            )
             if advice is not None:
                 self._kept_store.keep(advice, self._engines[advice.engine_id])
         self.router.record_abandoned(request)
@@ -311,25 +313,25 @@
         wait = self.router.expected_wait(request)
         if self._clock.now() + wait > request.deadline:
             code = ResultCode.DEADLINE_UNREACHABLE
-            self._feed(opened, events.TurnRefused(code, wait))
+            self._feed(opened, events.QueueingRefused(code, wait))
             return
         item = self.router.enqueue(request)
         if item is None:
-            self._feed(opened, events.TurnRefused(ResultCode.QUEUE_FULL, wait))
+            self._feed(opened, events.QueueingRefused(ResultCode.QUEUE_FULL, wait))
             return
         self._queued[request.request_id] = opened
         self._clock.call_later(0.0, self._wake)
 
     def _wake(self) -> None:
-        for request in self.router.grant_turns():
+        for request in self.router.grant_dispatches():
             opened = self._queued.pop(request.request_id, None)
             if opened is None or opened.ended:
-                self.router.abandon_turn(request)
+                self.router.release_dispatch_grant(request)
             else:
-                self._feed(opened, events.Started())
+                self._feed(opened, events.DispatchPermitted())
 
     def _admission(self) -> AdmissionController:
         admission = AdmissionController()
-        view = view_of(self._configuration)
+        view = configuration_view(self._configuration)
         admission.configure(list(view.tenants.tenants), list(view.workloads.workloads))
         return admission
--- a/liftrill/gateway/delivery.py
+++ b/liftrill/gateway/delivery.py
@@ -143,7 +143,7 @@
     @property
     def refuted_runs(self) -> int:
         """How many charged runs did not happen: one is charged before anything is sent."""
-        return max(1, len(self.attempts)) - self._ledger.open_attempts
+        return max(1, len(self.attempts)) - self._ledger.possibly_run_attempts
 
     def handle(self, event: events.DeliveryEvent) -> list[events.DeliveryInstruction]:
         """Take in one event and return the instructions that follow from it."""
@@ -180,7 +180,7 @@
 
     def _on_refused(self, event: events.AttemptRefused) -> list[events.DeliveryInstruction]:
         choice = self.attempts[-1]
-        self._ledger.refute(self._attempt_name())
+        self._ledger.record_not_run(self._attempt_name())
         if choice.continues_copy:
             # The run that broke may not be begun anew, and there is no other copy.
             return [self._end(self._loss_code())]
@@ -334,7 +334,7 @@
             raise DeliveryInvariantError("the end was not announced")
 
     def _earlier_refuted(self) -> bool:
-        return self._ledger.open_attempts <= 1
+        return self._ledger.possibly_run_attempts <= 1
 
     _HANDLERS: ClassVar[dict[type, Callable[..., list[events.DeliveryInstruction]]]] = {
         events.Started: _on_started,
--- a/liftrill/node/caller_api.py
+++ b/liftrill/node/caller_api.py
@@ -43,9 +43,9 @@
 from liftrill.node.context import NodeContext
 from liftrill.node.request_runner import CallerGoneError, TokenSink
 from liftrill.routing.events import DeliverToken
-from liftrill.routing.machine import RequestMachine
-from liftrill.routing.outcome import Completed, Failed, Outcome, refuse_unattempted
+from liftrill.routing.outcome import Completed, Failed, Outcome, unattempted_refusal
 from liftrill.routing.request import RoutedRequest
+from liftrill.routing.request_state_machine import RequestStateMachine
 
 
 class WholeSink(TokenSink):
@@ -198,7 +198,7 @@
         claim = await self._claims.claim(routed.idempotency_key, routed.request_id, digest)
         if isinstance(claim, StoredResult):
             return await _deliver_stored(claim, sink)
-        machine = RequestMachine(routed, self._context.dispatcher)
+        machine = RequestStateMachine(routed, self._context.dispatcher)
         try:
             outcome = await self._run(routed, sink, machine)
         except (RequestError, asyncio.CancelledError):
@@ -236,7 +236,7 @@
             NotRunError: there is no configuration yet.
         """
         if self._context.view.generation == 0:
-            raise refuse_unattempted(
+            raise unattempted_refusal(
                 ResultCode.NO_CONFIGURATION, retry_after_seconds=constants.RETRY_AFTER_SECONDS
             )
         tenant = self._tenant(headers)
@@ -277,22 +277,22 @@
 
     def _admit(self, routed: RoutedRequest) -> None:
         if self._context.draining:
-            raise refuse_unattempted(
+            raise unattempted_refusal(
                 ResultCode.NODE_DRAINING, retry_after_seconds=constants.RETRY_AFTER_SECONDS
             )
         wait = self._context.admission.admit(
             routed.tenant, routed.workload, routed.prompt_tokens, clock.now_s()
         )
         if wait > 0:
-            raise refuse_unattempted(ResultCode.RATE_LIMITED, retry_after_seconds=wait)
+            raise unattempted_refusal(ResultCode.RATE_LIMITED, retry_after_seconds=wait)
 
     async def _run(
-        self, routed: RoutedRequest, sink: "AnswerSink", machine: RequestMachine | None = None
+        self, routed: RoutedRequest, sink: "AnswerSink", machine: RequestStateMachine | None = None
     ) -> Outcome:
         """Admit and run a request."""
         self._admit(routed)
         started_at = clock.now_s()
-        machine = machine or RequestMachine(routed, self._context.dispatcher)
+        machine = machine or RequestStateMachine(routed, self._context.dispatcher)
         outcome = await self._context.runner.run(machine, sink)
         if sink.first_token_at is not None:
             self._context.metrics.first_token_seconds.observe(sink.first_token_at - started_at)
@@ -329,7 +329,7 @@
     )
 
 
-def _stored_result(machine: RequestMachine, completed: Completed) -> StoredResult:
+def _stored_result(machine: RequestStateMachine, completed: Completed) -> StoredResult:
     return StoredResult(
         text=machine.delivered_text,
         finish_reason=completed.finish_reason,
--- a/liftrill/node/configuration_sync.py
+++ b/liftrill/node/configuration_sync.py
@@ -22,8 +22,13 @@
 )
 from liftrill.node.logs import log_change
 from liftrill.node.peer_client import PeerClient, PeerError
-from liftrill.planning.commit import HEAD_KEY, install_newer_head, section_key
-from liftrill.planning.sections import ConfigurationView, head_from_message, parse_head, view_of
+from liftrill.planning.commit import HEAD_KEY, restore_newer_head, section_key
+from liftrill.planning.sections import (
+    ConfigurationView,
+    configuration_view,
+    head_from_message,
+    parse_head,
+)
 
 
 class ConfigurationSync:
@@ -129,7 +134,7 @@
             for name, content in current.sections.items()
         }
         await asyncio.sleep(self._random.uniform(0, constants.STORE_RETRY_FIRST_SECONDS))
-        if await install_newer_head(self._store, self._context.head, sections):
+        if await restore_newer_head(self._store, self._context.head, sections):
             log_change("store_repaired", generation=current.head.generation)
 
     def _offer_snapshot(self, snapshot: Snapshot) -> None:
@@ -183,7 +188,7 @@
         current = self._context.replica.current
         if current is None or current.head.generation == self._context.view.generation:
             return
-        view = view_of(current)
+        view = configuration_view(current)
         context = self._context
         context.view = view
         context.router.view = view
--- a/liftrill/node/control_loop.py
+++ b/liftrill/node/control_loop.py
@@ -148,7 +148,9 @@
             pools=pools,
             bursts=view.bursts.bursts,
             engines={name: self._context.engines.in_pools([name]) for name in pools},
-            strays=[engine for engine in self._context.engines if engine.pool not in pools],
+            orphaned_engines=[
+                engine for engine in self._context.engines if engine.pool not in pools
+            ],
             unix_now=time.time(),
             now=clock.now_s(),
         )
--- a/liftrill/node/dispatcher.py
+++ b/liftrill/node/dispatcher.py
@@ -6,8 +6,8 @@
 from liftrill import clock, constants
 from liftrill.errors import LiftrillError, ResultCode
 from liftrill.node.metrics import NodeMetrics
-from liftrill.routing.machine import EngineChoice, RoutingPorts, Unavailable
 from liftrill.routing.request import RoutedRequest
+from liftrill.routing.request_state_machine import EngineChoice, RoutingPorts, Unavailable
 from liftrill.routing.router import Router
 
 
@@ -67,7 +67,7 @@
             asyncio.get_running_loop().call_soon(self.wake, request.model)
             await turn
         except BaseException:
-            self.router.abandon_turn(request)
+            self.router.release_dispatch_grant(request)
             raise
         finally:
             self.router.dequeue(item)
@@ -76,9 +76,9 @@
 
     def wake(self, model: str | None = None) -> None:
         """Let waiting requests go on as far as engines have room."""
-        for request in self.router.grant_turns(model):
+        for request in self.router.grant_dispatches(model):
             turn = self._turns.get(request.request_id)
             if turn is None or turn.done():
-                self.router.abandon_turn(request)
+                self.router.release_dispatch_grant(request)
             else:
                 turn.set_result(None)
--- a/liftrill/node/engine_client.py
+++ b/liftrill/node/engine_client.py
@@ -16,7 +16,7 @@
 from liftrill.routing import events
 from liftrill.routing.engine_state import EngineIdentity, EngineReport, EngineState
 from liftrill.routing.request import RoutedRequest
-from liftrill.routing.router import KeepPrefix
+from liftrill.routing.router import PrefixSaveAdvice
 
 EVENT_SEPARATOR = b"\n\n"
 DATA_PREFIX = b"data: "
@@ -206,7 +206,7 @@
         except (aiohttp.ClientError, TimeoutError, OSError, ValueError, KeyError, TypeError):
             return None
 
-    async def export_prefix(self, engine: EngineState, advice: KeepPrefix) -> None:
+    async def export_prefix(self, engine: EngineState, advice: PrefixSaveAdvice) -> None:
         """Have an engine give a prefix to the kept-KV store; failure costs a later import."""
         body = {"name": advice.name.hex(), "blocks": advice.blocks}
         await self._post(f"http://{engine.address}/v1/exports", body)
--- a/liftrill/node/prefix_exchange.py
+++ b/liftrill/node/prefix_exchange.py
@@ -58,7 +58,7 @@
 
     async def _exchange(self) -> None:
         members = {m.node_id: m.address for m in self._membership.members()}
-        reporter = self._context.router.reporter
+        reporter = self._context.router.home_reporter
         reports = reporter.take_reports(sorted(members), clock.now_s())
         await asyncio.gather(
             *(self._exchange_with(home, members[home], own) for home, own in reports.items())
@@ -74,7 +74,7 @@
                 answers = reports_from_message(await self._peers.exchange(address, message))
             except PeerError:
                 return
-        self._context.router.reporter.apply_answers(answers, clock.now_s())
+        self._context.router.home_reporter.apply_answers(answers, clock.now_s())
 
     async def _read_events(self) -> None:
         engines = self._context.engines.in_pools(self._context.view.pools_by_name)
--- a/liftrill/node/request_runner.py
+++ b/liftrill/node/request_runner.py
@@ -17,8 +17,8 @@
 from liftrill.node.metrics import NodeMetrics
 from liftrill.routing import events
 from liftrill.routing.engine_state import EngineState, EngineTable
-from liftrill.routing.machine import RequestMachine
 from liftrill.routing.outcome import Completed, Outcome
+from liftrill.routing.request_state_machine import RequestStateMachine
 
 
 class CallerGoneError(LiftrillError):
@@ -54,7 +54,7 @@
         self._metrics = metrics
         self._spawn = spawn
 
-    async def run(self, machine: RequestMachine, sink: TokenSink) -> Outcome:
+    async def run(self, machine: RequestStateMachine, sink: TokenSink) -> Outcome:
         """Run a request to its end.
 
         Raises:
@@ -63,33 +63,33 @@
         execution = _Execution(self, machine, sink)
         try:
             async with asyncio.timeout(max(0.0, machine.request.deadline - clock.now_s())):
-                outcome = await execution.drive(events.Started())
+                outcome = await execution.drive(events.DispatchPermitted())
             self._learn(machine, outcome)
             return outcome
         except TimeoutError:
             return execution.finish(events.DeadlinePassed())
         except CallerGoneError:
-            return execution.finish(events.CallerGone())
+            return execution.finish(events.CallerDisconnected())
         except asyncio.CancelledError:
-            execution.finish(events.CallerGone())
+            execution.finish(events.CallerDisconnected())
             raise
         finally:
             self._dispatcher.router.record_abandoned(machine.request)
             execution.close()
 
-    def _learn(self, machine: RequestMachine, outcome: Outcome) -> None:
+    def _learn(self, machine: RequestStateMachine, outcome: Outcome) -> None:
         """Tell the router what came of its choice, and carry out its advice."""
         router = self._dispatcher.router
         if not isinstance(outcome, Completed) or len(machine.chosen) != 1:
             router.record_abandoned(machine.request)
             return
-        advice = router.record_answer(machine.request, outcome.engine_id, outcome.cached_tokens)
+        advice = router.record_completion(machine.request, outcome.engine_id, outcome.cached_tokens)
         engine = self._engines.get(outcome.engine_id)
         if advice is not None and engine is not None:
             self._spawn(self._client.export_prefix(engine, advice))
 
     async def start(
-        self, machine: RequestMachine, instruction: events.StartAttempt
+        self, machine: RequestStateMachine, instruction: events.StartAttempt
     ) -> tuple[EngineState, EngineStream | None, events.RequestEvent | None]:
         """Send an attempt; return its stream, or the event that says why there is none."""
         engine = self._engines.get(instruction.engine_id)
@@ -139,18 +139,18 @@
             engine.breaker.record_abandoned()
         self._dispatcher.wake()
 
-    def count_dropped(self, machine: RequestMachine) -> None:
+    def count_dropped(self, machine: RequestStateMachine) -> None:
         """Add a request's dropped chunks to the counters."""
         for reason, count in machine.dropped.items():
             self._metrics.dropped_chunks.labels(reason=reason.value).inc(count)
 
-    async def wait_for_turn(self, machine: RequestMachine) -> events.RequestEvent:
+    async def wait_for_turn(self, machine: RequestStateMachine) -> events.RequestEvent:
         """Wait in the queue; return the event that follows."""
         try:
             await self._dispatcher.wait_for_turn(machine.request)
         except TurnRefusedError as refusal:
-            return events.TurnRefused(refusal.code, refusal.retry_after_seconds)
-        return events.Started()
+            return events.QueueingRefused(refusal.code, refusal.retry_after_seconds)
+        return events.DispatchPermitted()
 
     def _record_refusal(self, engine: EngineState, refusal: AttemptRefusedError) -> None:
         self._metrics.attempts.labels(result=refusal.kind.value).inc()
@@ -167,7 +167,9 @@
 class _Execution:
     """The state of one run: the machine, and the attempt that is open now."""
 
-    def __init__(self, runner: RequestRunner, machine: RequestMachine, sink: TokenSink) -> None:
+    def __init__(
+        self, runner: RequestRunner, machine: RequestStateMachine, sink: TokenSink
+    ) -> None:
         self._runner = runner
         self._machine = machine
         self._sink = sink
--- a/liftrill/planning/burst.py
+++ b/liftrill/planning/burst.py
@@ -57,7 +57,7 @@
     pools: Mapping[str, Pool]
     bursts: Sequence[Burst]
     engines: Mapping[str, Sequence[EngineState]]
-    strays: Sequence[EngineState]
+    orphaned_engines: Sequence[EngineState]
     unix_now: float
     now: float
 
@@ -133,7 +133,11 @@
 
     def _own_stray(self, view: ControlView) -> EngineState | None:
         """Return an engine of this pool that was lent to a pool which is gone."""
-        own = [e for e in view.strays if e.listed_pool == self._pool_name and self._can_move(e)]
+        own = [
+            e
+            for e in view.orphaned_engines
+            if e.listed_pool == self._pool_name and self._can_move(e)
+        ]
         return own[0] if own else None
 
     def _utilization(self, engines: Sequence[EngineState], now: float) -> float:
--- a/liftrill/planning/commit.py
+++ b/liftrill/planning/commit.py
@@ -113,7 +113,7 @@
         )
 
 
-async def install_newer_head(
+async def restore_newer_head(
     store: KeyValueStore, head: messages.Head, sections: dict[bytes, bytes]
 ) -> bool:
     """Put back a confirmed head into a store that was restored from an older copy.
--- a/liftrill/planning/plan.py
+++ b/liftrill/planning/plan.py
@@ -17,9 +17,9 @@
     ConfigurationView,
     SectionName,
     api_key_digest,
-    by_name,
     encode,
     encode_tenants,
+    index_by_name,
 )
 
 HIDDEN_FIELDS = frozenset({"apiKeyDigests"})
@@ -112,7 +112,7 @@
         *_differences(SectionName.TENANTS, view.tenants_by_name, tenants),
         *_differences(SectionName.WORKLOADS, view.workloads_by_name, workloads),
         *_differences(SectionName.POOLS, view.pools_by_name, pools),
-        *_differences(SectionName.BURSTS, by_name(view.bursts.bursts), bursts),
+        *_differences(SectionName.BURSTS, index_by_name(view.bursts.bursts), bursts),
         *_claim_differences(view.claims, claims),
     )
     return Plan(
@@ -122,7 +122,7 @@
         changes=changes,
         consequences=(
             *_consequences(view.pools_by_name, pools, engines_by_pool),
-            *_burst_consequences(by_name(view.bursts.bursts), bursts, pools),
+            *_burst_consequences(index_by_name(view.bursts.bursts), bursts, pools),
         ),
         completes_claim_change=bool(view.claims.previous_members) and claims != view.claims,
     )
@@ -136,13 +136,13 @@
 def _merge(
     current: Iterable[ConfiguredItem], stated: Iterable[ConfiguredItem], removed: list[str]
 ) -> dict[str, ConfiguredItem]:
-    items = by_name(current)
+    items = index_by_name(current)
     unknown = [name for name in removed if name not in items]
     if unknown:
         raise OperatorError(ResultCode.INVALID_INTENT, f"cannot remove unknown {unknown[0]!r}")
     for name in removed:
         del items[name]
-    items.update(by_name(stated))
+    items.update(index_by_name(stated))
     return dict(sorted(items.items()))
 
 
--- a/liftrill/planning/sections.py
+++ b/liftrill/planning/sections.py
@@ -116,7 +116,7 @@
         return max(candidates, key=lambda workload: workload.priority, default=None)
 
 
-def view_of(configuration: Configuration | None) -> ConfigurationView:
+def configuration_view(configuration: Configuration | None) -> ConfigurationView:
     """Return the typed view of a configuration.
 
     Raises:
@@ -135,14 +135,14 @@
         claims=_section(configuration, SectionName.CLAIMS, messages.ClaimSection),
         bursts=_section(configuration, SectionName.BURSTS, messages.BurstSection),
         tenants_by_key={key: t for t in tenants.tenants for key in t.api_key_digests},
-        tenants_by_name=by_name(tenants.tenants),
-        workloads_by_name=by_name(workloads.workloads),
+        tenants_by_name=index_by_name(tenants.tenants),
+        workloads_by_name=index_by_name(workloads.workloads),
         pools_by_model=_group_by_model(pools),
-        pools_by_name=by_name(pools.pools),
+        pools_by_name=index_by_name(pools.pools),
     )
 
 
-def by_name(items: Iterable[Item]) -> dict[str, Item]:
+def index_by_name(items: Iterable[Item]) -> dict[str, Item]:
     """Return items by their name."""
     return {item.name: item for item in items}
 
--- a/liftrill/routing/events.py
+++ b/liftrill/routing/events.py
@@ -18,12 +18,12 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Started:
+class DispatchPermitted:
     """The request was admitted, or an engine may have become free."""
 
 
 @dataclass(frozen=True, slots=True)
-class TurnRefused:
+class QueueingRefused:
     """The request cannot wait for an engine: the queue is full or the wait too long."""
 
     code: ResultCode
@@ -75,7 +75,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class CallerGone:
+class CallerDisconnected:
     """Nobody reads the answer any more."""
 
 
@@ -85,14 +85,14 @@
 
 
 RequestEvent = (
-    Started
-    | TurnRefused
+    DispatchPermitted
+    | QueueingRefused
     | AttemptRefused
     | TokenReceived
     | AttemptFinished
     | AttemptBroken
     | ResumeRefused
-    | CallerGone
+    | CallerDisconnected
     | DeadlinePassed
 )
 
@@ -163,7 +163,7 @@
 )
 
 
-class DroppedChunk(Enum):
+class ChunkDropReason(Enum):
     """Why a chunk was dropped; counted."""
 
     FOREIGN = "foreign"
--- a/liftrill/routing/outcome.py
+++ b/liftrill/routing/outcome.py
@@ -22,7 +22,7 @@
     REFUTED = auto()
 
 
-class NoAttemptBegun:
+class NotRunProof:
     """Proof that no attempt of a request can have begun. Issued by `AttemptLedger` only."""
 
     __slots__ = ("ledger",)
@@ -46,7 +46,7 @@
         return len(self._attempts)
 
     @property
-    def open_attempts(self) -> int:
+    def possibly_run_attempts(self) -> int:
         """How many attempts may have run."""
         return sum(s is AttemptState.POSSIBLY_RUN for s in self._attempts.values())
 
@@ -58,19 +58,19 @@
             raise LedgerError(f"attempt {attempt_id} was begun before")
         self._attempts[attempt_id] = AttemptState.POSSIBLY_RUN
 
-    def refute(self, attempt_id: str) -> None:
+    def record_not_run(self, attempt_id: str) -> None:
         """Record that the engine said it did not run an attempt, or was never reached."""
         if attempt_id not in self._attempts:
             raise LedgerError(f"attempt {attempt_id} is not known")
         self._attempts[attempt_id] = AttemptState.REFUTED
 
-    def seal_if_not_run(self) -> NoAttemptBegun | None:
+    def seal_if_not_run(self) -> NotRunProof | None:
         """Return a proof if every attempt was refuted; no attempt can begin afterwards."""
         possibly_run = AttemptState.POSSIBLY_RUN in self._attempts.values()
         if possibly_run and is_enabled(Mechanism.ATTEMPT_LEDGER):
             return None
         self.sealed = True
-        return NoAttemptBegun(self)
+        return NotRunProof(self)
 
 
 class NotRunError(RequestError):
@@ -80,7 +80,7 @@
 
     def __init__(
         self,
-        proof: NoAttemptBegun,
+        proof: NotRunProof,
         code: ResultCode,
         detail: str = "",
         retry_after_seconds: float | None = None,
@@ -89,7 +89,7 @@
         super().__init__(code, detail, retry_after_seconds)
 
 
-def refuse_unattempted(
+def unattempted_refusal(
     code: ResultCode, detail: str = "", retry_after_seconds: float | None = None
 ) -> NotRunError:
     """Return the refusal of a request for which nothing was attempted."""
--- a/liftrill/routing/machine.py
+++ b/liftrill/routing/request_state_machine.py
@@ -73,7 +73,7 @@
     ENDED = auto()
 
 
-class RequestMachine:
+class RequestStateMachine:
     """Decides what happens next with one request.
 
     Attributes:
@@ -87,7 +87,7 @@
         self.request = request
         self.phase = Phase.WAITING
         self.next_index = 0
-        self.dropped: Counter[events.DroppedChunk] = Counter()
+        self.dropped: Counter[events.ChunkDropReason] = Counter()
         self.chosen: list[EngineChoice] = []
         self._ports = ports
         self._ledger = AttemptLedger()
@@ -104,7 +104,7 @@
         return "".join(self._delivered)
 
     @property
-    def attempt_start(self) -> int:
+    def attempt_start_index(self) -> int:
         """Index of the first token of the present attempt."""
         return self._start_index
 
@@ -124,12 +124,12 @@
 
     # One handler per event
 
-    def _on_started(self, _: events.Started) -> list[events.RequestInstruction]:
+    def _on_started(self, _: events.DispatchPermitted) -> list[events.RequestInstruction]:
         if self.phase is not Phase.WAITING:
             return []
         return self._attempt_on_some_engine()
 
-    def _on_turn_refused(self, event: events.TurnRefused) -> list[events.RequestInstruction]:
+    def _on_turn_refused(self, event: events.QueueingRefused) -> list[events.RequestInstruction]:
         return [
             self._end_with(
                 event.code,
@@ -141,7 +141,7 @@
     def _on_attempt_refused(self, event: events.AttemptRefused) -> list[events.RequestInstruction]:
         if event.attempt_id != self._attempt_id:
             return []
-        self._ledger.refute(event.attempt_id)
+        self._ledger.record_not_run(event.attempt_id)
         self._excluded.add(self.chosen[-1].engine_id)
         self._last_refusal = event.kind
         self.phase = Phase.WAITING
@@ -151,9 +151,9 @@
 
     def _on_token(self, event: events.TokenReceived) -> list[events.RequestInstruction]:
         if self._is_foreign(event.request_id, event.attempt_id):
-            return self._drop(events.DroppedChunk.FOREIGN)
+            return self._drop(events.ChunkDropReason.FOREIGN)
         if event.index < self.next_index and is_enabled(Mechanism.STREAM_INDEX):
-            return self._drop(events.DroppedChunk.REPEATED)
+            return self._drop(events.ChunkDropReason.REPEATED)
         if event.index > self.next_index:
             return self._resume_or_replace()
         self.phase = Phase.RUNNING
@@ -163,7 +163,7 @@
 
     def _on_finished(self, event: events.AttemptFinished) -> list[events.RequestInstruction]:
         if self._is_foreign(event.request_id, event.attempt_id):
-            return self._drop(events.DroppedChunk.FOREIGN)
+            return self._drop(events.ChunkDropReason.FOREIGN)
         if self._start_index + event.completion_tokens != self.next_index:
             return self._resume_or_replace()
         choice = self.chosen[-1]
@@ -188,7 +188,7 @@
             return []
         return self._replace_attempt()
 
-    def _on_caller_gone(self, _: events.CallerGone) -> list[events.RequestInstruction]:
+    def _on_caller_gone(self, _: events.CallerDisconnected) -> list[events.RequestInstruction]:
         cancellation = self._cancellation()
         return [*cancellation, self._end_with(ResultCode.CALLER_GONE)]
 
@@ -201,7 +201,7 @@
 
     def _handle_after_end(self, event: events.RequestEvent) -> list[events.RequestInstruction]:
         if isinstance(event, events.TokenReceived | events.AttemptFinished):
-            self.dropped[events.DroppedChunk.AFTER_END] += 1
+            self.dropped[events.ChunkDropReason.AFTER_END] += 1
         return []
 
     # Decisions
@@ -303,7 +303,7 @@
             return False
         return request_id != self.request.request_id or attempt_id != self._attempt_id
 
-    def _drop(self, reason: events.DroppedChunk) -> list[events.RequestInstruction]:
+    def _drop(self, reason: events.ChunkDropReason) -> list[events.RequestInstruction]:
         self.dropped[reason] += 1
         return []
 
@@ -321,13 +321,13 @@
             raise InvariantViolationError("the end was not announced")
 
     _HANDLERS: ClassVar[dict[type, Callable[..., list[events.RequestInstruction]]]] = {
-        events.Started: _on_started,
-        events.TurnRefused: _on_turn_refused,
+        events.DispatchPermitted: _on_started,
+        events.QueueingRefused: _on_turn_refused,
         events.AttemptRefused: _on_attempt_refused,
         events.TokenReceived: _on_token,
         events.AttemptFinished: _on_finished,
         events.AttemptBroken: _on_broken,
         events.ResumeRefused: _on_resume_refused,
-        events.CallerGone: _on_caller_gone,
+        events.CallerDisconnected: _on_caller_gone,
         events.DeadlinePassed: _on_deadline_passed,
     }
--- a/liftrill/routing/router.py
+++ b/liftrill/routing/router.py
@@ -16,9 +16,9 @@
 from liftrill.routing.admission import AdmissionController
 from liftrill.routing.dispatch_queue import DispatchQueue, QueuedItem
 from liftrill.routing.engine_state import EngineState, EngineTable
-from liftrill.routing.machine import EngineChoice, RoutingPorts, Unavailable
 from liftrill.routing.policies import CostTerms, PolicyChoice, RoutingPolicy, RoutingQuery
 from liftrill.routing.request import RoutedRequest
+from liftrill.routing.request_state_machine import EngineChoice, RoutingPorts, Unavailable
 
 
 @dataclass(frozen=True, slots=True)
@@ -36,7 +36,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class KeepPrefix:
+class PrefixSaveAdvice:
     """Advice to give a prefix to the kept-KV store: it will save more than it costs.
 
     Attributes:
@@ -74,7 +74,7 @@
     ) -> None:
         self.view = ConfigurationView()
         self.engines = engines
-        self.reporter = HomeReporter(directory)
+        self.home_reporter = HomeReporter(directory)
         self._policy = policy
         self._directory = directory
         self._admission = admission
@@ -133,9 +133,9 @@
 
     # Feedback
 
-    def record_answer(
+    def record_completion(
         self, request: RoutedRequest, engine_id: str, cached_tokens: int
-    ) -> KeepPrefix | None:
+    ) -> PrefixSaveAdvice | None:
         """Learn from a completed answer; return advice for the kept-KV store."""
         sent = self._dispatched.pop(request.request_id, None)
         if sent is None:
@@ -175,11 +175,11 @@
         """Take out a request that goes on or gave up."""
         self._queue(item.waiter.model).remove(item)
 
-    def abandon_turn(self, request: RoutedRequest) -> None:
+    def release_dispatch_grant(self, request: RoutedRequest) -> None:
         """Give back a turn that will not be used."""
         self._granted.pop(request.request_id, None)
 
-    def grant_turns(self, model: str | None = None) -> list[RoutedRequest]:
+    def grant_dispatches(self, model: str | None = None) -> list[RoutedRequest]:
         """Return the waiting requests that may now call `choose` again, in order."""
         granted: list[RoutedRequest] = []
         for name in [model] if model else list(self._queues):
@@ -282,7 +282,7 @@
         observe = self._directory.observe
         depth = observe(markers, now) if first_time else self._directory.shared_depth(markers)
         if depth:
-            self.reporter.record_used(markers[depth - 1])
+            self.home_reporter.record_used(markers[depth - 1])
         return RoutingQuery(
             markers=markers,
             shared_depth=depth,
@@ -315,7 +315,9 @@
             query.now,
         )
 
-    def _advise_keeping(self, engine_id: str, held: list[bytes], now: float) -> KeepPrefix | None:
+    def _advise_keeping(
+        self, engine_id: str, held: list[bytes], now: float
+    ) -> PrefixSaveAdvice | None:
         """Advise keeping a prefix whose expected reuse outweighs its transfer."""
         if not held or not self._policy.uses_kept_store:
             return None
@@ -325,7 +327,7 @@
         if marker.kept_at is not None and now - marker.kept_at < constants.KEEP_REFRESH_SECONDS:
             return None
         marker.kept_at = now
-        return KeepPrefix(engine_id, held[-1], len(held) * constants.MARKER_STRIDE_BLOCKS)
+        return PrefixSaveAdvice(engine_id, held[-1], len(held) * constants.MARKER_STRIDE_BLOCKS)
 
     def _explain(
         self,
