--- a/liftrill/routing/__init__.py
+++ b/liftrill/routing/__init__.py
@@ -1,1 +1,1 @@
-"""Which engine serves a request, and what becomes of each attempt; sans-IO."""
+"""Engine selection, request queueing and the attempts of each request; sans-IO."""
--- a/liftrill/routing/admission.py
+++ b/liftrill/routing/admission.py
@@ -10,7 +10,7 @@
 
 @dataclass(slots=True)
 class TenantLimits:
-    """The buckets of one tenant on one node."""
+    """The token buckets of one tenant on one node."""
 
     requests: TokenBucket
     prompt_tokens: TokenBucket
@@ -18,7 +18,7 @@
 
 @dataclass(slots=True)
 class WorkloadLimits:
-    """The bucket and the retry budget of one workload on one node."""
+    """The token bucket and the retry budget of one workload on one node."""
 
     requests: TokenBucket
     retries: RetryBudget
@@ -26,10 +26,10 @@
 
 @dataclass(slots=True)
 class AdmissionController:
-    """Admits or refuses by rate. Limits hold per node; `share` is this node's part of them.
+    """Admits or refuses requests by the rate limits of their tenant and workload.
 
     Attributes:
-        share: fraction of each configured rate that this node may admit.
+        share: the fraction of each configured rate and burst that this node may admit.
     """
 
     share: float = 1.0
@@ -37,12 +37,12 @@
     _workloads: dict[str, WorkloadLimits] = field(default_factory=dict)
 
     def configure(self, tenants: list[Tenant], workloads: list[Workload]) -> None:
-        """Take over limits from a new configuration; unchanged ones keep their balance."""
+        """Apply the limits of a new configuration; unchanged ones keep their balance."""
         self._tenants = {t.name: self._tenant_limits(t) for t in tenants}
         self._workloads = {w.name: self._workload_limits(w) for w in workloads}
 
     def admit(self, tenant: str, workload: str, prompt_tokens: int, now: float) -> float:
-        """Return 0.0 if the request may enter, or the seconds until it may."""
+        """Return 0.0 if the request is admitted, or the seconds until it may be."""
         limits = self._tenants[tenant]
         wait = limits.requests.try_take(1.0, now)
         if wait > 0:
@@ -54,13 +54,13 @@
         return self._admit_workload(limits, workload, prompt_tokens, now)
 
     def record_success(self, workload: str) -> None:
-        """Earn a share of a retry for a workload."""
+        """Credit the retry budget of a workload for one success."""
         limits = self._workloads.get(workload)
         if limits is not None:
             limits.retries.record_success()
 
     def try_spend_retry(self, workload: str) -> bool:
-        """Spend one retry of a workload."""
+        """Spend one retry from the retry budget of a workload; False if it is empty."""
         limits = self._workloads.get(workload)
         return limits is not None and limits.retries.try_spend()
 
--- a/liftrill/routing/dispatch_queue.py
+++ b/liftrill/routing/dispatch_queue.py
@@ -1,7 +1,7 @@
-"""Requests that wait for an engine: by priority, then fairly between tenants.
+"""The queue of requests that wait for an engine, by priority and then fair between tenants.
 
-Fairness is start-time fair queueing after Goyal, Vin and Cheng, 1996: each tenant's
-requests are spaced in virtual time by their cost over the tenant's weight.
+Fairness is start-time fair queueing after Goyal, Vin and Cheng, 1996: the requests of a tenant
+are spaced in virtual time by their cost divided by the weight of the tenant.
 """
 
 from collections.abc import Callable
@@ -15,7 +15,7 @@
 
 @dataclass(slots=True)
 class QueuedItem(Generic[Waiter]):
-    """One waiting request and its place."""
+    """One waiter and its place in the queue."""
 
     waiter: Waiter
     tenant: str
@@ -25,13 +25,18 @@
 
     @property
     def order(self) -> tuple[int, float, int]:
-        """Sort key: priority, virtual start time, arrival."""
+        """The sort key: priority, virtual start time, order of arrival."""
         return self.priority, self.start_tag, self.sequence
 
 
 @dataclass(slots=True)
 class _PriorityClock:
-    """Virtual time of one priority level."""
+    """The virtual time of one priority level.
+
+    Attributes:
+        now: the highest start tag that was dequeued.
+        finish_tags: the last finish tag of each tenant, if later than `now`.
+    """
 
     now: float = 0.0
     finish_tags: dict[str, float] = field(default_factory=dict)
@@ -46,9 +51,9 @@
         self._clocks: dict[int, _PriorityClock] = {}
         self._sequence = 0
         self._seconds_per_item: float | None = None
-        self._last_taken_at: float | None = None
+        self._last_dequeued_at: float | None = None
 
-    SMOOTHING = 0.1
+    PACE_SMOOTHING_FACTOR = 0.1
 
     def __len__(self) -> int:
         return len(self._items)
@@ -68,26 +73,26 @@
         return item
 
     def remove(self, item: QueuedItem[Waiter]) -> None:
-        """Take out a waiter that gave up."""
+        """Remove a waiter if it is still queued."""
         self._items.discard(item)
 
     def expected_wait(self, priority: int) -> float:
-        """Return the seconds a new waiter would wait, from the recent pace; 0 if not known."""
+        """Return the expected wait of a new waiter in seconds; 0 if the pace is not known."""
         if self._seconds_per_item is None:
             return 0.0
         ahead = self._items.bisect_key_right((priority, float("inf"), 0))
         return float(ahead) * self._seconds_per_item
 
     def take_while(self, accept: Callable[[Waiter], bool], now: float) -> None:
-        """Offer waiters in order and remove them, until one is not accepted."""
+        """Offer waiters in order and remove each that is accepted; stop at the first refusal."""
         while self._items:
             item: QueuedItem[Waiter] = self._items[0]
             if not accept(item.waiter):
                 return
             self._items.discard(item)
             self._advance_clock(item)
-            self._record_pace(now)
-        self._last_taken_at = None
+            self._record_dequeue_interval(now)
+        self._last_dequeued_at = None
 
     def _advance_clock(self, item: QueuedItem[Waiter]) -> None:
         clock = self._clocks[item.priority]
@@ -96,9 +101,9 @@
         for tenant in stale:
             del clock.finish_tags[tenant]
 
-    def _record_pace(self, now: float) -> None:
-        if self._last_taken_at is not None:
-            elapsed = now - self._last_taken_at
+    def _record_dequeue_interval(self, now: float) -> None:
+        if self._last_dequeued_at is not None:
+            elapsed = now - self._last_dequeued_at
             previous = elapsed if self._seconds_per_item is None else self._seconds_per_item
-            self._seconds_per_item = previous + self.SMOOTHING * (elapsed - previous)
-        self._last_taken_at = now
+            self._seconds_per_item = previous + self.PACE_SMOOTHING_FACTOR * (elapsed - previous)
+        self._last_dequeued_at = now
--- a/liftrill/routing/engine_records.py
+++ b/liftrill/routing/engine_records.py
@@ -1,8 +1,8 @@
-"""What nodes tell each other about engines, as versioned records, sans-IO.
+"""Versioned records about engines that nodes gossip to each other; sans-IO.
 
-A listing is a line of the platform's machine list, versioned by the list's index. An
-observation is an engine's own word, versioned by its incarnation and revision. Both only
-move forward, so late and repeated gossip does no harm.
+A listing is an entry of the platform's machine list; its version is the index of the list. An
+observation is the identity that an engine reported; its version is the incarnation and revision.
+A record only replaces an older version, so late and repeated gossip has no effect.
 """
 
 from collections.abc import Iterable
@@ -15,14 +15,14 @@
 
 @dataclass(frozen=True, slots=True)
 class EngineObservation:
-    """An engine's identity as somebody read it from the engine."""
+    """The identity of an engine, as a node read it from the engine."""
 
     engine_id: str
     identity: EngineIdentity
 
 
 class EngineRecords:
-    """Keeps the records, feeds the engine table and says what to spread."""
+    """Stores the records, applies them to the engine table and selects those to gossip."""
 
     def __init__(self, table: EngineTable, retransmission_factor: int) -> None:
         self._table = table
@@ -31,11 +31,11 @@
 
     @property
     def pending(self) -> int:
-        """Records that are still to be spread."""
+        """The number of records that are still to be gossiped."""
         return self._listings.pending + self._observations.pending
 
     def listings(self) -> list[EngineListing]:
-        """Return all listings, removed ones included."""
+        """Return all listings, including those of removed engines."""
         return list(self._listings)
 
     def observations(self) -> list[EngineObservation]:
@@ -43,11 +43,11 @@
         return list(self._observations)
 
     def offer_listings(self, listings: Iterable[EngineListing], spread: bool = True) -> int:
-        """Take in listings; return how many were new. Those of a snapshot are not spread."""
+        """Apply listings and return how many were newer; set `spread` to False for a snapshot."""
         return sum(self._offer_listing(listing, spread) for listing in listings)
 
     def offer_observation(self, observation: EngineObservation, spread: bool = True) -> bool:
-        """Take in an observation; True if it was new. Those of a snapshot are not spread."""
+        """Apply an observation; True if it was newer. Set `spread` to False for a snapshot."""
         identity = observation.identity
         key = observation.engine_id
         if not self._observations.offer(key, identity.version, observation, spread):
@@ -58,9 +58,9 @@
         return True
 
     def offer_machine_list(self, machine_list: MachineList) -> int:
-        """Take in the platform's list; return how many lines were new or changed.
+        """Apply the platform's machine list; return the number of new, changed and removed entries.
 
-        Unchanged lines keep their version, so that they are not spread again.
+        Unchanged entries keep their version, so that they are not gossiped again.
         """
         listed = {
             machine.machine_id: EngineListing(
@@ -78,11 +78,11 @@
         return self.offer_listings(changed)
 
     def take_listings(self, count: int, members: int) -> list[EngineListing]:
-        """Return listings to piggyback."""
+        """Return up to `count` listings to piggyback on a message."""
         return self._listings.take(count, members)
 
     def take_observations(self, count: int, members: int) -> list[EngineObservation]:
-        """Return observations to piggyback."""
+        """Return up to `count` observations to piggyback on a message."""
         return self._observations.take(count, members)
 
     def _offer_listing(self, listing: EngineListing, spread: bool) -> bool:
@@ -93,7 +93,7 @@
         return True
 
     def _reapply_observation(self, listing: EngineListing) -> None:
-        """Give an engine that was listed after it was observed its identity."""
+        """Apply the known observation to an engine that was listed or replaced after it."""
         engine = self._table.get(listing.engine_id)
         observation = self._observations.get(listing.engine_id)
         if engine is not None and observation is not None:
--- a/liftrill/routing/engine_state.py
+++ b/liftrill/routing/engine_state.py
@@ -1,4 +1,4 @@
-"""What one node knows of the engines, from late and partial reports."""
+"""The state of the engines as one node knows it from late and incomplete reports."""
 
 import math
 from collections.abc import Callable, Iterable, Iterator
@@ -11,10 +11,10 @@
 
 @dataclass(frozen=True, slots=True)
 class EngineIdentity:
-    """What an engine was at some time. Later is a higher (incarnation, revision).
+    """The identity that an engine reported, ordered by (incarnation, revision).
 
     Attributes:
-        pool: the pool that it serves, or empty for the one it is listed in.
+        pool: the pool that the engine serves, or empty for the pool in the machine list.
     """
 
     incarnation: int
@@ -25,13 +25,19 @@
 
     @property
     def version(self) -> tuple[int, int]:
-        """Order of identities of one engine."""
+        """The version that orders the identities of one engine."""
         return self.incarnation, self.revision
 
 
 @dataclass(frozen=True, slots=True)
 class EngineReport:
-    """An engine's own word about itself."""
+    """The identity and load that an engine reported.
+
+    Attributes:
+        running: requests in the batch of the engine.
+        waiting: requests that wait for a place in the batch.
+        waiting_prompt_tokens: the prompt tokens of the waiting requests.
+    """
 
     engine_id: str
     identity: EngineIdentity
@@ -42,7 +48,7 @@
 
 @dataclass(frozen=True, slots=True)
 class EngineListing:
-    """A line of the machine list; a higher version replaces a lower one."""
+    """An entry of the machine list; a higher version replaces a lower one."""
 
     engine_id: str
     address: str
@@ -65,56 +71,58 @@
     )
 
 
-def _do_nothing() -> None:
+def _no_op() -> None:
     """Do nothing."""
 
 
 @dataclass(frozen=True, slots=True)
 class ReportedLoad:
-    """What an engine told of its load, which says less the older it is.
+    """The load that an engine last reported; its estimates decay with the age of the report.
 
     Attributes:
-        at: when it was told, seconds.
-        others_at_report: requests of other nodes.
-        waiting_at_report: requests that waited for a place in the batch.
-        prefill_at_report: prompt tokens of other nodes' waiting requests.
+        reported_at: the time of the report, in seconds.
+        reported_other_requests: requests of other nodes.
+        reported_waiting_requests: requests that waited for a place in the batch.
+        reported_other_prefill_tokens: prompt tokens of the waiting requests of other nodes.
     """
 
-    at: float = 0.0
-    others_at_report: int = 0
-    waiting_at_report: int = 0
-    prefill_at_report: int = 0
+    reported_at: float = 0.0
+    reported_other_requests: int = 0
+    reported_waiting_requests: int = 0
+    reported_other_prefill_tokens: int = 0
 
-    def others(self, now: float) -> float:
-        """Return the requests of other nodes that are believed to be left."""
-        return self.others_at_report * self._freshness(now)
+    def other_requests(self, now: float) -> float:
+        """Return the estimated requests of other nodes."""
+        return self.reported_other_requests * self._decay_factor(now)
 
-    def waiting(self, now: float) -> float:
-        """Return the waiting requests that are believed to be left."""
-        return self.waiting_at_report * self._freshness(now)
+    def waiting_requests(self, now: float) -> float:
+        """Return the estimated waiting requests."""
+        return self.reported_waiting_requests * self._decay_factor(now)
 
-    def prefill_tokens(self, now: float) -> float:
-        """Return other nodes' prompt tokens that are not yet computed."""
-        computed = max(0.0, now - self.at) * constants.PREFILL_TOKENS_PER_SECOND
-        return max(0.0, self.prefill_at_report - computed)
+    def other_prefill_tokens(self, now: float) -> float:
+        """Return the estimated prompt tokens of other nodes that are not yet computed."""
+        computed = max(0.0, now - self.reported_at) * constants.PREFILL_TOKENS_PER_SECOND
+        return max(0.0, self.reported_other_prefill_tokens - computed)
 
-    def _freshness(self, now: float) -> float:
-        return math.exp(min(0.0, self.at - now) / constants.LOAD_DECAY_SECONDS)
+    def _decay_factor(self, now: float) -> float:
+        return math.exp(min(0.0, self.reported_at - now) / constants.LOAD_DECAY_SECONDS)
 
 
 @dataclass(slots=True)
 class EngineState:
-    """One engine as this node sees it.
+    """The state of one engine as this node knows it.
 
     Attributes:
-        identity: the newest identity heard of, or None before the first report.
-        refused_as_leaving: the engine refused a request since it leaves or loads; the
-            next report settles it.
-        in_flight: requests of this node that the engine holds.
-        own_without_token: requests of this node that have no token yet.
-        own_prefill_tokens: prompt tokens that this node sent and that have no token yet.
-        report: the load that the engine told last.
-        on_moved: called when the engine serves another pool than before.
+        listed_pool: the pool in the machine list.
+        identity: the newest known identity, or None before the first one.
+        listed_leaving: the machine list marks the engine as leaving.
+        refused_as_leaving: the engine refused a request because it is leaving or loading
+            weights; the next report clears this mark.
+        in_flight: requests of this node that are on the engine.
+        own_awaiting_first_token: requests of this node without a first token.
+        own_prefill_tokens: prompt tokens of those requests that are still to be computed.
+        report: the load that the engine last reported.
+        on_pool_changed: called when the engine starts to serve a different pool.
     """
 
     engine_id: str
@@ -125,91 +133,91 @@
     listed_leaving: bool = False
     refused_as_leaving: bool = False
     in_flight: int = 0
-    own_without_token: int = 0
+    own_awaiting_first_token: int = 0
     own_prefill_tokens: int = 0
     report: ReportedLoad = field(default_factory=ReportedLoad)
     breaker: CircuitBreaker = field(default_factory=_new_breaker)
     limit: ConcurrencyLimit = field(default_factory=_new_limit)
-    on_moved: Callable[[], None] = _do_nothing
+    on_pool_changed: Callable[[], None] = _no_op
 
     @property
     def leaving(self) -> bool:
-        """Whether no new work may be sent."""
+        """Whether the engine must not be sent new requests."""
         if not is_enabled(Mechanism.LEAVING_MARKS):
             return False
-        said_so = self.identity is not None and self.identity.leaving
-        return self.listed_leaving or self.refused_as_leaving or said_so
+        reported_leaving = self.identity is not None and self.identity.leaving
+        return self.listed_leaving or self.refused_as_leaving or reported_leaving
 
     @property
     def pool(self) -> str:
-        """The pool that the engine serves now."""
-        moved_to = self.identity.pool if self.identity else ""
-        return moved_to or self.listed_pool
+        """The pool that the engine currently serves."""
+        reported_pool = self.identity.pool if self.identity else ""
+        return reported_pool or self.listed_pool
 
     @property
     def incarnation(self) -> int | None:
-        """The newest incarnation heard of."""
+        """The newest known incarnation, or None."""
         return self.identity.incarnation if self.identity else None
 
     @property
     def weight_version(self) -> str:
-        """The weights it was last heard to have loaded, or an empty string."""
+        """The weights that the engine last reported as loaded, or an empty string."""
         return self.identity.weight_version if self.identity else ""
 
     def load(self, now: float) -> float:
-        """Return the requests believed to be on the engine."""
-        return self.in_flight + self.report.others(now)
+        """Return the estimated requests on the engine, from all nodes."""
+        return self.in_flight + self.report.other_requests(now)
 
     def pending_prefill_tokens(self, now: float) -> float:
-        """Return the prompt tokens that must be computed before those of a new request."""
-        return self.own_prefill_tokens + self.report.prefill_tokens(now)
+        """Return the estimated prompt tokens to compute before those of a new request."""
+        return self.own_prefill_tokens + self.report.other_prefill_tokens(now)
 
-    def has_room(self, now: float) -> bool:
-        """Return whether this node may send one more request."""
-        return self.room(now) > 0
+    def has_free_slot(self, now: float) -> bool:
+        """Return whether this node may send another request."""
+        return self.free_slots(now) > 0
 
-    def room(self, now: float) -> int:
-        """Return how many more requests this node may send."""
+    def free_slots(self, now: float) -> int:
+        """Return the number of further requests that this node may send."""
         if self.in_flight == 0:
             return int(self.limit.limit)
         free = int(self.limit.limit) - self.in_flight
-        waiting = max(self.report.waiting(now), self.own_without_token)
+        waiting = max(self.report.waiting_requests(now), self.own_awaiting_first_token)
         return max(0, min(free, int(constants.ENGINE_WAITING_LIMIT - waiting)))
 
     def record_start(self, now: float, prefill_tokens: int = 0) -> None:
-        """Count a request that is being sent."""
+        """Record that a request is being sent."""
         self.in_flight += 1
-        self.own_without_token += 1
+        self.own_awaiting_first_token += 1
         self.own_prefill_tokens += prefill_tokens
         self.breaker.record_start(now)
 
     def record_prefilled(self, prefill_tokens: int) -> None:
-        """Note that a request got its first token, or ended without one; once for each start."""
-        self.own_without_token -= 1
+        """Record a first token, or the end of a request without one; call once for each start."""
+        self.own_awaiting_first_token -= 1
         self.own_prefill_tokens -= prefill_tokens
 
     def record_end(self) -> None:
-        """Count a request that is no longer on the engine."""
+        """Record that a request is no longer on the engine."""
         self.in_flight -= 1
 
     def record_success(self) -> None:
-        """Note a completed request."""
+        """Record a completed request."""
         self.breaker.record_success()
         self.limit.record_success(self.in_flight)
 
     def record_failure(self, now: float) -> None:
-        """Note that the engine could not be reached or was lost."""
+        """Record that the engine could not be reached or its connection was lost."""
         self.breaker.record_failure(now)
 
     def record_overload(self) -> None:
-        """Note that the engine refused for load."""
+        """Record that the engine refused a request because of its load."""
         self.breaker.record_success()
         self.limit.record_overload()
 
     def apply_report(self, report: EngineReport, now: float) -> bool:
-        """Take in a report; True if it told of a newer identity.
+        """Apply a report; True if it contained a newer identity.
 
-        A report of an earlier incarnation is late and is ignored.
+        A report with an older identity is late and is ignored.
         """
         if self.identity and report.identity.version < self.identity.version:
             return False
@@ -220,16 +228,16 @@
     def apply_load(
         self, running: int, waiting: int, waiting_prompt_tokens: int, now: float
     ) -> None:
-        """Take in the load from a report or from an answer."""
+        """Apply the load from a report or a response."""
         self.report = ReportedLoad(
-            at=now,
-            others_at_report=max(0, running + waiting - self.in_flight),
-            waiting_at_report=waiting,
-            prefill_at_report=max(0, waiting_prompt_tokens - self.own_prefill_tokens),
+            reported_at=now,
+            reported_other_requests=max(0, running + waiting - self.in_flight),
+            reported_waiting_requests=waiting,
+            reported_other_prefill_tokens=max(0, waiting_prompt_tokens - self.own_prefill_tokens),
         )
 
     def apply_identity(self, identity: EngineIdentity) -> bool:
-        """Take in an identity from any source; True if it is newer than the known one."""
+        """Apply an identity from any source; True if it is newer than the known one."""
         if self.identity and identity.version <= self.identity.version:
             return False
         if self.identity and identity.incarnation != self.identity.incarnation:
@@ -237,12 +245,12 @@
         pool_before = self.pool
         self.identity = identity
         if self.pool != pool_before:
-            self.on_moved()
+            self.on_pool_changed()
         return True
 
 
 class EngineTable:
-    """All engines a node knows."""
+    """The engines that a node knows."""
 
     def __init__(self) -> None:
         self._engines: dict[str, EngineState] = {}
@@ -260,24 +268,25 @@
         return self._engines.get(engine_id)
 
     def apply_listing(self, listing: EngineListing) -> None:
-        """Add, change or remove an engine.
+        """Add, update or remove an engine.
 
-        An address change means a new machine; what was known of the old one is dropped.
+        A new address means a new machine, so the state of the old engine is dropped. A new pool
+        in the machine list has the same effect.
         """
         engine = self._engines.get(listing.engine_id)
         if listing.removed:
             self._remove(engine)
             return
-        place = (listing.address, listing.pool)
-        if engine is None or (engine.address, engine.listed_pool) != place:
+        location = (listing.address, listing.pool)
+        if engine is None or (engine.address, engine.listed_pool) != location:
             self._remove(engine)
             engine = EngineState(listing.engine_id, listing.address, listing.zone, listing.pool)
-            engine.on_moved = self._forget_index
+            engine.on_pool_changed = self._invalidate_index
             self._engines[listing.engine_id] = engine
         engine.listed_leaving = listing.leaving
 
     def ids_in_pools(self, pools: tuple[str, ...]) -> tuple[str, ...]:
-        """Return the identifiers of the engines of some pools; the same object until it changes."""
+        """Return the engine identifiers of pools; the same object until they change."""
         ids = self._ids_by_pools.get(pools)
         if ids is None:
             ids = tuple(engine.engine_id for engine in self.in_pools(pools))
@@ -285,17 +294,17 @@
         return ids
 
     def in_pools(self, pools: Iterable[str]) -> list[EngineState]:
-        """Return the engines that serve some pools."""
+        """Return the engines that serve the given pools."""
         if not self._by_pool:
             for engine in self._engines.values():
                 self._by_pool.setdefault(engine.pool, []).append(engine)
         return [engine for pool in pools for engine in self._by_pool.get(pool, ())]
 
     def _remove(self, engine: EngineState | None) -> None:
-        self._forget_index()
+        self._invalidate_index()
         if engine is not None:
             del self._engines[engine.engine_id]
 
-    def _forget_index(self) -> None:
+    def _invalidate_index(self) -> None:
         self._ids_by_pools.clear()
         self._by_pool.clear()
--- a/liftrill/routing/events.py
+++ b/liftrill/routing/events.py
@@ -1,4 +1,4 @@
-"""Events into and instructions out of the request state machine."""
+"""The events that the request state machine handles and the instructions that it returns."""
 
 from dataclasses import dataclass
 from enum import Enum
@@ -8,7 +8,7 @@
 
 
 class RefusalKind(Enum):
-    """Why an engine definitely did not run an attempt."""
+    """Why an attempt was refused without being run."""
 
     UNREACHABLE = "unreachable"
     OVERLOADED = "overloaded"
@@ -19,12 +19,12 @@
 
 @dataclass(frozen=True, slots=True)
 class DispatchPermitted:
-    """The request was admitted, or an engine may have become free."""
+    """The request was admitted, or was granted a dispatch after waiting for an engine."""
 
 
 @dataclass(frozen=True, slots=True)
 class QueueingRefused:
-    """The request cannot wait for an engine: the queue is full or the wait too long."""
+    """The request cannot wait for an engine: the queue is full or its wait is too long."""
 
     code: ResultCode
     retry_after_seconds: float
@@ -32,7 +32,7 @@
 
 @dataclass(frozen=True, slots=True)
 class AttemptRefused:
-    """The engine said that it did not run the attempt, or was never reached."""
+    """The engine reported that it did not run the attempt, or it could not be reached."""
 
     attempt_id: str
     kind: RefusalKind
@@ -40,7 +40,7 @@
 
 @dataclass(frozen=True, slots=True)
 class TokenReceived:
-    """A chunk arrived; request and attempt ids are those the chunk itself carries."""
+    """A chunk arrived; the request and attempt identifiers are those in the chunk itself."""
 
     request_id: str
     attempt_id: str
@@ -50,7 +50,7 @@
 
 @dataclass(frozen=True, slots=True)
 class AttemptFinished:
-    """The engine said that the generation is complete."""
+    """The engine reported that the generation is complete."""
 
     request_id: str
     attempt_id: str
@@ -62,7 +62,7 @@
 
 @dataclass(frozen=True, slots=True)
 class AttemptBroken:
-    """The connection was lost or fell silent after the request was sent."""
+    """The connection was lost or timed out after the request was sent."""
 
     attempt_id: str
 
@@ -76,7 +76,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CallerDisconnected:
-    """Nobody reads the answer any more."""
+    """The caller no longer reads the response."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -102,12 +102,12 @@
     """Send the request to an engine.
 
     Attributes:
-        incarnation: the engine incarnation that must match, or None if not known yet.
-        delivered_text: what was delivered already; it is appended to the prompt.
+        incarnation: the required incarnation of the engine, or None if it is not known.
+        delivered_text: the text delivered so far, to be appended to the prompt.
         start_index: index of the first token to generate.
         expected_prefill_tokens: prompt tokens that the engine will have to compute.
-        import_candidates: names of prefixes, shortest first, of which the engine may
-            import the longest that the kept-KV store has, where its own cache is shorter.
+        import_candidates: names of prefixes, shortest first. The engine may import the
+            longest one in the kept-KV store if its own cache holds a shorter prefix.
     """
 
     attempt_id: str
@@ -123,7 +123,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ResumeAttempt:
-    """Read a running attempt's output again from an index."""
+    """Read the output of a running attempt again, from a token index on."""
 
     attempt_id: str
     engine_id: str
@@ -132,7 +132,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CancelAttempt:
-    """Tell an engine to stop an attempt whose output nobody will read."""
+    """Cancel an attempt on an engine, because its output is no longer needed."""
 
     attempt_id: str
     engine_id: str
@@ -140,7 +140,7 @@
 
 @dataclass(frozen=True, slots=True)
 class DeliverToken:
-    """Pass a token on to the caller."""
+    """Deliver a token to the caller."""
 
     index: int
     text: str
@@ -148,12 +148,12 @@
 
 @dataclass(frozen=True, slots=True)
 class WaitForEngine:
-    """Hold the request until an engine may be free."""
+    """Queue the request until an engine may have a free slot."""
 
 
 @dataclass(frozen=True, slots=True)
 class EndRequest:
-    """The request has ended."""
+    """End the request with an outcome."""
 
     outcome: Outcome
 
@@ -164,7 +164,7 @@
 
 
 class ChunkDropReason(Enum):
-    """Why a chunk was dropped; counted."""
+    """Why a chunk was dropped; the label of a metric."""
 
     FOREIGN = "foreign"
     REPEATED = "repeated"
--- a/liftrill/routing/outcome.py
+++ b/liftrill/routing/outcome.py
@@ -1,7 +1,7 @@
-"""How a request ends: not run, ran, or unknown.
+"""The outcome of a request: completed, not run, or unknown.
 
-"Not run" can only be said with a proof, and only an `AttemptLedger` issues proofs: it
-does so when every attempt was refuted, and from then on it refuses new attempts.
+The outcome "not run" requires a proof, and only an `AttemptLedger` issues proofs. It issues one
+when every attempt is known not to have run, and accepts no new attempt from then on.
 """
 
 from dataclasses import dataclass
@@ -12,29 +12,29 @@
 
 
 class LedgerError(LiftrillError):
-    """The ledger was used against its rules; this is a defect of the caller."""
+    """A call violated the rules of the attempt ledger, which is a bug in the calling code."""
 
 
 class AttemptState(Enum):
-    """What is known of one attempt."""
+    """Whether an attempt may have run."""
 
     POSSIBLY_RUN = auto()
-    REFUTED = auto()
+    NOT_RUN = auto()
 
 
 class NotRunProof:
-    """Proof that no attempt of a request can have begun. Issued by `AttemptLedger` only."""
+    """Proof that no attempt of a request can have run. Only `AttemptLedger` issues it."""
 
     __slots__ = ("ledger",)
 
     def __init__(self, ledger: "AttemptLedger") -> None:
         if not ledger.sealed:
-            raise LedgerError("a proof can only come from a sealed ledger")
+            raise LedgerError("a proof requires a sealed ledger")
         self.ledger = ledger
 
 
 class AttemptLedger:
-    """The attempts of one request."""
+    """Records the attempts of one request and whether each may have run."""
 
     __slots__ = ("_attempts", "sealed")
 
@@ -47,25 +47,27 @@
 
     @property
     def possibly_run_attempts(self) -> int:
-        """How many attempts may have run."""
+        """The number of attempts that may have run."""
         return sum(s is AttemptState.POSSIBLY_RUN for s in self._attempts.values())
 
     def begin(self, attempt_id: str) -> None:
-        """Record an attempt before its first byte is sent."""
+        """Record an attempt; must be called before its first byte is sent."""
         if self.sealed:
-            raise LedgerError("the request was already declared not run")
+            raise LedgerError(
+                f"cannot begin attempt {attempt_id}: the request was declared not run"
+            )
         if attempt_id in self._attempts:
-            raise LedgerError(f"attempt {attempt_id} was begun before")
+            raise LedgerError(f"attempt {attempt_id} has already begun")
         self._attempts[attempt_id] = AttemptState.POSSIBLY_RUN
 
     def record_not_run(self, attempt_id: str) -> None:
-        """Record that the engine said it did not run an attempt, or was never reached."""
+        """Record that an attempt was not run: its engine said so or could not be reached."""
         if attempt_id not in self._attempts:
-            raise LedgerError(f"attempt {attempt_id} is not known")
-        self._attempts[attempt_id] = AttemptState.REFUTED
+            raise LedgerError(f"attempt {attempt_id} has not begun")
+        self._attempts[attempt_id] = AttemptState.NOT_RUN
 
     def seal_if_not_run(self) -> NotRunProof | None:
-        """Return a proof if every attempt was refuted; no attempt can begin afterwards."""
+        """Return a proof if no attempt can have run; no attempt can begin afterwards."""
         possibly_run = AttemptState.POSSIBLY_RUN in self._attempts.values()
         if possibly_run and is_enabled(Mechanism.ATTEMPT_LEDGER):
             return None
@@ -74,7 +76,7 @@
 
 
 class NotRunError(RequestError):
-    """The request was refused and no attempt of it can have begun."""
+    """The request was refused and no attempt of it can have run."""
 
     execution = Execution.NOT_RUN
 
@@ -92,7 +94,7 @@
 def unattempted_refusal(
     code: ResultCode, detail: str = "", retry_after_seconds: float | None = None
 ) -> NotRunError:
-    """Return the refusal of a request for which nothing was attempted."""
+    """Return the error for a request that was refused before its first attempt."""
     proof = AttemptLedger().seal_if_not_run()
     assert proof is not None
     return NotRunError(proof, code, detail, retry_after_seconds)
@@ -100,7 +102,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Completed:
-    """The request ran to its end."""
+    """The request was completed."""
 
     engine_id: str
     weight_version: str
@@ -112,7 +114,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Failed:
-    """The request ended in an error, which says whether it was run."""
+    """The request failed with an error, which tells whether the request may have run."""
 
     error: RequestError
 
--- a/liftrill/routing/policies.py
+++ b/liftrill/routing/policies.py
@@ -1,7 +1,6 @@
-"""Routing policies, swappable by name in the settings.
+"""Routing policies, selected by name in the settings.
 
-All but `liftrill` are what an operator could pick instead; they are measured side by
-side with it.
+The policies other than `liftrill` are alternatives that the benchmarks compare with it.
 """
 
 import itertools
@@ -22,12 +21,12 @@
 
 @dataclass(frozen=True, slots=True)
 class RoutingQuery:
-    """What a policy knows of a request.
+    """The properties of a request that a policy decides by.
 
     Attributes:
         markers: prefix markers of the prompt, in order.
-        shared_depth: how many leading markers other requests have used too.
-        engine_ids: all engines of the pools, also those that cannot be chosen now.
+        shared_depth: the number of leading markers that other requests used too.
+        engine_ids: all engines of the pools, including those that cannot be chosen now.
     """
 
     markers: Sequence[bytes]
@@ -40,7 +39,13 @@
 
 @dataclass(frozen=True, slots=True)
 class CostTerms:
-    """The terms of one engine's cost, in seconds."""
+    """The terms of the cost of sending a request to an engine, in seconds.
+
+    Attributes:
+        waiting: the time before the engine starts on the prompt.
+        computing: the time to compute or import the missing part of the prompt.
+        spreading: the price of one more copy of a shared prefix.
+    """
 
     waiting: float
     computing: float
@@ -54,12 +59,12 @@
 
 @dataclass(frozen=True, slots=True)
 class PolicyChoice:
-    """What a policy decided.
+    """The decision of a policy.
 
     Attributes:
         believed_depth: leading markers that the engine is believed to hold.
-        import_depth: leading markers to import from the kept-KV store, 0 for none.
-        costs: the terms by engine, for policies that have them.
+        import_depth: leading markers to import from the kept-KV store, or 0.
+        costs: the cost terms of each engine, for policies that compute them.
     """
 
     engine: EngineState
@@ -80,10 +85,12 @@
 
     @abstractmethod
     def choose(self, query: RoutingQuery, engines: Sequence[EngineState]) -> PolicyChoice:
-        """Return one of the engines, of which there is at least one."""
+        """Return the decision for a request; there is at least one engine."""
 
-    def narrow(self, query: RoutingQuery, engines: Sequence[EngineState]) -> set[str] | None:
-        """Return the engines worth looking at among many, or None for all of them."""
+    def select_candidates(
+        self, query: RoutingQuery, engines: Sequence[EngineState]
+    ) -> set[str] | None:
+        """Return the identifiers of the engines to evaluate first, or None to evaluate all."""
         return None
 
     def _least_loaded(self, engines: Sequence[EngineState], now: float) -> EngineState:
@@ -91,17 +98,17 @@
 
 
 class RandomPolicy(RoutingPolicy):
-    """Any engine."""
+    """Chooses an engine uniformly at random."""
 
     name = "random"
 
     def choose(self, query: RoutingQuery, engines: Sequence[EngineState]) -> PolicyChoice:
-        """Return any engine."""
+        """Return a random engine."""
         return PolicyChoice(self._random.choice(engines))
 
 
 class RoundRobinPolicy(RoutingPolicy):
-    """Each engine in turn."""
+    """Chooses the engines in rotation."""
 
     name = "round_robin"
 
@@ -110,31 +117,31 @@
         self._turns = itertools.count()
 
     def choose(self, query: RoutingQuery, engines: Sequence[EngineState]) -> PolicyChoice:
-        """Return the next engine."""
+        """Return the next engine in the rotation."""
         return PolicyChoice(engines[next(self._turns) % len(engines)])
 
 
 class LeastLoadedPolicy(RoutingPolicy):
-    """The engine believed to hold the fewest requests."""
+    """Chooses the engine with the lowest estimated load."""
 
     name = "least_loaded"
 
     def choose(self, query: RoutingQuery, engines: Sequence[EngineState]) -> PolicyChoice:
-        """Return an engine of the lowest load."""
+        """Return an engine with the lowest load; ties are broken at random."""
         return PolicyChoice(self._least_loaded(engines, query.now))
 
 
 class PrefixHashPolicy(RoutingPolicy):
-    """Rendezvous over the start of the prompt, with bounded loads.
+    """Chooses by rendezvous hashing of the start of the prompt, with bounded loads.
 
-    Bounded loads are after Mirrokni, Thorup and Zadimoghaddam, 2016: the first engine in
-    rank order whose load is at most a factor above the mean is taken.
+    Bounded loads follow Mirrokni, Thorup and Zadimoghaddam, 2016: the policy chooses the first
+    engine in rank order whose load exceeds the mean by at most a factor.
     """
 
     name = "prefix_hash"
 
     def choose(self, query: RoutingQuery, engines: Sequence[EngineState]) -> PolicyChoice:
-        """Return the highest ranked engine that is not overloaded."""
+        """Return the highest-ranked engine whose load is below the bound."""
         if not query.markers:
             return PolicyChoice(self._least_loaded(engines, query.now))
         key = query.markers[min(len(query.markers), ROUTING_PREFIX_MARKERS) - 1]
@@ -150,12 +157,15 @@
 
 
 class CacheAwarePolicy(RoutingPolicy):
-    """The longest believed prefix, unless its engine is loaded well above the least."""
+    """Chooses the engine with the longest believed prefix, unless its load is too high."""
 
     name = "cache_aware"
 
     def choose(self, query: RoutingQuery, engines: Sequence[EngineState]) -> PolicyChoice:
-        """Return the engine of the longest believed prefix within the load threshold."""
+        """Return the engine with the longest believed prefix, or the least loaded engine.
+
+        The least loaded engine is chosen if the difference in load exceeds the threshold.
+        """
         incarnations = {e.engine_id: e.incarnation or 0 for e in engines}
         depths = self._directory.believed_depths(query.markers, incarnations, query.now)
         least = self._least_loaded(engines, query.now)
@@ -168,15 +178,15 @@
 
 
 class LiftrillPolicy(RoutingPolicy):
-    """The engine of the lowest cost.
+    """Chooses the engine with the lowest cost.
 
-    cost = time until the prompt's turn on the engine
-         + time to compute, or import, what the engine does not hold
-         + a price for one more copy of a shared prefix, which pushes out another's.
+    cost = time before the engine starts on the prompt
+         + time to compute or import the part of the prompt that the engine does not hold
+         + price of one more copy of a shared prefix, which evicts other blocks.
 
-    The price grows with the engine's rendezvous rank for the prefix, so that all nodes
-    widen a hot prefix to the same engines without asking each other, and a node that
-    knows nothing yet already sends equal prefixes to equal engines.
+    The price grows with the rendezvous rank of the engine for the prefix. So all nodes replicate
+    a hot prefix to the same engines without coordination, and a node without any beliefs already
+    sends equal prefixes to the same engines.
     """
 
     name = "liftrill"
@@ -186,8 +196,8 @@
         super().__init__(directory, random_source)
         self._rank_cache = RankCache(constants.RANKED_PREFIXES, constants.RANK_DEPTH)
 
-    def narrow(self, query: RoutingQuery, engines: Sequence[EngineState]) -> set[str]:
-        """Return the believed holders, the first by rank, and a few at random."""
+    def select_candidates(self, query: RoutingQuery, engines: Sequence[EngineState]) -> set[str]:
+        """Return the believed holders, the first engines by rank and a few random ones."""
         chosen = set(self._ranks(query))
         for name in query.markers[: query.shared_depth]:
             marker = self._directory.get(name)
@@ -197,7 +207,7 @@
         return chosen
 
     def choose(self, query: RoutingQuery, engines: Sequence[EngineState]) -> PolicyChoice:
-        """Return the cheapest engine, or either of two near ties."""
+        """Return the engine with the lowest cost, or a random one of two that nearly tie."""
         incarnations = {e.engine_id: e.incarnation or 0 for e in engines}
         depths = self._directory.believed_depths(query.markers, incarnations, query.now)
         ranks = self._ranks(query)
@@ -206,7 +216,7 @@
             (e, self._cost(e, query, depths.get(e.engine_id, 0), kept_depth, ranks))
             for e in engines
         ]
-        engine = self._pick(costs)
+        engine = self._choose_cheapest(costs)
         believed = depths.get(engine.engine_id, 0)
         return PolicyChoice(
             engine=engine,
@@ -224,13 +234,15 @@
         ranks: dict[str, int],
     ) -> CostTerms:
         computing = self._computing_seconds(query, depth, kept_depth)
-        # A prompt that nobody here has seen may be shared all the same.
+        # Other nodes may share a prompt whose prefix is new to this node: price all of it.
         shared_depth = query.shared_depth or len(query.markers)
         spreading = 0.0
         if depth < shared_depth:
-            missing = marker_tokens(shared_depth - depth)
-            price = missing / constants.PREFILL_TOKENS_PER_SECOND * constants.SPREAD_PRICE_SHARE
-            spreading = price * (ranks.get(engine.engine_id, len(ranks)) + 1)
+            missing_tokens = marker_tokens(shared_depth - depth)
+            price_per_rank = (
+                missing_tokens / constants.PREFILL_TOKENS_PER_SECOND * constants.SPREAD_PRICE_SHARE
+            )
+            spreading = price_per_rank * (ranks.get(engine.engine_id, len(ranks)) + 1)
         return CostTerms(self._waiting_seconds(engine, query.now), computing, spreading)
 
     @staticmethod
@@ -247,7 +259,7 @@
         return seconds + imported / constants.IMPORT_TOKENS_PER_SECOND
 
     def _kept_depth(self, query: RoutingQuery) -> int:
-        """Return how many leading markers the kept-KV store is believed to have."""
+        """Return how many leading markers the kept-KV store is believed to hold."""
         if not self.uses_kept_store:
             return 0
         for depth in range(query.shared_depth, 0, -1):
@@ -257,14 +269,14 @@
         return 0
 
     def _ranks(self, query: RoutingQuery) -> dict[str, int]:
-        """Return the first engines in the rendezvous order of the prefix."""
+        """Return the ranks of the first engines in the rendezvous order of the prefix."""
         if not query.markers:
             return {}
-        # The same key whatever a node has learnt, so that all nodes rank alike.
+        # The key does not depend on beliefs, so all nodes rank the engines alike.
         key = query.markers[min(len(query.markers), ROUTING_PREFIX_MARKERS) - 1]
         return self._rank_cache.ranks(key, query.engine_ids)
 
-    def _pick(self, costs: Sequence[tuple[EngineState, CostTerms]]) -> EngineState:
+    def _choose_cheapest(self, costs: Sequence[tuple[EngineState, CostTerms]]) -> EngineState:
         ordered = sorted(costs, key=lambda pair: pair[1].total)
         limit = ordered[0][1].total * (1.0 + constants.NEAR_TIE_SHARE)
         near = [engine for engine, terms in ordered[:2] if terms.total <= limit]
@@ -272,7 +284,7 @@
 
 
 class LiftrillWithoutStorePolicy(LiftrillPolicy):
-    """As `liftrill`, but without the kept-KV store."""
+    """Chooses like `liftrill`, but does not use the kept-KV store."""
 
     name = "liftrill_without_store"
     uses_kept_store = False
--- a/liftrill/routing/rank_cache.py
+++ b/liftrill/routing/rank_cache.py
@@ -1,7 +1,7 @@
-"""Remembers the rendezvous order of engines for prefixes in use.
+"""Caches the rendezvous order of engines for recently used prefixes.
 
-Ranking hundreds of engines costs one hash each; the order only changes when the set of
-engines does.
+Ranking hundreds of engines costs one hash per engine, and the order changes only with the set
+of engines.
 """
 
 from collections import OrderedDict
@@ -10,7 +10,7 @@
 
 
 class RankCache:
-    """The first few engines of each prefix, in rendezvous order, in bounded memory."""
+    """An LRU cache of the first engines of each prefix in rendezvous order."""
 
     def __init__(self, capacity: int, depth: int) -> None:
         self._capacity = capacity
@@ -19,7 +19,7 @@
         self._ranks: OrderedDict[bytes, dict[str, int]] = OrderedDict()
 
     def ranks(self, name: bytes, engines: tuple[str, ...]) -> dict[str, int]:
-        """Return the place of each of the first engines; the others come after them."""
+        """Return the ranks of the first engines, from 0; the other engines are left out."""
         if engines is not self._engines and engines != self._engines:
             self._ranks.clear()
         self._engines = engines
--- a/liftrill/routing/request.py
+++ b/liftrill/routing/request.py
@@ -1,4 +1,4 @@
-"""A request as the router sees it."""
+"""The data of a request that routing works with."""
 
 from dataclasses import dataclass, field
 
@@ -12,7 +12,7 @@
 
     Attributes:
         prompt: UTF-8 text.
-        prompt_tokens: tokens of the prompt.
+        prompt_tokens: the number of tokens in the prompt.
         priority: 0 is the most urgent.
         deadline: on the node's monotonic clock, in seconds.
         repeatable: False where the request may run at most once.
@@ -38,14 +38,14 @@
         return CacheScope(self.tenant, self.model, adapter, weight_version)
 
     def salt(self, scope: CacheScope, secret: bytes) -> bytes:
-        """Return the scope's salt, computed once."""
+        """Return the salt of a scope; it is computed once per scope."""
         salt = self._salts.get(scope)
         if salt is None:
             salt = self._salts[scope] = scope.salt(secret)
         return salt
 
     def block_names(self, scope: CacheScope, secret: bytes, tokenizer: Tokenizer) -> list[bytes]:
-        """Return the names of the prompt's blocks in a scope, computed once."""
+        """Return the block names of the prompt in a scope; they are computed once per scope."""
         names = self._names.get(scope)
         if names is None:
             salt = self.salt(scope, secret)
--- a/liftrill/routing/router.py
+++ b/liftrill/routing/router.py
@@ -1,6 +1,6 @@
-"""Chooses engines for requests and holds requests while engines are full, sans-IO.
+"""Chooses engines for requests and queues requests while all engines are full; sans-IO.
 
-The same router serves the daemon and virtual time; the clock is passed in.
+The daemon and the simulation use the same router; the clock is passed in.
 """
 
 from collections import OrderedDict
@@ -23,7 +23,16 @@
 
 @dataclass(frozen=True, slots=True)
 class Explanation:
-    """Why an engine was chosen."""
+    """The inputs and the result of one routing decision.
+
+    Attributes:
+        loads: the estimated requests on each engine that could be chosen.
+        costs: the cost terms of each engine, for policies that compute them.
+        excluded: the engines that were ruled out by earlier attempts of the request.
+        shared_tokens: prompt tokens in the prefix that other requests used too.
+        believed_tokens: prompt tokens that the engine is believed to have cached.
+        import_tokens: prompt tokens to import from the kept-KV store.
+    """
 
     engine_id: str
     policy: str
@@ -37,11 +46,11 @@
 
 @dataclass(frozen=True, slots=True)
 class PrefixSaveAdvice:
-    """Advice to give a prefix to the kept-KV store: it will save more than it costs.
+    """Advice to save a prefix to the kept-KV store, as its expected reuse outweighs its cost.
 
     Attributes:
-        name: the prefix's last block.
-        blocks: its length.
+        name: the name of the last block of the prefix.
+        blocks: the length of the prefix in blocks.
     """
 
     engine_id: str
@@ -50,8 +59,14 @@
 
 
 @dataclass(slots=True)
-class _Dispatched:
-    """What was believed when a request was sent."""
+class _DispatchRecord:
+    """The beliefs on which the dispatch of a request was based.
+
+    Attributes:
+        believed_depth: leading markers that the engine was believed to hold.
+        belief_age: the age of that belief, in seconds.
+        incarnation: the incarnation of the engine, or 0 if it was not known.
+    """
 
     markers: list[bytes]
     shared_depth: int
@@ -61,7 +76,7 @@
 
 
 class Router(RoutingPorts):
-    """One node's router."""
+    """Chooses engines for the requests of one node and queues requests that must wait."""
 
     def __init__(
         self,
@@ -83,7 +98,7 @@
         self._tokenizer = FixedWidthTokenizer()
         self._queues: dict[str, DispatchQueue[RoutedRequest]] = {}
         self._granted: dict[str, str] = {}  # request id to model
-        self._dispatched: dict[str, _Dispatched] = {}
+        self._dispatches: dict[str, _DispatchRecord] = {}
         self._explanations: OrderedDict[str, list[Explanation]] = OrderedDict()
 
     # Choosing
@@ -91,20 +106,20 @@
     def choose(
         self, request: RoutedRequest, excluded: frozenset[str], weight_version: str | None
     ) -> EngineChoice | Unavailable:
-        """Return an engine for a request, or why there is none now."""
+        """Return an engine for a request, or the reason why none is available now."""
         pools = self.view.pools_by_model.get(request.model, [])
         pool_names = tuple(pool.name for pool in pools)
         engines = self.engines.in_pools(pool_names)
         if not engines:
             return self._unavailable(request, Unavailable.NONE_ELIGIBLE)
-        # What was sent before is not held back: its turn would be granted for engines that it
-        # may not use, and its caller has waited already.
-        has_begun = bool(excluded) or weight_version is not None
-        if has_begun or self._may_go_now(request):
-            query = self._query(request, pools[0], self.engines.ids_in_pools(pool_names))
-            for group in (self._narrow(query, engines), engines):
+        # A request that was dispatched before skips the queue: a dispatch grant could be for
+        # engines that it may not use, and its caller has already waited.
+        was_dispatched = bool(excluded) or weight_version is not None
+        if was_dispatched or self._may_dispatch(request):
+            query = self._routing_query(request, pools[0], self.engines.ids_in_pools(pool_names))
+            for group in (self._candidates(query, engines), engines):
                 eligible = self._eligible(group, excluded, weight_version)
-                usable = eligible if has_begun else self._with_room(eligible)
+                usable = eligible if was_dispatched else self._with_free_slots(eligible)
                 if usable:
                     self._granted.pop(request.request_id, None)
                     preferred = self._prefer_current_weights(usable)
@@ -114,21 +129,21 @@
         return self._unavailable(request, Unavailable.NONE_ELIGIBLE)
 
     def try_spend_retry(self, request: RoutedRequest) -> bool:
-        """Spend one retry of the request's workload."""
+        """Spend one retry from the retry budget of the request's workload; False if it is empty."""
         return self._admission.try_spend_retry(request.workload)
 
     def explanations(self, request_id: str) -> list[Explanation]:
-        """Return why each engine of a request was chosen."""
+        """Return the explanations of a request, one for each routing decision."""
         return self._explanations.get(request_id, [])
 
     def block_names(self, request: RoutedRequest, pool: Pool) -> list[bytes]:
-        """Return the names of a prompt's blocks on a pool's engines."""
+        """Return the block names of a request's prompt on the engines of a pool."""
         scope = request.scope(pool.adapter, pool.weight_version)
         return request.block_names(scope, self._cache_secret, self._tokenizer)
 
     @property
     def directory_size(self) -> int:
-        """The number of shared markers that are remembered."""
+        """The number of shared markers in the prefix directory."""
         return len(self._directory)
 
     # Feedback
@@ -136,32 +151,36 @@
     def record_completion(
         self, request: RoutedRequest, engine_id: str, cached_tokens: int
     ) -> PrefixSaveAdvice | None:
-        """Learn from a completed answer; return advice for the kept-KV store."""
-        sent = self._dispatched.pop(request.request_id, None)
-        if sent is None:
+        """Update the prefix directory by the cached-token count of a completed response.
+
+        Returns:
+            Advice to save the prefix to the kept-KV store, or None if that is not worthwhile.
+        """
+        dispatch = self._dispatches.pop(request.request_id, None)
+        if dispatch is None:
             return None
         now = self._clock()
-        cached_depth = min(cached_tokens // marker_tokens(1), len(sent.markers))
-        self._directory.mark_shared(sent.markers[:cached_depth], now)
-        held = sent.markers[: max(sent.shared_depth, cached_depth)]
-        if sent.believed_depth:
-            was_right = cached_tokens >= marker_tokens(sent.believed_depth)
-            self._directory.record_answer(engine_id, sent.belief_age, was_right)
-        self._directory.record_held(engine_id, sent.incarnation, held, now)
-        return self._advise_keeping(engine_id, held, now)
+        cached_depth = min(cached_tokens // marker_tokens(1), len(dispatch.markers))
+        self._directory.mark_shared(dispatch.markers[:cached_depth], now)
+        held = dispatch.markers[: max(dispatch.shared_depth, cached_depth)]
+        if dispatch.believed_depth:
+            belief_was_right = cached_tokens >= marker_tokens(dispatch.believed_depth)
+            self._directory.record_answer(engine_id, dispatch.belief_age, belief_was_right)
+        self._directory.record_held(engine_id, dispatch.incarnation, held, now)
+        return self._advise_saving(engine_id, held, now)
 
     def record_abandoned(self, request: RoutedRequest) -> None:
-        """Forget a request that did not complete."""
-        self._dispatched.pop(request.request_id, None)
+        """Drop the dispatch record of a request that did not complete."""
+        self._dispatches.pop(request.request_id, None)
 
-    # Waiting
+    # Queueing
 
     def expected_wait(self, request: RoutedRequest) -> float:
-        """Return the seconds that a request would wait in the queue."""
+        """Return the expected queue wait of a request, in seconds."""
         return self._queue(request.model).expected_wait(request.priority)
 
     def enqueue(self, request: RoutedRequest) -> QueuedItem[RoutedRequest] | None:
-        """Hold a request until an engine may be free; None if the queue is full."""
+        """Queue a request until an engine may have a free slot; None if the queue is full."""
         tenant = self.view.tenants_by_name.get(request.tenant)
         return self._queue(request.model).push(
             request,
@@ -172,34 +191,40 @@
         )
 
     def dequeue(self, item: QueuedItem[RoutedRequest]) -> None:
-        """Take out a request that goes on or gave up."""
+        """Remove a request from the queue, because it was granted a dispatch or stopped waiting."""
         self._queue(item.waiter.model).remove(item)
 
     def release_dispatch_grant(self, request: RoutedRequest) -> None:
-        """Give back a turn that will not be used."""
+        """Release a dispatch grant that will not be used."""
         self._granted.pop(request.request_id, None)
 
     def grant_dispatches(self, model: str | None = None) -> list[RoutedRequest]:
-        """Return the waiting requests that may now call `choose` again, in order."""
+        """Grant dispatches to queued requests while engines have free slots.
+
+        If no engine of a model is eligible, all its requests are granted, so that they end.
+
+        Returns:
+            The requests that may now call `choose` again, in queue order.
+        """
         granted: list[RoutedRequest] = []
         for name in [model] if model else list(self._queues):
-            self._grant_model(name, granted)
+            self._grant_model_dispatches(name, granted)
         return granted
 
-    def _grant_model(self, model: str, granted: list[RoutedRequest]) -> None:
+    def _grant_model_dispatches(self, model: str, granted: list[RoutedRequest]) -> None:
         queue = self._queues.get(model)
         if not queue:
             return
         pools = [pool.name for pool in self.view.pools_by_model.get(model, [])]
         eligible = self._eligible(self.engines.in_pools(pools), frozenset(), None)
         now = self._clock()
-        room = sum(engine.room(now) for engine in eligible) - self._unused_turns(model)
+        free_slots = sum(engine.free_slots(now) for engine in eligible) - self._unused_grants(model)
 
         def grant(request: RoutedRequest) -> bool:
-            nonlocal room
-            if eligible and room <= 0:
+            nonlocal free_slots
+            if eligible and free_slots <= 0:
                 return False
-            room -= 1
+            free_slots -= 1
             self._granted[request.request_id] = model
             granted.append(request)
             return True
@@ -212,14 +237,14 @@
         self._granted.pop(request.request_id, None)
         return reason
 
-    def _narrow(self, query: RoutingQuery, engines: list[EngineState]) -> list[EngineState]:
-        """Return the engines to look at first, where there are many."""
+    def _candidates(self, query: RoutingQuery, engines: list[EngineState]) -> list[EngineState]:
+        """Return the engines to evaluate first; all of them unless there are many."""
         if len(engines) <= constants.FULL_SCAN_ENGINES:
             return engines
-        chosen = self._policy.narrow(query, engines)
-        if chosen is None:
+        candidate_ids = self._policy.select_candidates(query, engines)
+        if candidate_ids is None:
             return engines
-        found = [self.engines.get(engine_id) for engine_id in chosen]
+        found = [self.engines.get(engine_id) for engine_id in candidate_ids]
         return [engine for engine in found if engine is not None]
 
     def _eligible(
@@ -238,18 +263,18 @@
             and engine.breaker.allows(now)
         ]
 
-    def _with_room(self, engines: list[EngineState]) -> list[EngineState]:
+    def _with_free_slots(self, engines: list[EngineState]) -> list[EngineState]:
         now = self._clock()
-        return [engine for engine in engines if engine.has_room(now)]
+        return [engine for engine in engines if engine.has_free_slot(now)]
 
     def _prefer_current_weights(self, engines: list[EngineState]) -> list[EngineState]:
-        """Return the engines with the configured weights, or all if there are none."""
+        """Return the engines with the configured weights, or all engines if none has them."""
         pools = self.view.pools_by_name
         current = [e for e in engines if e.weight_version == pools[e.pool].weight_version]
         return current or engines
 
-    def _may_go_now(self, request: RoutedRequest) -> bool:
-        """Return whether nobody waits, or the request's turn has come."""
+    def _may_dispatch(self, request: RoutedRequest) -> bool:
+        """Return whether the queue is empty or the request was granted a dispatch."""
         return not self._queues.get(request.model) or request.request_id in self._granted
 
     def _choose_among(
@@ -261,8 +286,8 @@
     ) -> EngineChoice:
         decision = self._policy.choose(query, engines)
         engine = decision.engine
-        self._remember(request, query, decision)
-        self._explain(request, query, decision, engines, excluded)
+        self._record_dispatch(request, query, decision)
+        self._record_explanation(request, query, decision, engines, excluded)
         held = marker_tokens(max(decision.believed_depth, decision.import_depth))
         return EngineChoice(
             engine_id=engine.engine_id,
@@ -273,14 +298,14 @@
             import_candidates=tuple(query.markers) if self._policy.uses_kept_store else (),
         )
 
-    def _query(
+    def _routing_query(
         self, request: RoutedRequest, pool: Pool, engine_ids: tuple[str, ...]
     ) -> RoutingQuery:
         markers = markers_of(self.block_names(request, pool))
         now = self._clock()
-        first_time = request.request_id not in self._dispatched
+        is_first = request.request_id not in self._dispatches
         observe = self._directory.observe
-        depth = observe(markers, now) if first_time else self._directory.shared_depth(markers)
+        depth = observe(markers, now) if is_first else self._directory.shared_depth(markers)
         if depth:
             self.home_reporter.record_used(markers[depth - 1])
         return RoutingQuery(
@@ -292,7 +317,7 @@
             engine_ids=engine_ids,
         )
 
-    def _remember(
+    def _record_dispatch(
         self, request: RoutedRequest, query: RoutingQuery, decision: PolicyChoice
     ) -> None:
         engine = decision.engine
@@ -300,14 +325,14 @@
         if decision.believed_depth:
             name = query.markers[decision.believed_depth - 1]
             age = self._directory.belief_age(engine.engine_id, name, query.now)
-        self._dispatched[request.request_id] = _Dispatched(
+        self._dispatches[request.request_id] = _DispatchRecord(
             list(query.markers),
             query.shared_depth,
             decision.believed_depth,
             age,
             engine.incarnation or 0,
         )
-        # What is sent now will be held soon: the next request should meet it there.
+        # The engine will soon hold this prefix, so the next request should be routed there.
         self._directory.record_held(
             engine.engine_id,
             engine.incarnation or 0,
@@ -315,10 +340,10 @@
             query.now,
         )
 
-    def _advise_keeping(
+    def _advise_saving(
         self, engine_id: str, held: list[bytes], now: float
     ) -> PrefixSaveAdvice | None:
-        """Advise keeping a prefix whose expected reuse outweighs its transfer."""
+        """Return advice to save a prefix whose expected reuse outweighs its transfer."""
         if not held or not self._policy.uses_kept_store:
             return None
         marker = self._directory.get(held[-1])
@@ -329,7 +354,7 @@
         marker.kept_at = now
         return PrefixSaveAdvice(engine_id, held[-1], len(held) * constants.MARKER_STRIDE_BLOCKS)
 
-    def _explain(
+    def _record_explanation(
         self,
         request: RoutedRequest,
         query: RoutingQuery,
@@ -357,11 +382,11 @@
             queue = self._queues[model] = DispatchQueue(constants.QUEUE_LENGTH_LIMIT)
         return queue
 
-    def _unused_turns(self, model: str) -> int:
+    def _unused_grants(self, model: str) -> int:
         return sum(1 for granted_model in self._granted.values() if granted_model == model)
 
 
 def _serves_accepted_weights(engine: EngineState, pool: Pool) -> bool:
-    """Return whether an engine has the pool's weights, or those it is being moved from."""
+    """Return whether an engine has the configured or the previous weights of its pool."""
     accepted = (pool.weight_version, pool.previous_weight_version)
     return bool(engine.weight_version) and engine.weight_version in accepted
--- a/liftrill/routing/watch_assignment.py
+++ b/liftrill/routing/watch_assignment.py
@@ -1,4 +1,4 @@
-"""Which node watches what, by rendezvous over the members; nobody is asked."""
+"""Assigns watches to nodes by rendezvous hashing over the members, without coordination."""
 
 from collections.abc import Iterable
 
@@ -8,7 +8,7 @@
 
 
 def watched_engines(own_id: str, members: Iterable[str], engines: Iterable[str]) -> list[str]:
-    """Return the engines that this node must ask for their reports."""
+    """Return the engines that this node must poll for their reports."""
     members = list(members)
     return [
         engine_id
@@ -18,5 +18,5 @@
 
 
 def watches_store(own_id: str, region_members: Iterable[str], watchers: int) -> bool:
-    """Return whether this node reads the store for its region."""
+    """Return whether this node is one of those that watch the store for their region."""
     return own_id in rendezvous.rank(STORE_WATCH_KEY, region_members)[:watchers]
