--- a/features/bursts.feature
+++ b/features/bursts.feature
@@ -45,7 +45,7 @@
   Scenario: A confirmed burst moves an engine, which then serves the other model
     Given a cluster with 1 engines of chart-llm and 2 engines of spare
     When the operator confirms a burst of chart-llm that is on now and asks for 1 engine
-    Then the plan tells that engines of spare are emptied
+    Then the plan tells that engines of spare are drained
     And chart-llm comes to have 2 engines and spare 1
     When 20 requests are sent over all nodes
     Then every request ran and its answer is whole and its own
--- a/features/steps/burst_steps.py
+++ b/features/steps/burst_steps.py
@@ -207,10 +207,10 @@
     context.run(confirm())
 
 
-@then("the plan tells that engines of spare are emptied")
+@then("the plan tells that engines of spare are drained")
 def step_plan_tells(context):
     text = " ".join(context.plan["consequences"])
-    assert "engines of spare" in text and "emptied" in text, context.plan
+    assert "engines of spare" in text and "drained" in text, context.plan
 
 
 @then("chart-llm comes to have {own:d} engines and spare {other:d}")
--- a/liftrill/planning/__init__.py
+++ b/liftrill/planning/__init__.py
@@ -1,1 +1,1 @@
-"""Intents, plans and their confirmation."""
+"""Intents, plans and their confirmation, and the controllers that move and update engines."""
--- a/liftrill/planning/burst.py
+++ b/liftrill/planning/burst.py
@@ -1,12 +1,13 @@
-"""Moves engines between pools as bursts come and go, sans-IO.
+"""Moves engines between pools to follow bursts of load; sans-IO.
 
-The controller of a pool borrows engines from others and gives them back. It wants
+The controller of a pool borrows engines from other pools and returns them. It wants
 
-    as many as a dated burst asks for, from its lead time until its end,
-    and one more whenever the pool has been busy for a while, or is about to be.
+    the engines that a scheduled burst asks for, from its lead time until its end,
+    and one more each time the pool is busy, or is forecast to be busy, for long enough.
 
-Rising and falling have different thresholds and both must last, so that engines, which are
-emptied by each move, do not go back and forth. One order is sent at a time.
+The thresholds for borrowing and returning differ, and each must hold for some time, so that
+engines do not oscillate between pools: each move drains an engine. Each decision sends at most
+one order.
 """
 
 from collections.abc import Mapping, Sequence
@@ -19,17 +20,17 @@
 
 @dataclass(frozen=True, slots=True)
 class BurstParameters:
-    """When to borrow and when to give back.
+    """The thresholds for borrowing and returning engines.
 
     Attributes:
-        requests_per_engine: load at which an engine counts as fully used.
-        busy_utilization: at which the pool is busy.
-        idle_utilization: at which it could do with one engine less.
-        busy_seconds: how long it must be busy before it borrows.
-        idle_seconds: how long it must be idle before it gives back.
-        forecast_seconds: how far ahead the slope of the utilization is followed.
-        smoothing_seconds: time constant of the measured utilization.
-        patience_seconds: after which an order that shows no effect may be sent again.
+        requests_per_engine: the load at which the utilization of an engine is 1.
+        busy_utilization: the utilization from which a pool is busy.
+        idle_utilization: the utilization up to which a pool is idle.
+        busy_seconds: how long a pool must be busy before it borrows another engine.
+        idle_seconds: how long a pool must be idle before it returns an engine.
+        forecast_seconds: how far ahead the utilization is extrapolated.
+        smoothing_seconds: the time constant of the smoothed utilization.
+        order_timeout_seconds: the time after which an order without effect may be sent again.
     """
 
     requests_per_engine: float = 12.0
@@ -39,19 +40,20 @@
     idle_seconds: float = 60.0
     forecast_seconds: float = 10.0
     smoothing_seconds: float = 5.0
-    patience_seconds: float = 30.0
+    order_timeout_seconds: float = 30.0
 
 
 @dataclass(frozen=True, slots=True)
 class ControlView:
-    """What a controller decides from.
+    """The state from which a controller decides.
 
     Attributes:
         pools: all configured pools, by name.
-        engines: the engines that serve each pool now, by pool.
-        strays: engines that serve a pool which is no longer configured.
-        unix_now: wall-clock time, for dated bursts.
-        now: monotonic time, for everything else.
+        bursts: all scheduled bursts.
+        engines: the engines that currently serve each pool, by pool.
+        orphaned_engines: engines that serve a pool that is no longer configured.
+        unix_now: the wall-clock time, for scheduled bursts.
+        now: the monotonic time, for everything else.
     """
 
     pools: Mapping[str, Pool]
@@ -63,15 +65,20 @@
 
 
 @dataclass(frozen=True, slots=True)
-class _SentOrder:
-    """An order whose effect has not been seen yet: the pool ordered, and when."""
+class _PendingOrder:
+    """An order whose effect has not been observed yet.
+
+    Attributes:
+        pool: the pool that the engine was ordered to serve.
+        sent_at: the monotonic time at which the order was sent.
+    """
 
     pool: str
-    at: float
+    sent_at: float
 
 
 class UtilizationTrend:
-    """A smoothed utilization and its slope."""
+    """An exponentially smoothed utilization and its slope per second."""
 
     def __init__(self, smoothing_seconds: float) -> None:
         self._smoothing_seconds = smoothing_seconds
@@ -80,7 +87,7 @@
         self.slope = 0.0
 
     def update(self, measured: float, now: float) -> None:
-        """Take in a measurement."""
+        """Add a measurement."""
         if self._at is None:
             self._at, self.value = now, measured
             return
@@ -92,12 +99,12 @@
         self._at = now
 
     def forecast(self, seconds: float) -> float:
-        """Return the utilization that is to be expected."""
+        """Return the utilization extrapolated by a number of seconds."""
         return self.value + self.slope * seconds
 
 
 class BurstController:
-    """Decides for one pool. A new lease holder starts with a new one."""
+    """Decides the orders of one pool; each new lease holder creates a new controller."""
 
     def __init__(self, pool_name: str, parameters: BurstParameters) -> None:
         self._pool_name = pool_name
@@ -105,34 +112,36 @@
         self._trend = UtilizationTrend(parameters.smoothing_seconds)
         self._busy_since: float | None = None
         self._idle_since: float | None = None
-        self._extra = 0
-        self._sent: dict[str, _SentOrder] = {}
+        self._extra_engines = 0
+        self._pending_orders: dict[str, _PendingOrder] = {}
 
     @property
-    def extra(self) -> int:
-        """Engines wanted beyond what dated bursts ask for."""
-        return self._extra
+    def extra_engines(self) -> int:
+        """The engines wanted in addition to those for scheduled bursts."""
+        return self._extra_engines
 
     def decide(self, view: ControlView) -> AssignOrder | None:
-        """Return the order to send now, if any."""
+        """Return the order to send now, or None."""
         own = view.engines.get(self._pool_name, ())
         self._trend.update(self._utilization(own, view.now), view.now)
-        self._forget_orders(view)
-        self._adjust_extra(view)
-        stray = self._own_stray(view)
-        if stray is not None:
-            return self._order(view, stray, stray.pool, self._pool_name)
+        self._remove_settled_orders(view)
+        self._adjust_extra_engines(view)
+        orphaned = self._own_orphaned_engine(view)
+        if orphaned is not None:
+            return self._order(view, orphaned, orphaned.pool, self._pool_name)
         borrowed = [engine for engine in own if engine.listed_pool != self._pool_name]
-        arriving = [order for order in self._sent.values() if order.pool == self._pool_name]
-        wanted = self._dated(view) + self._extra
+        arriving = [
+            order for order in self._pending_orders.values() if order.pool == self._pool_name
+        ]
+        wanted = self._scheduled_engines(view) + self._extra_engines
         if len(borrowed) + len(arriving) < wanted:
-            return self._borrow(view)
-        if len(borrowed) > wanted and not self._sent:
-            return self._give_back(view, borrowed)
+            return self._borrow_engine(view)
+        if len(borrowed) > wanted and not self._pending_orders:
+            return self._return_engine(view, borrowed)
         return None
 
-    def _own_stray(self, view: ControlView) -> EngineState | None:
-        """Return an engine of this pool that was lent to a pool which is gone."""
+    def _own_orphaned_engine(self, view: ControlView) -> EngineState | None:
+        """Return an engine that this pool lent to a pool that is no longer configured, or None."""
         own = [
             e
             for e in view.orphaned_engines
@@ -147,23 +156,23 @@
         load = sum(engine.load(now) for engine in serving)
         return load / (len(serving) * self._parameters.requests_per_engine)
 
-    def _adjust_extra(self, view: ControlView) -> None:
-        """Follow the load with hysteresis: one engine more or less at a time."""
+    def _adjust_extra_engines(self, view: ControlView) -> None:
+        """Adjust the extra engines to the load with hysteresis, by one engine at a time."""
         parameters = self._parameters
         pool = view.pools[self._pool_name]
         expected = max(self._trend.value, self._trend.forecast(parameters.forecast_seconds))
         busy = expected >= parameters.busy_utilization
         idle = self._trend.value <= parameters.idle_utilization and not busy
-        self._busy_since = _since(self._busy_since, busy, view.now)
-        self._idle_since = _since(self._idle_since, idle, view.now)
-        if _lasted(self._busy_since, parameters.busy_seconds, view.now):
-            self._extra = min(self._extra + 1, pool.borrow_limit)
+        self._busy_since = _condition_start(self._busy_since, busy, view.now)
+        self._idle_since = _condition_start(self._idle_since, idle, view.now)
+        if _has_lasted(self._busy_since, parameters.busy_seconds, view.now):
+            self._extra_engines = min(self._extra_engines + 1, pool.borrow_limit)
             self._busy_since = view.now
-        if _lasted(self._idle_since, parameters.idle_seconds, view.now):
-            self._extra = max(self._extra - 1, 0)
+        if _has_lasted(self._idle_since, parameters.idle_seconds, view.now):
+            self._extra_engines = max(self._extra_engines - 1, 0)
             self._idle_since = view.now
 
-    def _dated(self, view: ControlView) -> int:
+    def _scheduled_engines(self, view: ControlView) -> int:
         active = [
             burst.engines
             for burst in view.bursts
@@ -173,8 +182,8 @@
         ]
         return max(active, default=0)
 
-    def _borrow(self, view: ControlView) -> AssignOrder | None:
-        """Take the least loaded engine of the least used pool that can spare one."""
+    def _borrow_engine(self, view: ControlView) -> AssignOrder | None:
+        """Order the least loaded engine of the least utilized lending pool that can spare one."""
         lenders = [
             (self._utilization(view.engines.get(name, ()), view.now), name)
             for name in view.pools[self._pool_name].borrow_from
@@ -194,8 +203,10 @@
         serving = [e for e in view.engines.get(pool_name, ()) if not e.leaving]
         return len(serving) > max(1, pool.minimum_engines)
 
-    def _give_back(self, view: ControlView, borrowed: Sequence[EngineState]) -> AssignOrder | None:
-        """Return the least loaded borrowed engine to the pool it is listed in."""
+    def _return_engine(
+        self, view: ControlView, borrowed: Sequence[EngineState]
+    ) -> AssignOrder | None:
+        """Order the least loaded borrowed engine back to the pool in the machine list."""
         movable = [e for e in borrowed if self._can_move(e) and e.listed_pool in view.pools]
         if not movable:
             return None
@@ -204,12 +215,12 @@
 
     def _can_move(self, engine: EngineState) -> bool:
         known = engine.identity is not None and not engine.leaving
-        return known and engine.engine_id not in self._sent
+        return known and engine.engine_id not in self._pending_orders
 
     def _order(
         self, view: ControlView, engine: EngineState, source: str, target: str
     ) -> AssignOrder:
-        self._sent[engine.engine_id] = _SentOrder(target, view.now)
+        self._pending_orders[engine.engine_id] = _PendingOrder(target, view.now)
         pool = view.pools[target]
         return AssignOrder(
             order_id=f"{engine.engine_id}/{engine.incarnation}/{source}/{target}",
@@ -221,22 +232,22 @@
             weight_version=pool.weight_version,
         )
 
-    def _forget_orders(self, view: ControlView) -> None:
-        """Forget orders that show their effect, or have shown none for too long."""
-        limit = view.now - self._parameters.patience_seconds
-        for engine_id, order in list(self._sent.items()):
+    def _remove_settled_orders(self, view: ControlView) -> None:
+        """Remove pending orders that took effect or timed out."""
+        limit = view.now - self._parameters.order_timeout_seconds
+        for engine_id, order in list(self._pending_orders.items()):
             serving = view.engines.get(order.pool, ())
             arrived = any(e.engine_id == engine_id and not e.leaving for e in serving)
-            if arrived or order.at <= limit:
-                del self._sent[engine_id]
+            if arrived or order.sent_at <= limit:
+                del self._pending_orders[engine_id]
 
 
-def _since(since: float | None, holds: bool, now: float) -> float | None:
-    """Return since when a condition has held without a break."""
+def _condition_start(since: float | None, holds: bool, now: float) -> float | None:
+    """Return the time since which a condition has held continuously, or None."""
     if not holds:
         return None
     return now if since is None else since
 
 
-def _lasted(since: float | None, seconds: float, now: float) -> bool:
+def _has_lasted(since: float | None, seconds: float, now: float) -> bool:
     return since is not None and now - since >= seconds
--- a/liftrill/planning/commit.py
+++ b/liftrill/planning/commit.py
@@ -1,10 +1,9 @@
-"""Confirming a plan: one compare-and-swap of the head.
+"""Confirms a plan by one compare-and-swap of the head.
 
-Sections are content-addressed and written first; they change nothing by themselves. The
-head carries the identifiers of recent plans, so that a lost answer is resolved by
-reading it: either the plan is there, or the head moved on without it, or the swap can
-be tried again at the same revision. Trying again is safe, since a revision can be
-swapped away only once.
+The sections are content-addressed and written first; they have no effect until a head refers to
+them. The head lists the identifiers of recent plans, so a lost response is resolved by reading
+the head: it contains the plan, or another plan replaced it, or the swap can be retried at the
+same revision. The retry is safe, because a revision can be replaced only once.
 """
 
 from tenacity import (
@@ -45,8 +44,9 @@
         """Confirm a plan and return the head that contains it.
 
         Raises:
-            OperatorError: PLAN_CONFLICT if another plan came first, STORE_UNAVAILABLE if
-                nothing was changed, CONFIRMATION_UNRESOLVED if that cannot be told.
+            OperatorError: PLAN_CONFLICT if another plan was confirmed first,
+                STORE_UNAVAILABLE if the store failed and nothing was changed,
+                CONFIRMATION_UNRESOLVED if the plan may or may not be confirmed.
         """
         swap_may_have_happened = False
         try:
@@ -55,16 +55,18 @@
                     await self._write_sections(plan)
                     entry = await self._store.get(HEAD_KEY)
                     current = parse_head(entry.value) if entry else messages.Head()
-                    if _contains(current, plan.plan_id):
+                    if _contains_plan(current, plan.plan_id):
                         return current
                     self._check_base(plan, current, swap_may_have_happened)
                     proposed = _next_head(current, plan, operator_name, now_milliseconds)
                     swap_may_have_happened = True
                     if await self._swap(entry, proposed):
                         return proposed
-                    raise StoreAnswerLostError("the head moved; read it again")
+                    raise StoreAnswerLostError(
+                        "the head changed during the swap and must be read again"
+                    )
         except StoreError as error:
-            raise self._unresolved(swap_may_have_happened) from error
+            raise self._store_failure_error(swap_may_have_happened) from error
         raise AssertionError("unreachable: the retry loop returns or raises")
 
     def _retrying(self) -> AsyncRetrying:
@@ -82,7 +84,7 @@
         for digest, content in zip(
             section_digests(plan).values(), plan.sections.values(), strict=True
         ):
-            # A section that is already there has the same content: False is fine.
+            # False means that the section exists, and then it has the same content.
             await self._store.compare_and_swap(section_key(digest), content, 0)
 
     async def _swap(self, entry: StoredEntry | None, head: messages.Head) -> bool:
@@ -93,16 +95,20 @@
     def _check_base(plan: Plan, current: messages.Head, swap_may_have_happened: bool) -> None:
         if current.generation == plan.base_generation:
             return
-        passed = current.generation - plan.base_generation
-        if swap_may_have_happened and passed > constants.CONFIRMATIONS_KEPT:
+        confirmed_count = current.generation - plan.base_generation
+        if swap_may_have_happened and confirmed_count > constants.CONFIRMATIONS_KEPT:
             raise OperatorError(
-                ResultCode.CONFIRMATION_UNRESOLVED, "too many plans were confirmed since"
+                ResultCode.CONFIRMATION_UNRESOLVED,
+                f"{confirmed_count} plans were confirmed since generation {plan.base_generation}",
             )
-        detail = f"generation {current.generation} was confirmed since {plan.base_generation}"
+        detail = (
+            f"the plan is based on generation {plan.base_generation}, "
+            f"but generation {current.generation} is in force"
+        )
         raise OperatorError(ResultCode.PLAN_CONFLICT, detail)
 
     @staticmethod
-    def _unresolved(swap_may_have_happened: bool) -> OperatorError:
+    def _store_failure_error(swap_may_have_happened: bool) -> OperatorError:
         if swap_may_have_happened:
             return OperatorError(
                 ResultCode.CONFIRMATION_UNRESOLVED,
@@ -116,15 +122,15 @@
 async def restore_newer_head(
     store: KeyValueStore, head: messages.Head, sections: dict[bytes, bytes]
 ) -> bool:
-    """Put back a confirmed head into a store that was restored from an older copy.
+    """Write a confirmed head to a store that was restored from an older copy.
 
-    Safe in a race: the swap only replaces the older head that was read.
+    Safe with concurrent writers: the swap only replaces the older head that was read.
 
     Returns:
         True if the store now has this head or a newer one.
 
     Raises:
-        StoreError: the store did not answer.
+        StoreError: the store did not respond.
     """
     entry = await store.get(HEAD_KEY)
     stored = parse_head(entry.value) if entry else messages.Head()
@@ -137,11 +143,11 @@
 
 
 def section_key(digest: bytes) -> str:
-    """Return the store's key of a section."""
+    """Return the store key of a section."""
     return SECTION_KEY_PREFIX + digest.hex()
 
 
-def _contains(head: messages.Head, plan_id: str) -> bool:
+def _contains_plan(head: messages.Head, plan_id: str) -> bool:
     return any(confirmation.plan_id == plan_id for confirmation in head.confirmations)
 
 
@@ -151,7 +157,7 @@
     head = messages.Head()
     head.CopyFrom(current)
     head.generation = plan.base_generation + 1
-    # A plan names every section: one that is gone, such as an emptied shard, goes.
+    # A plan contains every section, so sections that it lacks, such as empty shards, are removed.
     head.section_digests.clear()
     for name, digest in section_digests(plan).items():
         head.section_digests[name] = digest
--- a/liftrill/planning/intent.py
+++ b/liftrill/planning/intent.py
@@ -1,6 +1,6 @@
-"""What an operator states: the schema of intent files.
+"""The schema of the intent files that operators write.
 
-Items that an intent names are added or replaced; items it does not name stay as they are.
+Items in an intent are added or replaced; items that it does not contain stay unchanged.
 """
 
 from pydantic import AwareDatetime, Field, model_validator
@@ -12,7 +12,7 @@
 
 
 class TenantIntent(StrictModel):
-    """A tenant. Rates of 0 mean no limit."""
+    """A tenant and its limits; a rate of 0 means no limit."""
 
     name: str = Field(pattern=NAME_PATTERN)
     api_keys: list[str] = Field(min_length=1)
@@ -24,7 +24,7 @@
 
 
 class WorkloadIntent(StrictModel):
-    """A kind of request and how it is treated; priority 0 is the most urgent."""
+    """The priority, deadline and limits of a class of requests; priority 0 is the most urgent."""
 
     name: str = Field(pattern=NAME_PATTERN)
     model: str = Field(min_length=1)
@@ -40,7 +40,7 @@
 
 
 class PoolIntent(StrictModel):
-    """Engines that serve one model; the name is the service's in the machine list."""
+    """Engines that serve one model; the name is the service name in the machine list."""
 
     name: str = Field(pattern=NAME_PATTERN)
     model: str = Field(min_length=1)
@@ -52,7 +52,7 @@
 
 
 class BurstIntent(StrictModel):
-    """A burst whose date is known: engines are borrowed from its lead time until its end."""
+    """A scheduled burst; engines are borrowed from its lead time until its end."""
 
     name: str = Field(pattern=NAME_PATTERN)
     pool: str
@@ -69,21 +69,21 @@
 
 
 class ClaimIntent(StrictModel):
-    """The nodes that keep claims for requests that may not be repeated."""
+    """The nodes that store claims for requests that are not repeatable."""
 
     members: list[str] = Field(min_length=1, max_length=7)
 
     @model_validator(mode="after")
     def _check_members(self) -> "ClaimIntent":
         if len(set(self.members)) != len(self.members):
-            raise ValueError("members must differ")
+            raise ValueError(f"members must be distinct, got {self.members}")
         if len(self.members) % 2 == 0:
-            raise ValueError("an odd number of members is needed")
+            raise ValueError(f"the number of members must be odd, got {len(self.members)}")
         return self
 
 
 class Removal(StrictModel):
-    """Names of items to remove."""
+    """The names of the items to remove, by kind."""
 
     tenants: list[str] = Field(default_factory=list)
     workloads: list[str] = Field(default_factory=list)
@@ -92,7 +92,7 @@
 
 
 class Intent(StrictModel):
-    """A whole intent."""
+    """The content of an intent file."""
 
     tenants: list[TenantIntent] = Field(default_factory=list)
     workloads: list[WorkloadIntent] = Field(default_factory=list)
--- a/liftrill/planning/orders.py
+++ b/liftrill/planning/orders.py
@@ -1,21 +1,21 @@
-"""Orders from a pool's controller to engines."""
+"""The orders that pool controllers send to engines."""
 
 from dataclasses import dataclass
 
 
 @dataclass(frozen=True, slots=True)
 class AssignOrder:
-    """Serve a pool: its model, with its weights.
+    """An order to serve a pool, with its model and weights.
 
-    An engine takes it only from a controller whose fencing token for the authority is not
-    older than one it has seen, and only while it serves the expected pool. So a late order
-    of a former controller, or one that crossed another's, changes nothing.
+    An engine accepts the order only if it serves the expected pool and the fencing token of the
+    controller for the authority is not older than one that it has seen. So a late order of a
+    former controller, or one that arrives after a conflicting order, has no effect.
 
     Attributes:
-        order_id: the same for a repeated order.
-        authority: the pool whose lease covers the order.
-        expected_pool: the pool that the engine must be serving.
-        pool: the pool that it shall serve; the same one for a change of weights alone.
+        order_id: the identifier of the order, which is the same when it is sent again.
+        authority: the pool whose lease authorizes the order.
+        expected_pool: the pool that the engine must currently serve.
+        pool: the pool to serve; equal to `expected_pool` if only the weights change.
     """
 
     order_id: str
--- a/liftrill/planning/plan.py
+++ b/liftrill/planning/plan.py
@@ -1,4 +1,4 @@
-"""A plan: the difference between the configuration in force and an intent."""
+"""Plans: the changes that lead from the configuration in force to an intent."""
 
 from collections.abc import Iterable, Mapping
 from dataclasses import dataclass
@@ -29,7 +29,7 @@
 
 
 class ChangeKind(Enum):
-    """What a plan does with one item."""
+    """The kind of change to one item."""
 
     ADD = "add"
     CHANGE = "change"
@@ -38,7 +38,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Change:
-    """One line of a plan."""
+    """The change of one item."""
 
     kind: ChangeKind
     section: SectionName
@@ -46,7 +46,7 @@
     detail: str = ""
 
     def text(self) -> str:
-        """Return the line as operators read it."""
+        """Return the line that operators see."""
         sign = {ChangeKind.ADD: "+", ChangeKind.CHANGE: "~", ChangeKind.REMOVE: "-"}[self.kind]
         line = f"{sign} {self.section.value} {self.item}"
         return f"{line}: {self.detail}" if self.detail else line
@@ -54,20 +54,21 @@
 
 @dataclass(frozen=True, slots=True)
 class Consequence:
-    """An effect on engines that the operator should know before confirming."""
+    """An effect on engines that the operator should know before confirming the plan."""
 
     text: str
 
 
 @dataclass(frozen=True, slots=True)
 class Plan:
-    """A change that waits for confirmation.
+    """A change of the configuration that awaits confirmation.
 
     Attributes:
-        base_generation: the generation it was made from; it can only follow that one.
-        completes_claim_change: it removes the former members of the claim group, which
-            is safe only once a majority of them has adopted the base generation.
-        sections: new content of the sections that change, by name.
+        base_generation: the generation that the plan was made from; the plan can only be
+            confirmed while this generation is in force.
+        sections: the content of all sections, by name.
+        completes_claim_change: whether the plan removes the previous members of the claim
+            group, which is safe only after a majority of them applied the base generation.
     """
 
     plan_id: str
@@ -80,17 +81,17 @@
 
     @property
     def summary(self) -> str:
-        """Return one line about the plan."""
+        """All changes in one line."""
         return "; ".join(change.text() for change in self.changes)
 
 
 def make_plan(
     plan_id: str, intent: Intent, view: ConfigurationView, engines_by_pool: Mapping[str, int]
 ) -> Plan:
-    """Return the plan that would bring an intent about.
+    """Return the plan that implements an intent.
 
     Raises:
-        OperatorError: the intent contradicts itself or the configuration.
+        OperatorError: the intent is not consistent with itself or the configuration.
     """
     tenants = _merge(view.tenants.tenants, _tenants(intent.tenants), intent.remove.tenants)
     workloads = _merge(
@@ -121,7 +122,7 @@
         sections=sections,
         changes=changes,
         consequences=(
-            *_consequences(view.pools_by_name, pools, engines_by_pool),
+            *_pool_consequences(view.pools_by_name, pools, engines_by_pool),
             *_burst_consequences(index_by_name(view.bursts.bursts), bursts, pools),
         ),
         completes_claim_change=bool(view.claims.previous_members) and claims != view.claims,
@@ -134,15 +135,17 @@
 
 
 def _merge(
-    current: Iterable[ConfiguredItem], stated: Iterable[ConfiguredItem], removed: list[str]
+    current: Iterable[ConfiguredItem], requested: Iterable[ConfiguredItem], removed: list[str]
 ) -> dict[str, ConfiguredItem]:
     items = index_by_name(current)
     unknown = [name for name in removed if name not in items]
     if unknown:
-        raise OperatorError(ResultCode.INVALID_INTENT, f"cannot remove unknown {unknown[0]!r}")
+        raise OperatorError(
+            ResultCode.INVALID_INTENT, f"cannot remove {unknown[0]!r}: no such item"
+        )
     for name in removed:
         del items[name]
-    items.update(index_by_name(stated))
+    items.update(index_by_name(requested))
     return dict(sorted(items.items()))
 
 
@@ -150,16 +153,18 @@
     served = {pool.model for pool in pools}
     for workload in workloads:
         if workload.model not in served:
-            detail = f"workload {workload.name!r} uses model {workload.model!r}, which no pool has"
+            detail = (
+                f"workload {workload.name!r} uses model {workload.model!r}, which no pool serves"
+            )
             raise OperatorError(ResultCode.INVALID_INTENT, detail)
 
 
 def _check_pool_names(bursts: Iterable[messages.Burst], pools: Mapping[str, messages.Pool]) -> None:
-    named = [(f"pool {p.name!r}", other) for p in pools.values() for other in p.borrow_from]
-    named += [(f"burst {burst.name!r}", burst.pool) for burst in bursts]
-    for item, pool_name in named:
+    references = [(f"pool {p.name!r}", other) for p in pools.values() for other in p.borrow_from]
+    references += [(f"burst {burst.name!r}", burst.pool) for burst in bursts]
+    for item, pool_name in references:
         if pool_name not in pools:
-            detail = f"{item} names pool {pool_name!r}, which does not exist"
+            detail = f"{item} refers to pool {pool_name!r}, which does not exist"
             raise OperatorError(ResultCode.INVALID_INTENT, detail)
 
 
@@ -198,8 +203,8 @@
         before = current.get(pool.name)
         if before is None:
             continue
-        same = before.weight_version == pool.weight_version
-        replaced = before.previous_weight_version if same else before.weight_version
+        weights_unchanged = before.weight_version == pool.weight_version
+        replaced = before.previous_weight_version if weights_unchanged else before.weight_version
         pool.previous_weight_version = replaced
     return pools
 
@@ -207,21 +212,21 @@
 def _claims(intent: Intent, current: messages.ClaimSection) -> messages.ClaimSection:
     """Return the claim group after an intent.
 
-    A change of members takes two plans: the first adds the new members beside the old
-    ones, the second, with the same members, removes the old ones.
+    A change of members takes two plans with the same members: the first adds the new members
+    and keeps the old ones as previous members, the second removes the previous members.
     """
     if intent.claims is None:
         return current
-    stated = intent.claims.members
+    requested = intent.claims.members
     epoch = current.epoch + 1
-    if list(current.members) == stated:
+    if list(current.members) == requested:
         if not current.previous_members:
             return current
-        return messages.ClaimSection(epoch=epoch, members=stated)
+        return messages.ClaimSection(epoch=epoch, members=requested)
     if current.previous_members:
-        detail = f"claims.members: a change to {', '.join(current.members)} is under way"
+        detail = f"claims.members: a change to {', '.join(current.members)} is in progress"
         raise OperatorError(ResultCode.INVALID_INTENT, detail)
-    return messages.ClaimSection(epoch=epoch, members=stated, previous_members=current.members)
+    return messages.ClaimSection(epoch=epoch, members=requested, previous_members=current.members)
 
 
 def _differences(
@@ -230,11 +235,11 @@
     changes: list[Change] = []
     for name in sorted(before.keys() | after.keys()):
         if name not in before:
-            changes.append(Change(ChangeKind.ADD, section, name, _fields(after[name])))
+            changes.append(Change(ChangeKind.ADD, section, name, _fields_text(after[name])))
         elif name not in after:
             changes.append(Change(ChangeKind.REMOVE, section, name))
         elif before[name] != after[name]:
-            detail = _field_differences(before[name], after[name])
+            detail = _field_differences_text(before[name], after[name])
             changes.append(Change(ChangeKind.CHANGE, section, name, detail))
     return changes
 
@@ -242,23 +247,23 @@
 def _claim_differences(before: messages.ClaimSection, after: messages.ClaimSection) -> list[Change]:
     if before == after:
         return []
-    detail = f"{_group_text(before)} -> {_group_text(after)}"
+    detail = f"{_claim_group_text(before)} -> {_claim_group_text(after)}"
     return [Change(ChangeKind.CHANGE, SectionName.CLAIMS, "members", detail)]
 
 
-def _group_text(section: messages.ClaimSection) -> str:
+def _claim_group_text(section: messages.ClaimSection) -> str:
     text = ", ".join(section.members) or "none"
     if section.previous_members:
         text += f" together with {', '.join(section.previous_members)}"
     return text
 
 
-def _fields(item: Message) -> str:
+def _fields_text(item: Message) -> str:
     shown = {k: v for k, v in MessageToDict(item).items() if k not in HIDDEN_FIELDS | {"name"}}
     return ", ".join(f"{key} {value}" for key, value in shown.items())
 
 
-def _field_differences(before: Message, after: Message) -> str:
+def _field_differences_text(before: Message, after: Message) -> str:
     old = MessageToDict(before)
     new = MessageToDict(after)
     parts: list[str] = []
@@ -275,7 +280,7 @@
     after: Mapping[str, messages.Burst],
     pools: Mapping[str, messages.Pool],
 ) -> list[Consequence]:
-    """Tell which engines a new or changed burst will empty, and when."""
+    """Return which engines a new or changed burst will drain, and when."""
     found: list[Consequence] = []
     for name, burst in after.items():
         if before.get(name) == burst:
@@ -285,13 +290,13 @@
         found.append(
             Consequence(
                 f"from {starts_at:%Y-%m-%d %H:%M} UTC up to {burst.engines} engines of {lenders} "
-                f"are emptied and serve {burst.pool} until the end of burst {name}"
+                f"are drained and serve {burst.pool} until the end of burst {name}"
             )
         )
     return found
 
 
-def _consequences(
+def _pool_consequences(
     before: Mapping[str, messages.Pool],
     after: Mapping[str, messages.Pool],
     engines_by_pool: Mapping[str, int],
@@ -300,11 +305,11 @@
     for name, pool in before.items():
         engines = engines_by_pool.get(name, 0)
         if name not in after:
-            found.append(Consequence(f"{engines} engines of pool {name} get no more requests"))
+            found.append(Consequence(f"{engines} engines of pool {name} receive no more requests"))
         elif after[name].weight_version != pool.weight_version:
             found.append(
                 Consequence(
-                    f"{engines} engines of pool {name} are emptied, one at a time, to load "
+                    f"{engines} engines of pool {name} are drained, a few at a time, to load "
                     f"{after[name].weight_version}; their cached prefixes are lost"
                 )
             )
--- a/liftrill/planning/rollout.py
+++ b/liftrill/planning/rollout.py
@@ -1,7 +1,7 @@
-"""Brings the engines of a pool to the configured weights, a few at a time, sans-IO.
+"""Rolls out the configured weights to the engines of a pool, a few at a time; sans-IO.
 
-An engine finishes its running requests before it changes weights, and refuses new ones
-meanwhile, so that an order cuts off nothing.
+An engine completes its running requests and refuses new ones before it changes weights, so an
+order does not interrupt any request.
 """
 
 from collections.abc import Sequence
@@ -14,33 +14,34 @@
 
 @dataclass(frozen=True, slots=True)
 class RolloutParameters:
-    """How a rollout proceeds.
+    """The limits of a rollout.
 
     Attributes:
-        share_at_once: part of a pool that may be out for loading, at least one engine.
-        patience_seconds: after which an order that shows no effect is sent again.
+        max_unavailable_share: the share of a pool that may load weights at the same time; at
+            least one engine may.
+        order_timeout_seconds: the time after which an order without effect is sent again.
     """
 
-    share_at_once: float = 0.1
-    patience_seconds: float = 10.0
+    max_unavailable_share: float = 0.1
+    order_timeout_seconds: float = 10.0
 
 
 class PoolRollout:
-    """Decides the orders of one pool. One per lease holder; a new holder starts afresh."""
+    """Decides the rollout orders of one pool; each new lease holder creates a new one."""
 
     def __init__(self, parameters: RolloutParameters) -> None:
         self._parameters = parameters
         self._ordered_at: dict[str, float] = {}
 
     def orders(self, engines: Sequence[EngineState], pool: Pool, now: float) -> list[AssignOrder]:
-        """Return the orders that should be sent now."""
-        behind = [e for e in engines if e.identity and e.weight_version != pool.weight_version]
-        self._forget_all_but({engine.engine_id for engine in behind})
-        limit = max(1, int(len(engines) * self._parameters.share_at_once))
-        in_progress = [e for e in behind if self._is_in_progress(e.engine_id, now)]
-        # Idle engines first: they cost nobody their cached prefixes or their turn.
+        """Return the orders to send now."""
+        outdated = [e for e in engines if e.identity and e.weight_version != pool.weight_version]
+        self._remove_all_except({engine.engine_id for engine in outdated})
+        limit = max(1, int(len(engines) * self._parameters.max_unavailable_share))
+        in_progress = [e for e in outdated if self._is_in_progress(e.engine_id, now)]
+        # Idle engines first: draining them delays no requests and loses the fewest prefixes in use.
         candidates = sorted(
-            (e for e in behind if e not in in_progress and not e.listed_leaving),
+            (e for e in outdated if e not in in_progress and not e.listed_leaving),
             key=lambda engine: (engine.load(now), engine.engine_id),
         )
         chosen = candidates[: max(0, limit - len(in_progress))]
@@ -50,9 +51,9 @@
 
     def _is_in_progress(self, engine_id: str, now: float) -> bool:
         ordered_at = self._ordered_at.get(engine_id)
-        return ordered_at is not None and now - ordered_at < self._parameters.patience_seconds
+        return ordered_at is not None and now - ordered_at < self._parameters.order_timeout_seconds
 
-    def _forget_all_but(self, engine_ids: set[str]) -> None:
+    def _remove_all_except(self, engine_ids: set[str]) -> None:
         for engine_id in [e for e in self._ordered_at if e not in engine_ids]:
             del self._ordered_at[engine_id]
 
--- a/liftrill/planning/sections.py
+++ b/liftrill/planning/sections.py
@@ -1,4 +1,4 @@
-"""The sections of the configuration, and a typed view of all of them."""
+"""The sections of the configuration and a typed, indexed view of them."""
 
 import hashlib
 from collections.abc import Iterable, Mapping
@@ -14,16 +14,16 @@
 from liftrill.errors import ConfigurationError
 from liftrill.messages import configuration_pb2 as messages
 
-# Short, since it stands in the head once for each shard.
+# Short, because the head contains it once for each shard.
 TENANT_SHARD_PREFIX = "t/"
 SectionMessage = TypeVar("SectionMessage", bound=Message)
 
 
 class SectionName(Enum):
-    """Names of the kinds of sections.
+    """The kinds of sections.
 
-    Tenants are spread over shards, each a section of its own, so that a change of one
-    tenant sends a small part of them to every node.
+    Tenants are distributed over shards, each of which is a section, so that a change to one
+    tenant sends only a small part of all tenants to every node.
     """
 
     TENANTS = "tenants"
@@ -33,38 +33,38 @@
     BURSTS = "bursts"
 
 
-class Named(Protocol):
+class NamedItem(Protocol):
     """A configured item with a name."""
 
     name: str
 
 
-Item = TypeVar("Item", bound=Named)
+Item = TypeVar("Item", bound=NamedItem)
 
 
 def api_key_digest(key: str) -> bytes:
-    """Return the digest under which an API key is stored."""
+    """Return the digest of an API key; only the digest is stored."""
     return hashlib.sha256(key.encode()).digest()
 
 
 def encode(message: Message) -> bytes:
-    """Return a section's bytes."""
+    """Return the deterministic encoding of a message."""
     return message.SerializeToString(deterministic=True)
 
 
 def head_from_message(message: messages.Head) -> Head:
-    """Return the head that the replica understands."""
+    """Return the head in the form that the configuration replica uses."""
     return Head(message.generation, dict(message.section_digests))
 
 
 def tenant_shard(tenant_name: str) -> str:
-    """Return the name of the section that holds a tenant."""
+    """Return the name of the section that contains a tenant."""
     number = xxhash.xxh32_intdigest(tenant_name.encode()) % constants.TENANT_SHARDS
     return f"{TENANT_SHARD_PREFIX}{number:02d}"
 
 
 def encode_tenants(tenants: Iterable[messages.Tenant]) -> dict[str, bytes]:
-    """Return the bytes of each shard that has tenants, by section name."""
+    """Return the encoded shards that have tenants, by section name."""
     shards: dict[str, messages.TenantSection] = {}
     for tenant in tenants:
         shards.setdefault(tenant_shard(tenant.name), messages.TenantSection()).tenants.append(
@@ -74,7 +74,7 @@
 
 
 def parse_head(content: bytes) -> messages.Head:
-    """Return a head from its bytes.
+    """Return the head decoded from bytes.
 
     Raises:
         ConfigurationError: the bytes are not a head.
@@ -82,7 +82,7 @@
     try:
         return messages.Head.FromString(content)
     except DecodeError as error:
-        raise ConfigurationError("the head cannot be decoded") from error
+        raise ConfigurationError("the head of the configuration cannot be decoded") from error
 
 
 @dataclass(frozen=True, slots=True)
@@ -90,8 +90,9 @@
     """The configuration in force, indexed for lookups.
 
     Attributes:
-        generation: 0 means that there is none.
-        pools_by_model: pools that serve each model.
+        generation: the generation of the configuration, or 0 if there is none.
+        tenants_by_key: the tenant of each API key digest.
+        pools_by_model: the pools that serve each model.
     """
 
     generation: int = 0
@@ -107,11 +108,11 @@
     pools_by_name: Mapping[str, messages.Pool] = field(default_factory=dict)
 
     def tenant_for_key(self, api_key: str) -> messages.Tenant | None:
-        """Return the tenant that an API key belongs to."""
+        """Return the tenant of an API key, or None if the key is not known."""
         return self.tenants_by_key.get(api_key_digest(api_key))
 
     def default_workload(self, model: str) -> messages.Workload | None:
-        """Return the least urgent workload of a model, for requests that name none."""
+        """Return the least urgent workload of a model, for requests without a workload."""
         candidates = [w for w in self.workloads.workloads if w.model == model]
         return max(candidates, key=lambda workload: workload.priority, default=None)
 
@@ -124,16 +125,16 @@
     """
     if configuration is None:
         return ConfigurationView()
-    tenants = _tenants(configuration)
-    workloads = _section(configuration, SectionName.WORKLOADS, messages.WorkloadSection)
-    pools = _section(configuration, SectionName.POOLS, messages.PoolSection)
+    tenants = _decode_tenants(configuration)
+    workloads = _decode_section(configuration, SectionName.WORKLOADS, messages.WorkloadSection)
+    pools = _decode_section(configuration, SectionName.POOLS, messages.PoolSection)
     return ConfigurationView(
         generation=configuration.head.generation,
         tenants=tenants,
         workloads=workloads,
         pools=pools,
-        claims=_section(configuration, SectionName.CLAIMS, messages.ClaimSection),
-        bursts=_section(configuration, SectionName.BURSTS, messages.BurstSection),
+        claims=_decode_section(configuration, SectionName.CLAIMS, messages.ClaimSection),
+        bursts=_decode_section(configuration, SectionName.BURSTS, messages.BurstSection),
         tenants_by_key={key: t for t in tenants.tenants for key in t.api_key_digests},
         tenants_by_name=index_by_name(tenants.tenants),
         workloads_by_name=index_by_name(workloads.workloads),
@@ -143,11 +144,11 @@
 
 
 def index_by_name(items: Iterable[Item]) -> dict[str, Item]:
-    """Return items by their name."""
+    """Return a dictionary of items by name."""
     return {item.name: item for item in items}
 
 
-def _tenants(configuration: Configuration) -> messages.TenantSection:
+def _decode_tenants(configuration: Configuration) -> messages.TenantSection:
     merged = messages.TenantSection()
     for name, content in sorted(configuration.sections.items()):
         if name.startswith(TENANT_SHARD_PREFIX):
@@ -155,7 +156,7 @@
     return merged
 
 
-def _section(
+def _decode_section(
     configuration: Configuration, name: SectionName, message_type: type[SectionMessage]
 ) -> SectionMessage:
     return _decode(name.value, configuration.sections.get(name.value, b""), message_type)
@@ -165,7 +166,9 @@
     try:
         return message_type.FromString(content)
     except DecodeError as error:
-        raise ConfigurationError(f"section {name} cannot be decoded") from error
+        raise ConfigurationError(
+            f"section {name!r} of the configuration cannot be decoded"
+        ) from error
 
 
 def _group_by_model(section: messages.PoolSection) -> dict[str, list[messages.Pool]]:
