--- a/liftrill/routing/admission.py
+++ b/liftrill/routing/admission.py
@@ -75,8 +75,8 @@
 
     def _tenant_limits(self, tenant: Tenant) -> TenantLimits:
         old = self._tenants.get(tenant.name)
-        requests = self._bucket(tenant.requests_per_second, tenant.request_burst)
-        tokens = self._bucket(tenant.prompt_tokens_per_second, tenant.prompt_token_burst)
+        requests = self._new_bucket(tenant.requests_per_second, tenant.request_burst)
+        tokens = self._new_bucket(tenant.prompt_tokens_per_second, tenant.prompt_token_burst)
         return TenantLimits(
             requests=_keep_if_same(old.requests if old else None, requests),
             prompt_tokens=_keep_if_same(old.prompt_tokens if old else None, tokens),
@@ -84,13 +84,13 @@
 
     def _workload_limits(self, workload: Workload) -> WorkloadLimits:
         old = self._workloads.get(workload.name)
-        requests = self._bucket(workload.requests_per_second, workload.request_burst)
+        requests = self._new_bucket(workload.requests_per_second, workload.request_burst)
         share = workload.retry_share or DEFAULT_RETRY_SHARE
         same_share = old is not None and old.retries.share == share
         retries = old.retries if old and same_share else RetryBudget(share, RETRY_RESERVE)
         return WorkloadLimits(_keep_if_same(old.requests if old else None, requests), retries)
 
-    def _bucket(self, rate: float, burst: float) -> TokenBucket:
+    def _new_bucket(self, rate: float, burst: float) -> TokenBucket:
         return TokenBucket(rate * self.share, max(burst * self.share, 1.0))
 
 
--- a/liftrill/routing/engine_records.py
+++ b/liftrill/routing/engine_records.py
@@ -73,7 +73,7 @@
             )
             for machine in machine_list.machines
         }
-        changed = [listing for listing in listed.values() if self._differs(listing)]
+        changed = [listing for listing in listed.values() if self._is_changed(listing)]
         changed.extend(self._removals(listed, machine_list.index))
         return self.offer_listings(changed)
 
@@ -99,7 +99,7 @@
         if engine is not None and observation is not None:
             engine.apply_identity(observation.identity)
 
-    def _differs(self, listing: EngineListing) -> bool:
+    def _is_changed(self, listing: EngineListing) -> bool:
         known = self._listings.get(listing.engine_id)
         if known is None or known.removed:
             return True
--- a/liftrill/routing/policies.py
+++ b/liftrill/routing/policies.py
@@ -114,11 +114,11 @@
 
     def __init__(self, directory: PrefixDirectory, random_source: random.Random) -> None:
         super().__init__(directory, random_source)
-        self._turns = itertools.count()
+        self._positions = itertools.count()
 
     def choose(self, query: RoutingQuery, engines: Sequence[EngineState]) -> PolicyChoice:
         """Return the next engine in the rotation."""
-        return PolicyChoice(engines[next(self._turns) % len(engines)])
+        return PolicyChoice(engines[next(self._positions) % len(engines)])
 
 
 class LeastLoadedPolicy(RoutingPolicy):
--- a/liftrill/routing/router.py
+++ b/liftrill/routing/router.py
@@ -97,7 +97,7 @@
         self._clock = clock
         self._tokenizer = FixedWidthTokenizer()
         self._queues: dict[str, DispatchQueue[RoutedRequest]] = {}
-        self._granted: dict[str, str] = {}  # request id to model
+        self._dispatch_grants: dict[str, str] = {}  # request id to model
         self._dispatches: dict[str, _DispatchRecord] = {}
         self._explanations: OrderedDict[str, list[Explanation]] = OrderedDict()
 
@@ -121,7 +121,7 @@
                 eligible = self._eligible(group, excluded, weight_version)
                 usable = eligible if was_dispatched else self._with_free_slots(eligible)
                 if usable:
-                    self._granted.pop(request.request_id, None)
+                    self._dispatch_grants.pop(request.request_id, None)
                     preferred = self._prefer_current_weights(usable)
                     return self._choose_among(request, query, preferred, excluded)
         if self._eligible(engines, excluded, weight_version):
@@ -196,7 +196,7 @@
 
     def release_dispatch_grant(self, request: RoutedRequest) -> None:
         """Release a dispatch grant that will not be used."""
-        self._granted.pop(request.request_id, None)
+        self._dispatch_grants.pop(request.request_id, None)
 
     def grant_dispatches(self, model: str | None = None) -> list[RoutedRequest]:
         """Grant dispatches to queued requests while engines have free slots.
@@ -225,7 +225,7 @@
             if eligible and free_slots <= 0:
                 return False
             free_slots -= 1
-            self._granted[request.request_id] = model
+            self._dispatch_grants[request.request_id] = model
             granted.append(request)
             return True
 
@@ -234,7 +234,7 @@
     # Internals
 
     def _unavailable(self, request: RoutedRequest, reason: Unavailable) -> Unavailable:
-        self._granted.pop(request.request_id, None)
+        self._dispatch_grants.pop(request.request_id, None)
         return reason
 
     def _candidates(self, query: RoutingQuery, engines: list[EngineState]) -> list[EngineState]:
@@ -275,7 +275,7 @@
 
     def _may_dispatch(self, request: RoutedRequest) -> bool:
         """Return whether the queue is empty or the request was granted a dispatch."""
-        return not self._queues.get(request.model) or request.request_id in self._granted
+        return not self._queues.get(request.model) or request.request_id in self._dispatch_grants
 
     def _choose_among(
         self,
@@ -383,7 +383,7 @@
         return queue
 
     def _unused_grants(self, model: str) -> int:
-        return sum(1 for granted_model in self._granted.values() if granted_model == model)
+        return sum(1 for granted_model in self._dispatch_grants.values() if granted_model == model)
 
 
 def _serves_accepted_weights(engine: EngineState, pool: Pool) -> bool:
