--- a/liftrill/gateway/delivery.py
+++ b/liftrill/gateway/delivery.py
@@ -144,7 +144,7 @@
     @property
     def unexecuted_runs(self) -> int:
         """How many runs were charged but not executed; one is charged before the first send."""
-        return max(1, len(self.attempts)) - self._ledger.open_attempts
+        return max(1, len(self.attempts)) - self._ledger.possibly_run_attempts
 
     def handle(self, event: events.DeliveryEvent) -> list[events.DeliveryInstruction]:
         """Process one event and return the instructions that follow from it."""
@@ -181,7 +181,7 @@
 
     def _on_refused(self, event: events.AttemptRefused) -> list[events.DeliveryInstruction]:
         choice = self.attempts[-1]
-        self._ledger.refute(self._attempt_id())
+        self._ledger.record_not_run(self._attempt_id())
         if choice.continues_at_backup:
             # The interrupted run must not be started again, and there is no other copy of it.
             return [self._end(self._engine_loss_code())]
@@ -341,7 +341,7 @@
             )
 
     def _earlier_attempts_not_run(self) -> bool:
-        return self._ledger.open_attempts <= 1
+        return self._ledger.possibly_run_attempts <= 1
 
     _HANDLERS: ClassVar[dict[type, Callable[..., list[events.DeliveryInstruction]]]] = {
         events.Started: _on_started,
