--- a/liftrill/node/caller_api.py
+++ b/liftrill/node/caller_api.py
@@ -20,15 +20,6 @@
 )
 from liftrill.mechanisms import Mechanism, is_enabled
 from liftrill.messages.configuration_pb2 import Tenant, Workload
-from liftrill.node.answers import (
-    CHAT_SHAPE,
-    COMPLETION_SHAPE,
-    AnswerShape,
-    AnswerWriter,
-    error_event,
-    error_response,
-    json_response,
-)
 from liftrill.node.caller_schema import (
     EXECUTION_HEADER,
     REQUEST_ID_HEADER,
@@ -42,6 +33,15 @@
 from liftrill.node.claim_service import ClaimService
 from liftrill.node.context import NodeContext
 from liftrill.node.request_runner import CallerGoneError, TokenSink
+from liftrill.node.responses import (
+    CHAT_FORMAT,
+    COMPLETION_FORMAT,
+    AnswerWriter,
+    ResponseFormat,
+    error_event,
+    error_response,
+    json_response,
+)
 from liftrill.routing.events import DeliverToken
 from liftrill.routing.machine import RequestMachine
 from liftrill.routing.outcome import Completed, Failed, Outcome, refuse_unattempted
@@ -128,10 +128,10 @@
         ]
 
     async def _completions(self, request: web.Request) -> web.StreamResponse:
-        return await self._serve(request, CompletionRequest, COMPLETION_SHAPE)
+        return await self._serve(request, CompletionRequest, COMPLETION_FORMAT)
 
     async def _chat(self, request: web.Request) -> web.StreamResponse:
-        return await self._serve(request, ChatRequest, CHAT_SHAPE)
+        return await self._serve(request, ChatRequest, CHAT_FORMAT)
 
     async def _models(self, _: web.Request) -> web.Response:
         models = sorted(self._context.view.pools_by_model)
@@ -151,7 +151,7 @@
         return web.Response(body=body, headers={"Content-Type": "text/plain; version=0.0.4"})
 
     async def _serve(
-        self, http_request: web.Request, schema: type[CallerBody], shape: AnswerShape
+        self, http_request: web.Request, schema: type[CallerBody], shape: ResponseFormat
     ) -> web.StreamResponse:
         request_id = str(uuid.uuid4())
         with self._context.open_requests.track():
@@ -171,7 +171,7 @@
         self,
         http_request: web.Request,
         schema: type[CallerBody],
-        shape: AnswerShape,
+        shape: ResponseFormat,
         request_id: str,
     ) -> web.StreamResponse:
         headers = parse_headers(http_request.headers)
@@ -218,7 +218,7 @@
         if isinstance(sink, WholeSink):
             if isinstance(outcome, Failed):
                 raise outcome.error
-            return writer.whole(outcome, "".join(sink.texts))
+            return writer.full_response(outcome, "".join(sink.texts))
         if isinstance(outcome, Completed):
             await sink.write(writer.last_chunk(outcome))
         elif sink.response is None or outcome.error.code is ResultCode.CALLER_GONE:
@@ -347,7 +347,7 @@
 
 
 @web.middleware
-async def coded_errors(request: web.Request, handler: object) -> web.StreamResponse:
+async def error_middleware(request: web.Request, handler: object) -> web.StreamResponse:
     """Give unknown paths and unforeseen failures a numbered code as well."""
     assert callable(handler)
     try:
--- a/liftrill/node/claim_service.py
+++ b/liftrill/node/claim_service.py
@@ -74,7 +74,7 @@
         )
         self._member = ClaimMember(parameters, self._clock.now())
 
-    def adopt(self, section: configuration_pb2.ClaimSection) -> None:
+    def apply_section(self, section: configuration_pb2.ClaimSection) -> None:
         """Take over the group from a new configuration."""
         members = frozenset(section.members)
         self._group = ClaimGroup(section.epoch, members, frozenset(section.previous_members))
@@ -148,7 +148,7 @@
                 return
             await asyncio.sleep(constants.CLAIM_VERIFICATION_INTERVAL_SECONDS)
 
-    async def former_majority_has_adopted(self, generation: int) -> bool:
+    async def previous_majority_has_adopted(self, generation: int) -> bool:
         """Return whether a majority of the group's former members has a generation in force."""
         former = self._group.previous_members
         generations = await self._generations(former)
@@ -198,7 +198,7 @@
         if record is None:
             return None
         try:
-            reply = await self._peers.claim(record.address, proposal_message(proposal))
+            reply = await self._peers.propose_claim(record.address, proposal_message(proposal))
         except PeerError:
             return None
         return answer_from_message(reply)
@@ -226,7 +226,7 @@
         if record is None:
             return
         try:
-            await self._peers.tell(record.address, path, content)
+            await self._peers.send(record.address, path, content)
         except PeerError:
             return
 
--- a/liftrill/node/daemon.py
+++ b/liftrill/node/daemon.py
@@ -11,7 +11,7 @@
 from liftrill import clock, constants
 from liftrill.cache.directory import PrefixDirectory
 from liftrill.mechanisms import DISABLED, Mechanism, is_enabled
-from liftrill.node.caller_api import CallerApi, coded_errors
+from liftrill.node.caller_api import CallerApi, error_middleware
 from liftrill.node.claim_service import ClaimService
 from liftrill.node.configuration_sync import ConfigurationSync
 from liftrill.node.context import NodeContext
@@ -138,7 +138,7 @@
 
     def _on_adopted(self, view: ConfigurationView) -> None:
         """Let the parts that depend on the configuration know of a new one."""
-        self._claims.adopt(view.claims)
+        self._claims.apply_section(view.claims)
         self._gossip.announce()
 
     def _on_newer_generation(self, address: str) -> None:
@@ -160,7 +160,7 @@
 
     async def _listen(self, context: NodeContext) -> list[web.AppRunner]:
         public = web.Application(
-            client_max_size=constants.MAXIMUM_BODY_BYTES, middlewares=[coded_errors]
+            client_max_size=constants.MAXIMUM_BODY_BYTES, middlewares=[error_middleware]
         )
         public.add_routes(CallerApi(context, self._claims).routes())
         public.add_routes(self._operator_api.routes())
--- a/liftrill/node/dispatcher.py
+++ b/liftrill/node/dispatcher.py
@@ -11,7 +11,7 @@
 from liftrill.routing.router import Router
 
 
-class TurnRefusedError(LiftrillError):
+class WaitRefusedError(LiftrillError):
     """A request cannot wait for an engine.
 
     Attributes:
@@ -46,19 +46,19 @@
         """Spend one retry of the request's workload."""
         return self.router.try_spend_retry(request)
 
-    async def wait_for_turn(self, request: RoutedRequest) -> None:
+    async def wait_for_engine(self, request: RoutedRequest) -> None:
         """Wait in the queue until an engine may be free.
 
         Raises:
-            TurnRefusedError: the queue is full or the deadline would pass in it.
+            WaitRefusedError: the queue is full or the deadline would pass in it.
         """
         wait = self.router.expected_wait(request)
         if clock.now_s() + wait > request.deadline:
-            raise TurnRefusedError(ResultCode.DEADLINE_UNREACHABLE, wait)
+            raise WaitRefusedError(ResultCode.DEADLINE_UNREACHABLE, wait)
         item = self.router.enqueue(request)
         if item is None:
             retry_after = max(constants.RETRY_AFTER_SECONDS, wait)
-            raise TurnRefusedError(ResultCode.QUEUE_FULL, retry_after)
+            raise WaitRefusedError(ResultCode.QUEUE_FULL, retry_after)
         turn: asyncio.Future[None] = asyncio.get_running_loop().create_future()
         self._turns[request.request_id] = turn
         self._metrics.queued.inc()
--- a/liftrill/node/operator_api.py
+++ b/liftrill/node/operator_api.py
@@ -15,13 +15,13 @@
 )
 from liftrill.errors import OperatorError, ResultCode
 from liftrill.messages.configuration_pb2 import Head
-from liftrill.node.answers import json_response
 from liftrill.node.caller_schema import API_KEY_HEADER, BEARER_PREFIX
 from liftrill.node.claim_service import ClaimService
 from liftrill.node.configuration_sync import ConfigurationSync
 from liftrill.node.context import NodeContext
 from liftrill.node.logs import log_change
 from liftrill.node.peer_client import PeerClient, PeerError
+from liftrill.node.responses import json_response
 from liftrill.planning.commit import PlanCommitter
 from liftrill.planning.intent import Intent
 from liftrill.planning.plan import Plan, make_plan
@@ -114,7 +114,7 @@
     async def _check_claim_change(self, plan: Plan) -> None:
         if not plan.completes_claim_change:
             return
-        if not await self._claims.former_majority_has_adopted(plan.base_generation):
+        if not await self._claims.previous_majority_has_adopted(plan.base_generation):
             raise OperatorError(
                 ResultCode.CLAIM_CHANGE_PENDING, retry_after_seconds=constants.RETRY_AFTER_SECONDS
             )
--- a/liftrill/node/peer_client.py
+++ b/liftrill/node/peer_client.py
@@ -70,7 +70,9 @@
         """
         return await self._call_for(address, "/peer/status", b"", messages.NodeStatus)
 
-    async def claim(self, address: str, request: messages.ClaimRequest) -> messages.ClaimReply:
+    async def propose_claim(
+        self, address: str, request: messages.ClaimRequest
+    ) -> messages.ClaimReply:
         """Return a member's answer to a claim.
 
         Raises:
@@ -79,7 +81,7 @@
         content = request.SerializeToString()
         return await self._call_for(address, "/peer/claim", content, messages.ClaimReply)
 
-    async def exchange(
+    async def exchange_prefixes(
         self, address: str, message: messages.PrefixExchange
     ) -> messages.PrefixExchange:
         """Return what a home knows of the prefixes in a report.
@@ -90,7 +92,7 @@
         content = message.SerializeToString()
         return await self._call_for(address, "/peer/prefixes", content, messages.PrefixExchange)
 
-    async def tell(self, address: str, path: str, content: bytes) -> None:
+    async def send(self, address: str, path: str, content: bytes) -> None:
         """Send a message that needs no answer.
 
         Raises:
--- a/liftrill/node/prefix_exchange.py
+++ b/liftrill/node/prefix_exchange.py
@@ -71,7 +71,9 @@
         else:
             try:
                 message = exchange_message(own_id, reports)
-                answers = reports_from_message(await self._peers.exchange(address, message))
+                answers = reports_from_message(
+                    await self._peers.exchange_prefixes(address, message)
+                )
             except PeerError:
                 return
         self._context.router.reporter.apply_answers(answers, clock.now_s())
--- a/liftrill/node/request_runner.py
+++ b/liftrill/node/request_runner.py
@@ -7,7 +7,7 @@
 
 from liftrill import clock
 from liftrill.errors import LiftrillError
-from liftrill.node.dispatcher import Dispatcher, TurnRefusedError
+from liftrill.node.dispatcher import Dispatcher, WaitRefusedError
 from liftrill.node.engine_client import (
     AttemptBrokenError,
     AttemptRefusedError,
@@ -144,11 +144,11 @@
         for reason, count in machine.dropped.items():
             self._metrics.dropped_chunks.labels(reason=reason.value).inc(count)
 
-    async def wait_for_turn(self, machine: RequestMachine) -> events.RequestEvent:
+    async def wait_for_engine(self, machine: RequestMachine) -> events.RequestEvent:
         """Wait in the queue; return the event that follows."""
         try:
-            await self._dispatcher.wait_for_turn(machine.request)
-        except TurnRefusedError as refusal:
+            await self._dispatcher.wait_for_engine(machine.request)
+        except WaitRefusedError as refusal:
             return events.TurnRefused(refusal.code, refusal.retry_after_seconds)
         return events.Started()
 
@@ -233,7 +233,7 @@
         if isinstance(instruction, events.ResumeAttempt):
             return await self._resume(instruction)
         if isinstance(instruction, events.WaitForEngine):
-            return [await self._runner.wait_for_turn(self._machine)]
+            return [await self._runner.wait_for_engine(self._machine)]
         if isinstance(instruction, events.CancelAttempt):
             self._runner.cancel(instruction)
         elif isinstance(instruction, events.EndRequest):
--- a/liftrill/node/answers.py
+++ b/liftrill/node/responses.py
@@ -16,7 +16,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class AnswerShape:
+class ResponseFormat:
     """The parts in which completions and chat completions differ."""
 
     id_prefix: str
@@ -25,14 +25,14 @@
     chat: bool
 
 
-COMPLETION_SHAPE = AnswerShape("cmpl-", "text_completion", "text_completion", chat=False)
-CHAT_SHAPE = AnswerShape("chatcmpl-", "chat.completion", "chat.completion.chunk", chat=True)
+COMPLETION_FORMAT = ResponseFormat("cmpl-", "text_completion", "text_completion", chat=False)
+CHAT_FORMAT = ResponseFormat("chatcmpl-", "chat.completion", "chat.completion.chunk", chat=True)
 
 
 class AnswerWriter:
     """Builds the bytes of one request's answer."""
 
-    def __init__(self, shape: AnswerShape, request_id: str, model: str) -> None:
+    def __init__(self, shape: ResponseFormat, request_id: str, model: str) -> None:
         self._shape = shape
         self._request_id = request_id
         self._model = model
@@ -58,7 +58,7 @@
         content |= {"choices": [choice], **_usage(completed)}
         return b"data: " + orjson.dumps(content) + b"\n\n" + STREAM_DONE
 
-    def whole(self, completed: Completed, text: str) -> web.Response:
+    def full_response(self, completed: Completed, text: str) -> web.Response:
         """Return a whole answer."""
         choice: dict[str, object] = {"index": 0, "finish_reason": completed.finish_reason}
         if self._shape.chat:
