--- a/liftrill/node/caller_api.py
+++ b/liftrill/node/caller_api.py
@@ -36,8 +36,8 @@
 from liftrill.node.responses import (
     CHAT_FORMAT,
     COMPLETION_FORMAT,
-    AnswerWriter,
     ResponseFormat,
+    ResponseWriter,
     error_event,
     error_response,
     json_response,
@@ -65,7 +65,7 @@
 class StreamSink(TokenSink):
     """Writes tokens as server-sent events; the response begins with the first token."""
 
-    def __init__(self, request: web.Request, writer: AnswerWriter, request_id: str) -> None:
+    def __init__(self, request: web.Request, writer: ResponseWriter, request_id: str) -> None:
         self._request = request
         self._writer = writer
         self._request_id = request_id
@@ -177,7 +177,7 @@
         headers = parse_headers(http_request.headers)
         body = parse_body(schema, await _read_body(http_request))
         routed = self._route(headers, body, request_id)
-        writer = AnswerWriter(shape, request_id, body.model)
+        writer = ResponseWriter(shape, request_id, body.model)
         sink = StreamSink(http_request, writer, request_id) if body.stream else WholeSink()
         if routed.repeatable or not is_enabled(Mechanism.CLAIMS):
             outcome = await self._run(routed, sink)
@@ -212,7 +212,7 @@
         return outcome
 
     async def _conclude(
-        self, outcome: Outcome, sink: "AnswerSink", writer: AnswerWriter, request_id: str
+        self, outcome: Outcome, sink: "AnswerSink", writer: ResponseWriter, request_id: str
     ) -> web.StreamResponse:
         """Return the answer that an outcome calls for."""
         if isinstance(sink, WholeSink):
--- a/liftrill/node/responses.py
+++ b/liftrill/node/responses.py
@@ -29,7 +29,7 @@
 CHAT_FORMAT = ResponseFormat("chatcmpl-", "chat.completion", "chat.completion.chunk", chat=True)
 
 
-class AnswerWriter:
+class ResponseWriter:
     """Builds the bytes of one request's answer."""
 
     def __init__(self, shape: ResponseFormat, request_id: str, model: str) -> None:
