--- a/liftrill/node/caller_api.py
+++ b/liftrill/node/caller_api.py
@@ -48,22 +48,22 @@
 from liftrill.routing.request import RoutedRequest
 
 
-class WholeSink(TokenSink):
-    """Collects tokens for a whole answer."""
+class BufferedSink(TokenSink):
+    """Collects the tokens of a response without streaming."""
 
     def __init__(self) -> None:
         self.texts: list[str] = []
         self.first_token_at: float | None = None
 
     async def deliver(self, tokens: list[DeliverToken]) -> None:
-        """Collect tokens."""
+        """Collect the texts of tokens."""
         if self.first_token_at is None:
             self.first_token_at = clock.now_s()
         self.texts.extend(token.text for token in tokens)
 
 
 class StreamSink(TokenSink):
-    """Writes tokens as server-sent events; the response begins with the first token."""
+    """Writes tokens as server-sent events; the response starts with the first token."""
 
     def __init__(self, request: web.Request, writer: ResponseWriter, request_id: str) -> None:
         self._request = request
@@ -73,17 +73,17 @@
         self.first_token_at: float | None = None
 
     async def deliver(self, tokens: list[DeliverToken]) -> None:
-        """Write tokens, waiting while the caller's connection is full."""
+        """Write tokens; wait while the connection's buffer is full."""
         if self.first_token_at is None:
             self.first_token_at = clock.now_s()
         chunks = [self._writer.chunk(token.index, token.text) for token in tokens]
         await self.write(b"".join(chunks))
 
     async def write(self, content: bytes) -> None:
-        """Write bytes, beginning the response if needed."""
+        """Write bytes; start the response if it has not started."""
         try:
             if self.response is None:
-                self.response = await self._begin()
+                self.response = await self._start_response()
             await self.response.write(content)
         except ConnectionError as error:
             raise CallerGoneError(self._request_id) from error
@@ -97,7 +97,7 @@
             raise CallerGoneError(self._request_id) from error
         return self.response
 
-    async def _begin(self) -> web.StreamResponse:
+    async def _start_response(self) -> web.StreamResponse:
         headers = {
             "Content-Type": "text/event-stream",
             "Cache-Control": "no-cache",
@@ -110,14 +110,14 @@
 
 
 class CallerApi:
-    """Completions, chat completions, models, health, readiness and metrics."""
+    """Serves completions, chat completions, models, health, readiness and metrics."""
 
     def __init__(self, context: NodeContext, claims: ClaimService) -> None:
         self._context = context
         self._claims = claims
 
     def routes(self) -> list[web.RouteDef]:
-        """Return the routes to serve."""
+        """Return the HTTP routes."""
         return [
             web.post("/v1/completions", self._completions),
             web.post("/v1/chat/completions", self._chat),
@@ -151,45 +151,45 @@
         return web.Response(body=body, headers={"Content-Type": "text/plain; version=0.0.4"})
 
     async def _serve(
-        self, http_request: web.Request, schema: type[CallerBody], shape: ResponseFormat
+        self, http_request: web.Request, schema: type[CallerBody], response_format: ResponseFormat
     ) -> web.StreamResponse:
         request_id = str(uuid.uuid4())
         with self._context.open_requests.track():
             try:
-                return await self._answer(http_request, schema, shape, request_id)
+                return await self._answer(http_request, schema, response_format, request_id)
             except RequestError as error:
-                self._count(error.execution, error.code)
+                self._count_request(error.execution, error.code)
                 return error_response(error, request_id)
             except CallerGoneError:
-                self._count(Execution.UNKNOWN, ResultCode.CALLER_GONE)
+                self._count_request(Execution.UNKNOWN, ResultCode.CALLER_GONE)
                 return error_response(UnknownOutcomeError(ResultCode.CALLER_GONE), request_id)
             except asyncio.CancelledError:
-                self._count(Execution.UNKNOWN, ResultCode.CALLER_GONE)
+                self._count_request(Execution.UNKNOWN, ResultCode.CALLER_GONE)
                 raise
 
     async def _answer(
         self,
         http_request: web.Request,
         schema: type[CallerBody],
-        shape: ResponseFormat,
+        response_format: ResponseFormat,
         request_id: str,
     ) -> web.StreamResponse:
         headers = parse_headers(http_request.headers)
         body = parse_body(schema, await _read_body(http_request))
         routed = self._route(headers, body, request_id)
-        writer = ResponseWriter(shape, request_id, body.model)
-        sink = StreamSink(http_request, writer, request_id) if body.stream else WholeSink()
+        writer = ResponseWriter(response_format, request_id, body.model)
+        sink = StreamSink(http_request, writer, request_id) if body.stream else BufferedSink()
         if routed.repeatable or not is_enabled(Mechanism.CLAIMS):
             outcome = await self._run(routed, sink)
         else:
-            outcome = await self._run_once(routed, sink)
-        return await self._conclude(outcome, sink, writer, request_id)
+            outcome = await self._run_under_claim(routed, sink)
+        return await self._finish_response(outcome, sink, writer, request_id)
 
-    async def _run_once(self, routed: RoutedRequest, sink: "AnswerSink") -> Outcome:
-        """Run a request that may not be repeated, under a claim of its key.
+    async def _run_under_claim(self, routed: RoutedRequest, sink: "ResponseSink") -> Outcome:
+        """Run a request that is not repeatable, under a claim of its idempotency key.
 
-        The claim comes before admission: a refusal can then truly say that the key was
-        not run, since no earlier submission of it can hold a claim.
+        The key is claimed before admission. So a refusal by admission is correctly reported
+        as not run, because no earlier submission of the key can hold a claim.
         """
         digest = hashlib.blake2b(
             b"\x00".join((routed.tenant.encode(), routed.model.encode(), routed.prompt)),
@@ -197,7 +197,7 @@
         ).digest()
         claim = await self._claims.claim(routed.idempotency_key, routed.request_id, digest)
         if isinstance(claim, StoredResult):
-            return await _deliver_stored(claim, sink)
+            return await _deliver_stored_result(claim, sink)
         machine = RequestMachine(routed, self._context.dispatcher)
         try:
             outcome = await self._run(routed, sink, machine)
@@ -211,11 +211,11 @@
             self._claims.withdraw(claim)
         return outcome
 
-    async def _conclude(
-        self, outcome: Outcome, sink: "AnswerSink", writer: ResponseWriter, request_id: str
+    async def _finish_response(
+        self, outcome: Outcome, sink: "ResponseSink", writer: ResponseWriter, request_id: str
     ) -> web.StreamResponse:
         """Return the answer that an outcome calls for."""
-        if isinstance(sink, WholeSink):
+        if isinstance(sink, BufferedSink):
             if isinstance(outcome, Failed):
                 raise outcome.error
             return writer.full_response(outcome, "".join(sink.texts))
@@ -224,23 +224,23 @@
         elif sink.response is None or outcome.error.code is ResultCode.CALLER_GONE:
             raise outcome.error
         else:
-            self._count(outcome.error.execution, outcome.error.code)
+            self._count_request(outcome.error.execution, outcome.error.code)
             await sink.write(error_event(outcome.error, request_id))
         return await sink.end()
 
     def _route(self, headers: CallerHeaders, body: CallerBody, request_id: str) -> RoutedRequest:
-        """Return the request with its tenant and workload.
+        """Return the request for routing, with its tenant and workload.
 
         Raises:
-            InvalidRequestError: the key, the model or the workload is not known.
-            NotRunError: there is no configuration yet.
+            InvalidRequestError: the API key, the model or the workload is unknown.
+            NotRunError: the node has no configuration yet.
         """
         if self._context.view.generation == 0:
             raise refuse_unattempted(
                 ResultCode.NO_CONFIGURATION, retry_after_seconds=constants.RETRY_AFTER_SECONDS
             )
-        tenant = self._tenant(headers)
-        workload = self._workload(headers, body.model)
+        tenant = self._tenant_of(headers)
+        workload = self._workload_for(headers, body.model)
         prompt = body.prompt_text().encode()
         milliseconds = headers.deadline_milliseconds or workload.deadline_milliseconds
         return RoutedRequest(
@@ -257,13 +257,13 @@
             idempotency_key=headers.idempotency_key,
         )
 
-    def _tenant(self, headers: CallerHeaders) -> Tenant:
+    def _tenant_of(self, headers: CallerHeaders) -> Tenant:
         tenant = self._context.view.tenant_for_key(headers.api_key)
         if tenant is None:
             raise InvalidRequestError(ResultCode.INVALID_API_KEY)
         return tenant
 
-    def _workload(self, headers: CallerHeaders, model: str) -> Workload:
+    def _workload_for(self, headers: CallerHeaders, model: str) -> Workload:
         if model not in self._context.view.pools_by_model:
             raise InvalidRequestError(ResultCode.UNKNOWN_MODEL, f"unknown model {model[:80]!r}")
         if headers.workload:
@@ -287,9 +287,9 @@
             raise refuse_unattempted(ResultCode.RATE_LIMITED, retry_after_seconds=wait)
 
     async def _run(
-        self, routed: RoutedRequest, sink: "AnswerSink", machine: RequestMachine | None = None
+        self, routed: RoutedRequest, sink: "ResponseSink", machine: RequestMachine | None = None
     ) -> Outcome:
-        """Admit and run a request."""
+        """Admit and run a request; record its metrics."""
         self._admit(routed)
         started_at = clock.now_s()
         machine = machine or RequestMachine(routed, self._context.dispatcher)
@@ -308,16 +308,16 @@
         metrics.cached_tokens.inc(completed.cached_tokens)
         self._context.admission.record_success(routed.workload)
 
-    def _count(self, execution: Execution, code: ResultCode) -> None:
+    def _count_request(self, execution: Execution, code: ResultCode) -> None:
         labels = {"execution": execution.value, "code": str(code.number)}
         self._context.metrics.requests.labels(**labels).inc()
 
 
-AnswerSink = WholeSink | StreamSink
+ResponseSink = BufferedSink | StreamSink
 
 
-async def _deliver_stored(result: StoredResult, sink: AnswerSink) -> Completed:
-    """Answer with what an earlier submission of the key received."""
+async def _deliver_stored_result(result: StoredResult, sink: ResponseSink) -> Completed:
+    """Deliver the stored response of an earlier submission of the key."""
     await sink.deliver([DeliverToken(0, result.text)])
     return Completed(
         engine_id="",
@@ -348,7 +348,7 @@
 
 @web.middleware
 async def error_middleware(request: web.Request, handler: object) -> web.StreamResponse:
-    """Give unknown paths and unforeseen failures a numbered code as well."""
+    """Respond with a result code to coded errors, unknown paths and unexpected exceptions."""
     assert callable(handler)
     try:
         return cast(web.StreamResponse, await handler(request))
--- a/liftrill/node/claim_service.py
+++ b/liftrill/node/claim_service.py
@@ -1,4 +1,4 @@
-"""Claims in a node: proposes to the group, and answers as a member of it."""
+"""Claims of idempotency keys: proposes them to the claim group, and serves as a member."""
 
 import asyncio
 import time
@@ -30,27 +30,27 @@
 from liftrill.node.peer_client import PeerClient, PeerError
 
 
-class AnchoredClock:
-    """Unix time that follows the monotonic clock, so that it cannot be set back."""
+class MonotonicUnixClock:
+    """Unix time that advances with the monotonic clock, so that it never goes back."""
 
     def __init__(self) -> None:
         self._offset = time.time() - clock.now_s()
 
     def now(self) -> float:
-        """Return Unix seconds."""
+        """Return the time in Unix seconds."""
         return clock.now_s() + self._offset
 
 
 @dataclass(frozen=True, slots=True)
 class ClaimTicket:
-    """A granted claim: the request may be dispatched under it, once."""
+    """A claim and the group it was proposed to; once granted, it allows one dispatch."""
 
     group: ClaimGroup
     proposal: ClaimProposal
 
 
 class ClaimService:
-    """One per node."""
+    """Claims keys for the requests of this node, and keeps claims as a member of the group."""
 
     def __init__(
         self,
@@ -63,7 +63,7 @@
         self._membership = membership
         self._peers = peers
         self._spawn = spawn
-        self._clock = AnchoredClock()
+        self._clock = MonotonicUnixClock()
         self._group = ClaimGroup(0, frozenset())
         self._verified = False
         parameters = ClaimParameters(
@@ -75,7 +75,7 @@
         self._member = ClaimMember(parameters, self._clock.now())
 
     def apply_section(self, section: configuration_pb2.ClaimSection) -> None:
-        """Take over the group from a new configuration."""
+        """Use the claim group of a new configuration."""
         members = frozenset(section.members)
         self._group = ClaimGroup(section.epoch, members, frozenset(section.previous_members))
         self._member.adopt_epoch(section.epoch, self._clock.now())
@@ -83,11 +83,12 @@
     # Proposing
 
     async def claim(self, key: str, attempt_id: str, digest: bytes) -> ClaimTicket | StoredResult:
-        """Claim a key, or return the answer of the attempt that holds it.
+        """Claim a key, or return the stored response of the attempt that holds it.
 
         Raises:
             InvalidRequestError: the key was used for another request.
-            UnknownOutcomeError: it cannot be told whether the key was used.
+            UnknownOutcomeError: the key has expired, is held by an attempt without a stored
+                response, or no majority responded.
         """
         proposal = ClaimProposal(uuid.UUID(key).bytes, attempt_id, digest, self._group.epoch)
         claim_round = ClaimRound(self._group, proposal)
@@ -99,47 +100,47 @@
             raise
         if state is RoundState.GRANTED:
             return ticket
-        # An attempt that is given up here is never dispatched, so its grants may go.
+        # An attempt without a granted claim is never dispatched, so its grants can be released.
         self.withdraw(ticket)
         if claim_round.result is not None:
             return claim_round.result
-        raise _refusal(state)
+        raise _round_error(state)
 
     def withdraw(self, ticket: ClaimTicket) -> None:
-        """Release a claim whose request was certainly not dispatched."""
+        """Release a claim whose request was definitely not run by an engine."""
         for member in ticket.group.all_members:
             self._spawn(self._send_withdrawal(member, ticket.proposal))
 
     def store_result(self, ticket: ClaimTicket, result: StoredResult) -> None:
-        """Leave the answer with the members, for callers that repeat the key."""
+        """Store the response at the members, for callers that repeat the key."""
         for member in ticket.group.all_members:
             self._spawn(self._send_result(member, ticket.proposal, result))
 
-    # Answering
+    # Serving as a member
 
     def answer_proposal(self, proposal: ClaimProposal) -> ClaimAnswer:
-        """Answer as a member."""
+        """Respond to a proposal; abstain until the epoch is verified."""
         if not self._verified:
             return ClaimAnswer(Verdict.ABSTAINED)
         return self._member.propose(proposal, self._clock.now())
 
     def accept_withdrawal(self, key: bytes, attempt_id: str) -> None:
-        """Release a key as a member."""
+        """Release the key of an attempt that was withdrawn."""
         self._member.withdraw(key, attempt_id)
 
     def accept_result(self, key: bytes, attempt_id: str, result: StoredResult) -> None:
-        """Keep a result as a member."""
+        """Store the response of the attempt that holds a key."""
         self._member.store_result(key, attempt_id, result)
 
     async def verify_epoch(self) -> None:
-        """Hold back answers until the epoch is known to be the newest.
+        """Abstain from proposals until the epoch is verified to be the newest.
 
-        A restarted node may have its configuration from a node that has not heard of a
-        change of the group. It answers only when a majority of the group, which any
-        completed change needed, knows no newer configuration.
+        A restarted node may get its configuration from a node that has not received a
+        change of the group. The restarted node starts to respond when a majority of the
+        group, which any completed change needed, has no newer configuration.
         """
         while not self._verified:
-            generations = await self._generations(self._group.members)
+            generations = await self._fetch_generations(self._group.members)
             known = [g for g in generations if g is not None]
             current = self._membership.generation
             if known and len(known) > len(generations) // 2 and max(known) <= current:
@@ -149,16 +150,16 @@
             await asyncio.sleep(constants.CLAIM_VERIFICATION_INTERVAL_SECONDS)
 
     async def previous_majority_has_adopted(self, generation: int) -> bool:
-        """Return whether a majority of the group's former members has a generation in force."""
-        former = self._group.previous_members
-        generations = await self._generations(former)
+        """Return whether a majority of the previous members has adopted a generation."""
+        previous = self._group.previous_members
+        generations = await self._fetch_generations(previous)
         adopted = [g for g in generations if g is not None and g >= generation]
-        return len(adopted) > len(former) // 2
+        return len(adopted) > len(previous) // 2
 
-    async def _generations(self, members: Iterable[str]) -> list[int | None]:
-        return list(await asyncio.gather(*(self._generation_of(m) for m in sorted(members))))
+    async def _fetch_generations(self, members: Iterable[str]) -> list[int | None]:
+        return list(await asyncio.gather(*(self._fetch_generation(m) for m in sorted(members))))
 
-    async def _generation_of(self, member: str) -> int | None:
+    async def _fetch_generation(self, member: str) -> int | None:
         if member == self._node_id:
             return self._membership.generation
         record = self._membership.member(member)
@@ -171,7 +172,7 @@
 
     async def _run_round(self, claim_round: ClaimRound) -> RoundState:
         tasks = [
-            asyncio.create_task(self._propose(member, claim_round))
+            asyncio.create_task(self._propose_to(member, claim_round))
             for member in claim_round.group.all_members
         ]
         try:
@@ -184,14 +185,14 @@
                 task.cancel()
         return claim_round.state
 
-    async def _propose(self, member: str, claim_round: ClaimRound) -> None:
-        answer = await self._ask(member, claim_round.proposal)
+    async def _propose_to(self, member: str, claim_round: ClaimRound) -> None:
+        answer = await self._request_answer(member, claim_round.proposal)
         if answer is None:
             claim_round.record_no_answer(member)
         else:
             claim_round.record_answer(member, answer)
 
-    async def _ask(self, member: str, proposal: ClaimProposal) -> ClaimAnswer | None:
+    async def _request_answer(self, member: str, proposal: ClaimProposal) -> ClaimAnswer | None:
         if member == self._node_id:
             return self.answer_proposal(proposal)
         record = self._membership.member(member)
@@ -208,7 +209,7 @@
             self.accept_withdrawal(proposal.key, proposal.attempt_id)
             return
         message = peer_pb2.ClaimWithdrawal(key=proposal.key, attempt_id=proposal.attempt_id)
-        await self._tell(member, "/peer/claim/withdraw", message.SerializeToString())
+        await self._send(member, "/peer/claim/withdraw", message.SerializeToString())
 
     async def _send_result(
         self, member: str, proposal: ClaimProposal, result: StoredResult
@@ -219,9 +220,9 @@
         message = peer_pb2.ClaimResult(
             key=proposal.key, attempt_id=proposal.attempt_id, result=result_message(result)
         )
-        await self._tell(member, "/peer/claim/result", message.SerializeToString())
+        await self._send(member, "/peer/claim/result", message.SerializeToString())
 
-    async def _tell(self, member: str, path: str, content: bytes) -> None:
+    async def _send(self, member: str, path: str, content: bytes) -> None:
         record = self._membership.member(member)
         if record is None:
             return
@@ -231,8 +232,8 @@
             return
 
 
-def _refusal(state: RoundState) -> RequestError:
-    """Return the error of a round that was not granted."""
+def _round_error(state: RoundState) -> RequestError:
+    """Return the error of a claim round that was not granted."""
     wait = constants.RETRY_AFTER_SECONDS
     if state is RoundState.REUSED:
         return InvalidRequestError(ResultCode.IDEMPOTENCY_KEY_REUSED)
--- a/liftrill/node/configuration_sync.py
+++ b/liftrill/node/configuration_sync.py
@@ -1,4 +1,4 @@
-"""Keeps the configuration replica up to date, from peers first and from the store."""
+"""Keeps the configuration replica up to date, from the peers first and from the store."""
 
 import asyncio
 import random
@@ -27,7 +27,7 @@
 
 
 class ConfigurationSync:
-    """Offers heads and sections to the replica and installs what it adopts."""
+    """Offers heads and sections to the replica, and puts adopted configurations in force."""
 
     def __init__(
         self,
@@ -50,7 +50,7 @@
         self._newest_head = messages.Head()
 
     async def offer(self, head: messages.Head) -> None:
-        """Take in a head from any source and fetch what is missing for it."""
+        """Offer a head from any source to the replica, and fetch its missing sections."""
         try:
             adoption = self._context.replica.offer_head(head_from_message(head))
         except ConfigurationError as error:
@@ -67,7 +67,8 @@
     async def join_from_peers(self) -> None:
         """Ask the peers for snapshots until a configuration and engines are known.
 
-        A peer that has just started itself may know the one and not yet the other.
+        A peer that has started recently may have a configuration and no engines yet, or the
+        reverse.
         """
         wait = constants.STORE_RETRY_FIRST_SECONDS
         while True:
@@ -79,7 +80,7 @@
             wait = min(wait * 2, constants.STORE_RETRY_LONGEST_SECONDS)
 
     async def pull_snapshot(self, address: str) -> None:
-        """Take over all that a peer knows; a silent peer is passed over."""
+        """Merge a peer's snapshot; a peer that does not respond is skipped."""
         try:
             snapshot = await self._peers.snapshot(address)
         except PeerError:
@@ -87,7 +88,7 @@
         self._offer_snapshot(snapshot)
 
     async def pull_head(self, address: str) -> None:
-        """Take over a peer's configuration, fetching only the sections that changed."""
+        """Fetch a peer's head and the sections that changed, and adopt the configuration."""
         try:
             head = await self._peers.head(address)
             await self.offer(head)
@@ -95,7 +96,10 @@
             return
 
     async def watch_store(self) -> None:
-        """Follow the head in the store, where this node does so for its region."""
+        """Follow the head in the store, if this node is one of its region's store watchers.
+
+        Any node without a configuration also reads the store.
+        """
         revision = 0
         wait = constants.STORE_RETRY_FIRST_SECONDS
         while True:
@@ -106,22 +110,22 @@
                 entry = await self._store.watch(HEAD_KEY, revision, constants.STORE_WATCH_SECONDS)
                 if entry is not None:
                     revision = entry.revision
-                    await self._offer_from_store(parse_head(entry.value))
+                    await self._offer_store_head(parse_head(entry.value))
                 wait = constants.STORE_RETRY_FIRST_SECONDS
             except (StoreError, ConfigurationError):
                 self._context.metrics.store_errors.inc()
                 await asyncio.sleep(wait * self._random.uniform(0.5, 1.5))
                 wait = min(wait * 2, constants.STORE_RETRY_LONGEST_SECONDS)
 
-    async def _offer_from_store(self, head: messages.Head) -> None:
-        is_old = head.generation < self._context.replica.generation
-        if is_old and is_enabled(Mechanism.GENERATION_ORDER):
+    async def _offer_store_head(self, head: messages.Head) -> None:
+        is_stale = head.generation < self._context.replica.generation
+        if is_stale and is_enabled(Mechanism.GENERATION_ORDER):
             await self._repair_store()
             return
         await self.offer(head)
 
     async def _repair_store(self) -> None:
-        """Put the confirmed configuration back into a store that went back in time."""
+        """Write the configuration in force to a store that has reverted to an older one."""
         current = self._context.replica.current
         assert current is not None
         sections = {
@@ -133,8 +137,8 @@
             log_change("store_repaired", generation=current.head.generation)
 
     def _offer_snapshot(self, snapshot: Snapshot) -> None:
-        self._learn(snapshot)
-        # The head goes first: sections are only kept while a head asks for them.
+        self._merge_records(snapshot)
+        # The head is offered first, since the replica rejects sections that no head refers to.
         if snapshot.head.generation <= self._context.replica.generation:
             return
         try:
@@ -147,8 +151,8 @@
         self._newest_head = snapshot.head
         self._install()
 
-    def _learn(self, snapshot: Snapshot) -> None:
-        """Take in a peer's members and engines."""
+    def _merge_records(self, snapshot: Snapshot) -> None:
+        """Merge the members and the engine records of a snapshot."""
         context = self._context
         self._on_members([member_from_message(m) for m in snapshot.members])
         listings = [listing_from_message(m) for m in snapshot.engines]
@@ -158,7 +162,7 @@
             context.records.offer_observation(observation, spread=False)
 
     async def _fetch_missing(self) -> None:
-        """Fetch sections from peers, then from the store, one fetch at a time."""
+        """Fetch the missing sections, one at a time, each from the peers and then the store."""
         async with self._fetching:
             for digest in self._context.replica.wanted_digests:
                 content = await self._fetch_section(digest)
@@ -175,11 +179,11 @@
                 return content
         entry = await self._store.get(section_key(digest))
         if entry is None:
-            raise StoreUnavailableError(f"no section {digest.hex()} in the store")
+            raise StoreUnavailableError(f"section {digest.hex()} is not in the store")
         return entry.value
 
     def _install(self) -> None:
-        """Make an adopted configuration the one in force on this node."""
+        """Put the adopted configuration in force on this node."""
         current = self._context.replica.current
         if current is None or current.head.generation == self._context.view.generation:
             return
--- a/liftrill/node/control_loop.py
+++ b/liftrill/node/control_loop.py
@@ -1,4 +1,4 @@
-"""The controller of each pool: whoever holds the pool's lease sends fenced orders."""
+"""The controller of each pool: the node that holds the pool's lease sends fenced orders."""
 
 import asyncio
 import random
@@ -44,8 +44,8 @@
 
 
 @dataclass(slots=True)
-class PoolControl:
-    """The lease of one node on a pool, and its decisions while it holds it."""
+class PoolState:
+    """The lease of a node on a pool, and the controllers that decide while it is held."""
 
     burst: BurstController
     lease: Lease = field(default_factory=_new_lease)
@@ -53,7 +53,7 @@
 
 
 class ControlLoop:
-    """Contends for pool leases and acts on those it holds."""
+    """Acquires pool leases, and controls the pools whose leases this node holds."""
 
     def __init__(
         self,
@@ -68,80 +68,80 @@
         self._client = client
         self._refresh = refresh
         self._random = random_source
-        self._controls: dict[str, PoolControl] = {}
+        self._pool_states: dict[str, PoolState] = {}
 
     async def run(self) -> None:
-        """Control pools for as long as the node runs."""
+        """Control pools until cancelled."""
         while True:
             for pool in list(self._context.view.pools_by_name.values()):
-                await self._control(pool)
+                await self._control_pool(pool)
             jitter = self._random.uniform(0.8, 1.2)
             await asyncio.sleep(constants.CONTROL_INTERVAL_SECONDS * jitter)
 
-    async def _control(self, pool: Pool) -> None:
-        if not self._contends(pool.name):
+    async def _control_pool(self, pool: Pool) -> None:
+        if not self._is_candidate(pool.name):
             return
-        control = self._control_of(pool.name)
+        state = self._state_of(pool.name)
         try:
-            await self._keep_lease(pool.name, control)
+            await self._maintain_lease(pool.name, state)
         except StoreError:
             self._context.metrics.store_errors.inc()
-        if control.lease.holds(clock.now_s()):
-            await self._act(pool, control)
+        if state.lease.holds(clock.now_s()):
+            await self._send_orders(pool, state)
 
-    def _contends(self, pool_name: str) -> bool:
-        """Return whether this node is among the few that contend for a pool."""
+    def _is_candidate(self, pool_name: str) -> bool:
+        """Return whether this node is among the first CONTROLLERS_PER_POOL in a pool's ranking."""
         members = [member.node_id for member in self._context.membership.members()]
         ranked = rendezvous.rank(pool_name.encode(), members)
         return self._context.settings.node_id in ranked[: constants.CONTROLLERS_PER_POOL]
 
-    async def _keep_lease(self, pool_name: str, control: PoolControl) -> None:
-        asked_at = clock.now_s()
-        instruction = control.lease.due(asked_at)
+    async def _maintain_lease(self, pool_name: str, state: PoolState) -> None:
+        requested_at = clock.now_s()
+        instruction = state.lease.due(requested_at)
         if isinstance(instruction, AcquireLease):
-            await self._acquire(pool_name, control, asked_at)
+            await self._acquire(pool_name, state, requested_at)
         elif isinstance(instruction, RenewLease):
             if await self._store.renew_session(instruction.session):
-                control.lease.renewed(asked_at)
+                state.lease.renewed(requested_at)
             else:
-                self._step_down(pool_name, control)
+                self._step_down(pool_name, state)
 
-    async def _acquire(self, pool_name: str, control: PoolControl, asked_at: float) -> None:
+    async def _acquire(self, pool_name: str, state: PoolState, requested_at: float) -> None:
         session = await self._store.create_session(constants.LEASE_TIME_TO_LIVE_SECONDS)
         own_id = self._context.settings.node_id.encode()
         entry = await self._store.acquire(LEASE_KEY_PREFIX + pool_name, own_id, session)
         if entry is None:
             return
-        control.lease.acquired(session, entry.revision, asked_at)
-        control.rollout = PoolRollout(RolloutParameters())
-        control.burst = _new_burst_controller(pool_name)
+        state.lease.acquired(session, entry.revision, requested_at)
+        state.rollout = PoolRollout(RolloutParameters())
+        state.burst = _new_burst_controller(pool_name)
         log_change("lease_acquired", pool=pool_name, token=entry.revision)
 
-    def _control_of(self, pool_name: str) -> PoolControl:
-        control = self._controls.get(pool_name)
-        if control is None:
-            control = PoolControl(_new_burst_controller(pool_name))
-            self._controls[pool_name] = control
-        return control
+    def _state_of(self, pool_name: str) -> PoolState:
+        state = self._pool_states.get(pool_name)
+        if state is None:
+            state = PoolState(_new_burst_controller(pool_name))
+            self._pool_states[pool_name] = state
+        return state
 
-    async def _act(self, pool: Pool, control: PoolControl) -> None:
+    async def _send_orders(self, pool: Pool, state: PoolState) -> None:
         await self._refresh_load(pool.name)
         engines = self._context.engines.in_pools([pool.name])
-        orders = control.rollout.orders(engines, pool, clock.now_s())
-        move = control.burst.decide(self._view())
-        if move is not None:
-            orders.append(move)
+        orders = state.rollout.orders(engines, pool, clock.now_s())
+        burst_order = state.burst.decide(self._control_view())
+        if burst_order is not None:
+            orders.append(burst_order)
         for order in orders:
-            await self._send(pool.name, order, control)
+            await self._send_order(pool.name, order, state)
 
     async def _refresh_load(self, pool_name: str) -> None:
-        """Ask a sample of the pool's engines for their load."""
+        """Fetch the load of a random sample of the pool's engines."""
         engines = self._context.engines.in_pools([pool_name])
         count = min(constants.CONTROL_SAMPLE_ENGINES, len(engines))
         sample = self._random.sample(engines, count)
         await asyncio.gather(*(self._refresh(engine) for engine in sample))
 
-    def _view(self) -> ControlView:
+    def _control_view(self) -> ControlView:
         view = self._context.view
         pools = view.pools_by_name
         return ControlView(
@@ -153,15 +153,15 @@
             now=clock.now_s(),
         )
 
-    async def _send(self, pool_name: str, order: AssignOrder, control: PoolControl) -> None:
+    async def _send_order(self, pool_name: str, order: AssignOrder, state: PoolState) -> None:
         engine = self._context.engines.get(order.engine_id)
-        token = control.lease.token
+        token = state.lease.token
         if engine is None or token is None:
             return
         try:
             accepted = await self._client.assign(engine, order, token)
         except StaleFenceError:
-            self._step_down(pool_name, control)
+            self._step_down(pool_name, state)
             return
         log_change(
             "order",
@@ -171,6 +171,6 @@
             accepted=accepted,
         )
 
-    def _step_down(self, pool_name: str, control: PoolControl) -> None:
-        control.lease.step_down()
+    def _step_down(self, pool_name: str, state: PoolState) -> None:
+        state.lease.step_down()
         log_change("lease_lost", pool=pool_name)
--- a/liftrill/node/dispatcher.py
+++ b/liftrill/node/dispatcher.py
@@ -1,4 +1,4 @@
-"""Lets requests wait for the router's turns, as asyncio tasks."""
+"""Asyncio adapter of the router: requests wait in the queue as tasks."""
 
 import asyncio
 import time
@@ -12,11 +12,11 @@
 
 
 class WaitRefusedError(LiftrillError):
-    """A request cannot wait for an engine.
+    """A request cannot wait in the queue for an engine.
 
     Attributes:
         code: QUEUE_FULL or DEADLINE_UNREACHABLE.
-        retry_after_seconds: when there may be room.
+        retry_after_seconds: the time after which the queue may accept the request.
     """
 
     def __init__(self, code: ResultCode, retry_after_seconds: float) -> None:
@@ -26,31 +26,31 @@
 
 
 class Dispatcher(RoutingPorts):
-    """One per node, around its router."""
+    """Chooses engines with the node's router, and holds the requests that wait for one."""
 
     def __init__(self, router: Router, metrics: NodeMetrics) -> None:
         self.router = router
         self._metrics = metrics
-        self._turns: dict[str, asyncio.Future[None]] = {}
+        self._waiters: dict[str, asyncio.Future[None]] = {}
 
     def choose(
         self, request: RoutedRequest, excluded: frozenset[str], weight_version: str | None
     ) -> EngineChoice | Unavailable:
-        """Return the router's choice, timed."""
+        """Return the router's choice, and record how long it took."""
         started_at = time.perf_counter()
         choice = self.router.choose(request, excluded, weight_version)
         self._metrics.decision_seconds.observe(time.perf_counter() - started_at)
         return choice
 
     def try_spend_retry(self, request: RoutedRequest) -> bool:
-        """Spend one retry of the request's workload."""
+        """Spend one retry of the workload's budget; False if the budget is exhausted."""
         return self.router.try_spend_retry(request)
 
     async def wait_for_engine(self, request: RoutedRequest) -> None:
         """Wait in the queue until an engine may be free.
 
         Raises:
-            WaitRefusedError: the queue is full or the deadline would pass in it.
+            WaitRefusedError: the queue is full, or the deadline would pass in the queue.
         """
         wait = self.router.expected_wait(request)
         if clock.now_s() + wait > request.deadline:
@@ -60,10 +60,11 @@
             retry_after = max(constants.RETRY_AFTER_SECONDS, wait)
             raise WaitRefusedError(ResultCode.QUEUE_FULL, retry_after)
         turn: asyncio.Future[None] = asyncio.get_running_loop().create_future()
-        self._turns[request.request_id] = turn
+        self._waiters[request.request_id] = turn
         self._metrics.queued.inc()
         try:
-            # Never granted in the same step: timers, such as deadlines, must get theirs.
+            # The wake is deferred to the next event loop iteration, so that timers such as
+            # deadlines can run even if turns are turn repeatedly.
             asyncio.get_running_loop().call_soon(self.wake, request.model)
             await turn
         except BaseException:
@@ -71,13 +72,13 @@
             raise
         finally:
             self.router.dequeue(item)
-            del self._turns[request.request_id]
+            del self._waiters[request.request_id]
             self._metrics.queued.dec()
 
     def wake(self, model: str | None = None) -> None:
-        """Let waiting requests go on as far as engines have room."""
+        """Resume the waiting requests that the router grants a turn, for one model or for all."""
         for request in self.router.grant_turns(model):
-            turn = self._turns.get(request.request_id)
+            turn = self._waiters.get(request.request_id)
             if turn is None or turn.done():
                 self.router.abandon_turn(request)
             else:
--- a/liftrill/node/engine_watch.py
+++ b/liftrill/node/engine_watch.py
@@ -1,4 +1,4 @@
-"""Background tasks that follow the machine list and the engines' own reports."""
+"""Background tasks that follow the machine list and the reports of the engines."""
 
 import asyncio
 import random
@@ -16,7 +16,7 @@
 
 
 class EngineWatch:
-    """Feeds the engine table."""
+    """Updates the engine table from the machine list and from engine reports."""
 
     def __init__(
         self,
@@ -33,15 +33,15 @@
         self._records = records
         self._membership = membership
         self._random = random_source
-        self._extra: list[str] = []
+        self._poll_order: list[str] = []
         self._machine_list_index = 0
         self._watches: dict[str, asyncio.Task[None]] = {}
 
     async def follow_machine_list(self) -> None:
-        """Read the machine list where this node does so for its region.
+        """Follow the machine list, if this node is one of its region's store watchers.
 
-        An outage leaves the table as it is. Other nodes hear of changes by gossip, and
-        read the list themselves only while they know no engine.
+        A store outage leaves the table unchanged. Other nodes receive changes by gossip,
+        and read the list only while they know no engine.
         """
         wait = constants.STORE_RETRY_FIRST_SECONDS
         while True:
@@ -55,22 +55,22 @@
             await asyncio.sleep(wait * self._random.uniform(0.8, 1.2))
 
     def watches_store(self) -> bool:
-        """Return whether this node reads the store for its region."""
+        """Return whether this node is one of its region's store watchers."""
         own = self._membership.own
         members = [m.node_id for m in self._membership.members() if m.region == own.region]
         return watches_store(own.node_id, members, constants.STORE_WATCHERS_PER_REGION)
 
     async def follow_reports(self) -> None:
-        """Keep a watch on the own engines, and ask a few others for their load in turn."""
+        """Watch the assigned engines, and poll a few of all engines in each interval."""
         while True:
             engines = self._context.engines.in_pools(self._context.view.pools_by_name)
-            self._keep_watches({engine.engine_id: engine for engine in engines})
-            await asyncio.gather(*(self.refresh(e) for e in self._engines_to_ask(engines)))
+            self._update_watches({engine.engine_id: engine for engine in engines})
+            await asyncio.gather(*(self.refresh(e) for e in self._engines_to_poll(engines)))
             jitter = self._random.uniform(0.8, 1.2)
             await asyncio.sleep(constants.ENGINE_REPORT_INTERVAL_SECONDS * jitter)
 
-    def _keep_watches(self, by_id: dict[str, EngineState]) -> None:
-        """Start a watch for each own engine, and end those of engines that are not."""
+    def _update_watches(self, by_id: dict[str, EngineState]) -> None:
+        """Start a watch for each assigned engine, and cancel those of other engines."""
         members = [member.node_id for member in self._membership.members()]
         wanted = set(watched_engines(self._membership.own.node_id, members, by_id))
         for engine_id, watch in list(self._watches.items()):
@@ -80,7 +80,7 @@
             self._watches[engine_id] = asyncio.create_task(self._watch(engine_id))
 
     async def _watch(self, engine_id: str) -> None:
-        """Hear of an engine's changes at once, by a blocking query that is renewed."""
+        """Follow an engine's changes by repeated blocking queries."""
         while True:
             engine = self._context.engines.get(engine_id)
             report = await self._client.watch_report(engine) if engine else None
@@ -88,15 +88,15 @@
                 wait = constants.ENGINE_REPORT_INTERVAL_SECONDS
                 await asyncio.sleep(wait * self._random.uniform(0.8, 1.2))
             else:
-                self._apply(engine, report)
+                self._apply_report(engine, report)
 
     async def refresh(self, engine: EngineState) -> None:
-        """Ask one engine for its report."""
+        """Fetch and apply the report of an engine."""
         report = await self._client.report(engine)
         if report is not None:
-            self._apply(engine, report)
+            self._apply_report(engine, report)
 
-    def _apply(self, engine: EngineState, report: EngineReport) -> None:
+    def _apply_report(self, engine: EngineState, report: EngineReport) -> None:
         if report.engine_id != engine.engine_id:
             return
         engine.refused_as_leaving = False
@@ -110,7 +110,7 @@
             self._context.dispatcher.wake()
 
     async def _read_machine_list(self) -> bool:
-        """Wait for a change of the list, and take it in; False if the store failed."""
+        """Wait for a change of the machine list and apply it; False if the store failed."""
         try:
             machine_list = await self._store.watch_machines(
                 self._machine_list_index, constants.STORE_WATCH_SECONDS
@@ -125,20 +125,20 @@
             log_change("machine_list", changed=changed, index=machine_list.index)
         return True
 
-    def _engines_to_ask(self, engines: list[EngineState]) -> list[EngineState]:
-        """Return engines of which nothing is known, or something doubtful, and a few more."""
+    def _engines_to_poll(self, engines: list[EngineState]) -> list[EngineState]:
+        """Return the engines to poll: some of the unconfirmed ones, and the next in the order."""
         by_id = {engine.engine_id: engine for engine in engines}
-        doubtful = [e.engine_id for e in engines if e.identity is None or e.refused_as_leaving]
-        chosen = dict.fromkeys(doubtful[: constants.ENGINE_DOUBTFUL_REPORTS])
-        chosen.update(dict.fromkeys(self._take_extra(by_id)))
+        unconfirmed = [e.engine_id for e in engines if e.identity is None or e.refused_as_leaving]
+        chosen = dict.fromkeys(unconfirmed[: constants.ENGINE_DOUBTFUL_REPORTS])
+        chosen.update(dict.fromkeys(self._next_in_poll_order(by_id)))
         return [by_id[engine_id] for engine_id in chosen]
 
-    def _take_extra(self, by_id: dict[str, EngineState]) -> list[str]:
-        """Return the next engines of a round over all, for a fresher view of their load."""
+    def _next_in_poll_order(self, by_id: dict[str, EngineState]) -> list[str]:
+        """Return the next engines in a random order over all, to refresh their load."""
         taken: list[str] = []
         while len(taken) < min(constants.ENGINE_EXTRA_REPORTS, len(by_id)):
-            if not self._extra:
-                self._extra = list(by_id)
-                self._random.shuffle(self._extra)
-            taken.append(self._extra.pop())
+            if not self._poll_order:
+                self._poll_order = list(by_id)
+                self._random.shuffle(self._poll_order)
+            taken.append(self._poll_order.pop())
         return [engine_id for engine_id in taken if engine_id in by_id]
--- a/liftrill/node/gossip.py
+++ b/liftrill/node/gossip.py
@@ -1,4 +1,4 @@
-"""Gossip over UDP: the I/O around membership and engine records."""
+"""Gossip over UDP: the I/O of the membership protocol and of the engine records."""
 
 import asyncio
 import random
@@ -31,7 +31,7 @@
 
 
 def membership_parameters() -> MembershipParameters:
-    """Return the parameters that the constants set."""
+    """Return the parameters of the membership protocol from the constants."""
     return MembershipParameters(
         probe_interval=constants.GOSSIP_INTERVAL_SECONDS,
         probe_timeout=constants.GOSSIP_PROBE_TIMEOUT_SECONDS,
@@ -47,8 +47,8 @@
 def new_membership(settings: NodeSettings, random_source: random.Random) -> Membership:
     """Return the membership of a node that starts now.
 
-    The first incarnation is the time in milliseconds, so that a restarted node replaces
-    what is believed of its earlier life.
+    The first incarnation is the time in milliseconds, so that the record of a restarted
+    node supersedes the records of its earlier runs.
     """
     own = Member(
         node_id=settings.node_id,
@@ -61,7 +61,7 @@
 
 
 class GossipService(asyncio.DatagramProtocol):
-    """Sends and receives the datagrams of one node."""
+    """Sends and receives the gossip datagrams of a node."""
 
     def __init__(
         self,
@@ -90,51 +90,51 @@
             self._transport.close()
 
     async def run(self) -> None:
-        """Let time pass for the membership for as long as the node runs."""
+        """Pass clock ticks to the membership until cancelled."""
         while True:
-            self._carry_out(self._membership.handle(Ticked(), clock.now_s()))
+            self._execute(self._membership.handle(Ticked(), clock.now_s()))
             await asyncio.sleep(constants.GOSSIP_TICK_SECONDS)
 
     def announce(self) -> None:
-        """Tell a few members at once of a change here."""
-        self._carry_out(self._membership.announce())
+        """Announce a change on this node to a few members immediately."""
+        self._execute(self._membership.announce())
 
     def depart(self) -> None:
-        """Tell a few members that this node leaves."""
-        self._carry_out(self._membership.depart())
+        """Announce to a few members that this node leaves."""
+        self._execute(self._membership.depart())
 
     def merge_members(self, members: list[Member]) -> None:
-        """Take in a snapshot's members."""
-        self._carry_out(self._membership.merge(members, clock.now_s()))
+        """Merge the members of a snapshot."""
+        self._execute(self._membership.merge(members, clock.now_s()))
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Keep the transport (asyncio callback)."""
-        # uvloop's transport is one by its methods, not by its class.
+        """Store the transport (asyncio callback)."""
+        # uvloop's transport has the methods of DatagramTransport but is no subclass of it.
         self._transport = cast(asyncio.DatagramTransport, transport)
 
     def datagram_received(self, data: bytes, addr: tuple[str, int]) -> None:
-        """Take in a datagram (asyncio callback)."""
+        """Process a received datagram (asyncio callback)."""
         self._metrics.control_bytes.labels(direction="received").inc(len(data))
         try:
             packet = decode_packet(data, self._shared_keys)
         except GossipDecodeError:
             self._metrics.refused_datagrams.inc()
             return
-        self._take_records(packet)
+        self._merge_records(packet)
         event = DatagramReceived(f"{addr[0]}:{addr[1]}", packet.datagram)
-        self._carry_out(self._membership.handle(event, clock.now_s()))
+        self._execute(self._membership.handle(event, clock.now_s()))
 
-    def _take_records(self, packet: GossipPacket) -> None:
-        news = self._records.offer_listings(packet.listings)
+    def _merge_records(self, packet: GossipPacket) -> None:
+        new_records = self._records.offer_listings(packet.listings)
         for observation in packet.observations:
-            news += self._records.offer_observation(observation)
-        if news:
+            new_records += self._records.offer_observation(observation)
+        if new_records:
             self._membership.request_announcement()
 
     def error_received(self, exc: Exception) -> None:
-        """Ignore what the network says of a lost datagram: probes notice it."""
+        """Ignore a network error (asyncio callback): probes detect unreachable members."""
 
-    def _carry_out(self, instructions: list[MembershipInstruction]) -> None:
+    def _execute(self, instructions: list[MembershipInstruction]) -> None:
         for instruction in instructions:
             if isinstance(instruction, SendDatagram):
                 self._send(instruction)
@@ -147,8 +147,8 @@
     def _send(self, instruction: SendDatagram) -> None:
         if self._transport is None or self._transport.is_closing():
             return
-        members = len(self._membership.members())
-        packet = with_records(instruction.datagram, self._records, members)
+        member_count = len(self._membership.members())
+        packet = with_records(instruction.datagram, self._records, member_count)
         data = encode_packet(packet, self._shared_keys[0])
         host, _, port = instruction.address.rpartition(":")
         self._transport.sendto(data, (host, int(port)))
--- a/liftrill/node/operator_api.py
+++ b/liftrill/node/operator_api.py
@@ -1,4 +1,4 @@
-"""HTTP handlers for operators: intents, plans, status and explanations."""
+"""HTTP handlers for operators: intents, plans, history, status and explanations."""
 
 import asyncio
 import hmac
@@ -31,7 +31,7 @@
 
 
 class OperatorApi:
-    """Every call needs the operator key from the settings."""
+    """Serves the operator API; each call must contain the operator key of the settings."""
 
     def __init__(
         self,
@@ -48,9 +48,9 @@
         self._claims = claims
 
     def routes(self) -> list[web.RouteDef]:
-        """Return the routes to serve."""
+        """Return the HTTP routes."""
         return [
-            web.post("/operator/intents", self._state_intent),
+            web.post("/operator/intents", self._submit_intent),
             web.get("/operator/plans", self._list_plans),
             web.get("/operator/plans/{plan_id}", self._show_plan),
             web.delete("/operator/plans/{plan_id}", self._discard_plan),
@@ -60,7 +60,7 @@
             web.get("/operator/explain/{request_id}", self._explain),
         ]
 
-    async def _state_intent(self, request: web.Request) -> web.Response:
+    async def _submit_intent(self, request: web.Request) -> web.Response:
         self._authenticate(request)
         try:
             intent = Intent.model_validate_json(await request.read())
@@ -71,7 +71,7 @@
             raise OperatorError(ResultCode.INVALID_INTENT, detail) from error
         plan_id = uuid.uuid4().hex[:PLAN_ID_CHARACTERS]
         plan = make_plan(plan_id, intent, self._context.view, self._context.engines_by_pool())
-        self._keep(plan)
+        self._store_plan(plan)
         return json_response(_plan_body(plan), 201)
 
     async def _list_plans(self, request: web.Request) -> web.Response:
@@ -80,20 +80,20 @@
 
     async def _show_plan(self, request: web.Request) -> web.Response:
         self._authenticate(request)
-        return json_response(_plan_body(self._plan(request)))
+        return json_response(_plan_body(self._find_plan(request)))
 
     async def _discard_plan(self, request: web.Request) -> web.Response:
         self._authenticate(request)
-        plan = self._plan(request)
+        plan = self._find_plan(request)
         del self._context.plans[plan.plan_id]
         return json_response({"discarded": plan.plan_id})
 
     async def _confirm_plan(self, request: web.Request) -> web.Response:
         self._authenticate(request)
-        plan = self._plan(request)
+        plan = self._find_plan(request)
         operator_name = request.headers.get(OPERATOR_NAME_HEADER, "unnamed")[:64]
         await self._check_not_behind(plan)
-        await self._check_claim_change(plan)
+        await self._check_claim_change_adopted(plan)
         now_milliseconds = int(time.time() * 1000)
         head = await self._committer.confirm(plan, operator_name, now_milliseconds)
         log_change("plan_confirmed", plan=plan.plan_id, generation=head.generation)
@@ -103,15 +103,16 @@
     async def _check_not_behind(self, plan: Plan) -> None:
         """Refuse a plan if any reachable member has a newer configuration than its base.
 
-        The store alone would say so too, unless it was restored from an old copy.
+        The commit also checks this in the store, but a store that was restored from an old
+        copy does not contain the newer configuration.
         """
-        generations = (await self._member_generations()).values()
+        generations = (await self._fetch_member_generations()).values()
         newest = max((g for g in generations if g is not None), default=0)
         if newest > plan.base_generation and not _is_in_head(plan, self._context.head):
-            detail = f"generation {newest} is in force, the plan was made from "
+            detail = f"generation {newest} is in force, but the plan is based on generation "
             raise OperatorError(ResultCode.PLAN_CONFLICT, f"{detail}{plan.base_generation}")
 
-    async def _check_claim_change(self, plan: Plan) -> None:
+    async def _check_claim_change_adopted(self, plan: Plan) -> None:
         if not plan.completes_claim_change:
             return
         if not await self._claims.previous_majority_has_adopted(plan.base_generation):
@@ -154,18 +155,18 @@
             "generation": context.view.generation,
             "ready": context.unready_reason() is None,
             "reason": context.unready_reason(),
-            "members": await self._member_generations(),
+            "members": await self._fetch_member_generations(),
             "engines": engines,
         }
         return json_response(body)
 
-    async def _member_generations(self) -> dict[str, int | None]:
-        """Ask every member for the generation it has in force; None where it is silent."""
+    async def _fetch_member_generations(self) -> dict[str, int | None]:
+        """Fetch the generation in force of each member; None if the member does not respond."""
         members = self._context.membership.members()
-        answers = await asyncio.gather(*(self._generation_of(m) for m in members))
+        answers = await asyncio.gather(*(self._fetch_generation(m) for m in members))
         return {m.node_id: answer for m, answer in zip(members, answers, strict=True)}
 
-    async def _generation_of(self, member: Member) -> int | None:
+    async def _fetch_generation(self, member: Member) -> int | None:
         if member.node_id == self._context.settings.node_id:
             return self._context.view.generation
         try:
@@ -187,13 +188,13 @@
         if not hmac.compare_digest(key.encode(), expected.encode()):
             raise OperatorError(ResultCode.INVALID_OPERATOR_KEY)
 
-    def _plan(self, request: web.Request) -> Plan:
+    def _find_plan(self, request: web.Request) -> Plan:
         plan = self._context.plans.get(request.match_info["plan_id"])
         if plan is None:
             raise OperatorError(ResultCode.PLAN_NOT_FOUND)
         return plan
 
-    def _keep(self, plan: Plan) -> None:
+    def _store_plan(self, plan: Plan) -> None:
         self._context.plans[plan.plan_id] = plan
         while len(self._context.plans) > constants.PLANS_KEPT:
             del self._context.plans[next(iter(self._context.plans))]
--- a/liftrill/node/request_runner.py
+++ b/liftrill/node/request_runner.py
@@ -1,4 +1,4 @@
-"""Carries out what a request machine decides: the I/O of one request."""
+"""Performs the I/O of a request: executes the instructions of its state machine."""
 
 import asyncio
 from abc import ABC, abstractmethod
@@ -26,11 +26,11 @@
 
 
 class TokenSink(ABC):
-    """Where a request's tokens go."""
+    """Receives the tokens of a request."""
 
     @abstractmethod
     async def deliver(self, tokens: list[events.DeliverToken]) -> None:
-        """Pass tokens on, waiting while the caller reads slowly.
+        """Deliver tokens to the caller; wait while the connection's buffer is full.
 
         Raises:
             CallerGoneError: the caller closed its connection.
@@ -38,7 +38,7 @@
 
 
 class RequestRunner:
-    """Runs requests; one instance serves the whole node."""
+    """Runs the requests of a node."""
 
     def __init__(
         self,
@@ -55,30 +55,33 @@
         self._spawn = spawn
 
     async def run(self, machine: RequestMachine, sink: TokenSink) -> Outcome:
-        """Run a request to its end.
+        """Run a request until it completes, fails or reaches its deadline.
 
         Raises:
-            asyncio.CancelledError: the caller is gone; the attempt has been cancelled.
+            asyncio.CancelledError: the caller disconnected; the attempt has been cancelled.
         """
-        execution = _Execution(self, machine, sink)
+        request_run = _RequestRun(self, machine, sink)
         try:
             async with asyncio.timeout(max(0.0, machine.request.deadline - clock.now_s())):
-                outcome = await execution.drive(events.Started())
-            self._learn(machine, outcome)
+                outcome = await request_run.drive(events.Started())
+            self._record_outcome(machine, outcome)
             return outcome
         except TimeoutError:
-            return execution.finish(events.DeadlinePassed())
+            return request_run.finish(events.DeadlinePassed())
         except CallerGoneError:
-            return execution.finish(events.CallerGone())
+            return request_run.finish(events.CallerGone())
         except asyncio.CancelledError:
-            execution.finish(events.CallerGone())
+            request_run.finish(events.CallerGone())
             raise
         finally:
             self._dispatcher.router.record_abandoned(machine.request)
-            execution.close()
+            request_run.close()
 
-    def _learn(self, machine: RequestMachine, outcome: Outcome) -> None:
-        """Tell the router what came of its choice, and carry out its advice."""
+    def _record_outcome(self, machine: RequestMachine, outcome: Outcome) -> None:
+        """Report the outcome to the router, and export a prefix if the router advises it.
+
+        A request that failed or had several attempts is recorded as abandoned.
+        """
         router = self._dispatcher.router
         if not isinstance(outcome, Completed) or len(machine.chosen) != 1:
             router.record_abandoned(machine.request)
@@ -91,7 +94,7 @@
     async def start(
         self, machine: RequestMachine, instruction: events.StartAttempt
     ) -> tuple[EngineState, EngineStream | None, events.RequestEvent | None]:
-        """Send an attempt; return its stream, or the event that says why there is none."""
+        """Send an attempt; return the engine, and the stream or the event of the failure."""
         engine = self._engines.get(instruction.engine_id)
         if engine is None:
             kind = events.RefusalKind.UNREACHABLE
@@ -115,7 +118,7 @@
     async def resume(
         self, engine: EngineState, instruction: events.ResumeAttempt
     ) -> EngineStream | None:
-        """Return the stream of a running attempt again, or None if it is gone."""
+        """Reopen the stream of a running attempt; None if the engine cannot resume it."""
         self._metrics.attempts.labels(result="resumed").inc()
         stream = await self._client.resume(engine, instruction)
         if stream is None:
@@ -123,14 +126,14 @@
         return stream
 
     def cancel(self, instruction: events.CancelAttempt) -> None:
-        """Tell an engine, in the background, to stop an attempt."""
+        """Cancel an attempt on its engine, in the background."""
         engine = self._engines.get(instruction.engine_id)
         if engine is not None:
             self._metrics.attempts.labels(result="cancelled").inc()
             self._spawn(self._client.cancel(engine, instruction.attempt_id))
 
     def release(self, engine: EngineState, completed: bool) -> None:
-        """Note that an attempt is no longer on an engine, and let others go on."""
+        """Record the end of an attempt on an engine, and wake waiting requests."""
         engine.record_end()
         if completed:
             engine.record_success()
@@ -140,12 +143,12 @@
         self._dispatcher.wake()
 
     def count_dropped(self, machine: RequestMachine) -> None:
-        """Add a request's dropped chunks to the counters."""
+        """Add a request's dropped chunks to the metrics."""
         for reason, count in machine.dropped.items():
             self._metrics.dropped_chunks.labels(reason=reason.value).inc(count)
 
     async def wait_for_engine(self, machine: RequestMachine) -> events.RequestEvent:
-        """Wait in the queue; return the event that follows."""
+        """Wait in the queue; return the event for the state machine."""
         try:
             await self._dispatcher.wait_for_engine(machine.request)
         except WaitRefusedError as refusal:
@@ -164,8 +167,8 @@
             engine.apply_identity(refusal.identity)
 
 
-class _Execution:
-    """The state of one run: the machine, and the attempt that is open now."""
+class _RequestRun:
+    """The state of one running request: its state machine and its open attempt."""
 
     def __init__(self, runner: RequestRunner, machine: RequestMachine, sink: TokenSink) -> None:
         self._runner = runner
@@ -174,10 +177,10 @@
         self._engine: EngineState | None = None
         self._stream: EngineStream | None = None
         self._outcome: Outcome | None = None
-        self._pending_prefill: int | None = None
+        self._pending_prefill_tokens: int | None = None
 
     async def drive(self, first: events.RequestEvent) -> Outcome:
-        """Feed events to the machine until it ends."""
+        """Pass events to the state machine and execute its instructions until the request ends."""
         pending: deque[events.RequestEvent] = deque([first])
         while self._outcome is None:
             if not pending:
@@ -189,13 +192,13 @@
                         tokens.append(instruction)
                         continue
                     await self._flush(tokens)
-                    pending.extendleft(reversed(await self._carry_out(instruction)))
+                    pending.extendleft(reversed(await self._execute(instruction)))
             await self._flush(tokens)
         await self._release_connection()
         return self._outcome
 
     def finish(self, event: events.RequestEvent) -> Outcome:
-        """Feed the event that ends the request; nothing here waits."""
+        """Handle the event that ends the request, without waiting; return the outcome."""
         for instruction in self._machine.handle(event):
             if isinstance(instruction, events.CancelAttempt):
                 self._runner.cancel(instruction)
@@ -205,20 +208,20 @@
         return self._outcome
 
     def close(self) -> None:
-        """Close what is still open."""
+        """Close the open attempt, and record the dropped chunks."""
         self._close_attempt(completed=False)
         self._runner.count_dropped(self._machine)
 
     async def _flush(self, tokens: list[events.DeliverToken]) -> None:
         if tokens:
-            self._note_prefilled()
+            self._record_prefilled()
             await self._sink.deliver(tokens)
             tokens.clear()
 
-    def _note_prefilled(self) -> None:
-        if self._engine is not None and self._pending_prefill is not None:
-            self._engine.record_prefilled(self._pending_prefill)
-            self._pending_prefill = None
+    def _record_prefilled(self) -> None:
+        if self._engine is not None and self._pending_prefill_tokens is not None:
+            self._engine.record_prefilled(self._pending_prefill_tokens)
+            self._pending_prefill_tokens = None
 
     async def _read(self) -> list[events.RequestEvent]:
         assert self._stream is not None
@@ -227,7 +230,7 @@
         except AttemptBrokenError as error:
             return [events.AttemptBroken(str(error))]
 
-    async def _carry_out(self, instruction: events.RequestInstruction) -> list[events.RequestEvent]:
+    async def _execute(self, instruction: events.RequestInstruction) -> list[events.RequestEvent]:
         if isinstance(instruction, events.StartAttempt):
             return await self._start(instruction)
         if isinstance(instruction, events.ResumeAttempt):
@@ -242,7 +245,7 @@
 
     async def _start(self, instruction: events.StartAttempt) -> list[events.RequestEvent]:
         self._close_attempt(completed=False)
-        self._pending_prefill = instruction.expected_prefill_tokens
+        self._pending_prefill_tokens = instruction.expected_prefill_tokens
         self._engine, self._stream, event = await self._runner.start(self._machine, instruction)
         if isinstance(event, events.AttemptRefused):
             self._close_attempt(completed=False)
@@ -268,6 +271,6 @@
             self._stream.close()
             self._stream = None
         if self._engine is not None:
-            self._note_prefilled()
+            self._record_prefilled()
             self._runner.release(self._engine, completed)
             self._engine = None
--- a/liftrill/node/responses.py
+++ b/liftrill/node/responses.py
@@ -1,4 +1,4 @@
-"""What callers receive: OpenAI-shaped answers, chunks and errors."""
+"""Responses to callers: completions, stream chunks and errors in OpenAI's format."""
 
 import math
 import time
@@ -17,7 +17,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ResponseFormat:
-    """The parts in which completions and chat completions differ."""
+    """The fields in which responses of completions and chat completions differ."""
 
     id_prefix: str
     object_name: str
@@ -30,43 +30,43 @@
 
 
 class ResponseWriter:
-    """Builds the bytes of one request's answer."""
+    """Serializes the response of one request."""
 
-    def __init__(self, shape: ResponseFormat, request_id: str, model: str) -> None:
-        self._shape = shape
+    def __init__(self, response_format: ResponseFormat, request_id: str, model: str) -> None:
+        self._format = response_format
         self._request_id = request_id
         self._model = model
         self._created = int(time.time())
-        common = self._common(shape.chunk_object_name)
-        # The constant start of every chunk is serialized once: this is the hot path.
-        self._chunk_start = b"data: " + orjson.dumps(common)[:-1]
+        common_fields = self._common_fields(response_format.chunk_object_name)
+        # The constant start of each chunk is serialized only once, since chunks are the hot path.
+        self._chunk_start = b"data: " + orjson.dumps(common_fields)[:-1]
 
     def chunk(self, index: int, text: str) -> bytes:
         """Return one token as a server-sent event."""
         quoted = orjson.dumps(text)
-        if self._shape.chat:
+        if self._format.chat:
             choice = b'{"index":0,"delta":{"content":' + quoted + b'},"finish_reason":null}'
         else:
             choice = b'{"index":0,"text":' + quoted + b',"finish_reason":null}'
         return b'%b,"token_index":%d,"choices":[%b]}\n\n' % (self._chunk_start, index, choice)
 
     def last_chunk(self, completed: Completed) -> bytes:
-        """Return the end of a stream: finish reason, usage and the end mark."""
+        """Return the end of a stream: the finish reason, the usage and the [DONE] event."""
         choice: dict[str, object] = {"index": 0, "finish_reason": completed.finish_reason}
-        choice["delta" if self._shape.chat else "text"] = {} if self._shape.chat else ""
-        content = self._common(self._shape.chunk_object_name)
-        content |= {"choices": [choice], **_usage(completed)}
+        choice["delta" if self._format.chat else "text"] = {} if self._format.chat else ""
+        content = self._common_fields(self._format.chunk_object_name)
+        content |= {"choices": [choice], **_usage_fields(completed)}
         return b"data: " + orjson.dumps(content) + b"\n\n" + STREAM_DONE
 
     def full_response(self, completed: Completed, text: str) -> web.Response:
-        """Return a whole answer."""
+        """Return the response of a request without streaming."""
         choice: dict[str, object] = {"index": 0, "finish_reason": completed.finish_reason}
-        if self._shape.chat:
+        if self._format.chat:
             choice["message"] = {"role": "assistant", "content": text}
         else:
             choice["text"] = text
-        content = self._common(self._shape.object_name)
-        content |= {"choices": [choice], **_usage(completed)}
+        content = self._common_fields(self._format.object_name)
+        content |= {"choices": [choice], **_usage_fields(completed)}
         headers = {
             REQUEST_ID_HEADER: self._request_id,
             EXECUTION_HEADER: Execution.RAN.value,
@@ -74,9 +74,9 @@
         body = orjson.dumps(content)
         return web.Response(body=body, headers=headers, content_type=JSON_CONTENT_TYPE)
 
-    def _common(self, object_name: str) -> dict[str, object]:
+    def _common_fields(self, object_name: str) -> dict[str, object]:
         return {
-            "id": self._shape.id_prefix + self._request_id,
+            "id": self._format.id_prefix + self._request_id,
             "object": object_name,
             "created": self._created,
             "model": self._model,
@@ -84,7 +84,7 @@
 
 
 def error_body(error: CodedError, request_id: str = "") -> dict[str, object]:
-    """Return an OpenAI-shaped error."""
+    """Return the body of an error in OpenAI's format."""
     content: dict[str, object] = {
         "message": error.detail or error.code.value.meaning,
         "type": error.code.name.lower(),
@@ -98,7 +98,7 @@
 
 
 def error_response(error: CodedError, request_id: str = "") -> web.Response:
-    """Return an error as a whole HTTP answer."""
+    """Return the HTTP response of an error."""
     headers = {CODE_HEADER: str(error.code.number)}
     if request_id:
         headers[REQUEST_ID_HEADER] = request_id
@@ -115,16 +115,16 @@
 
 
 def error_event(error: CodedError, request_id: str) -> bytes:
-    """Return an error as the last event of a stream that had begun."""
+    """Return an error as the last event of a stream."""
     return b"data: " + orjson.dumps(error_body(error, request_id)) + b"\n\n"
 
 
 def json_response(content: object, status: int = 200) -> web.Response:
-    """Return a JSON answer."""
+    """Return a JSON response."""
     return web.Response(body=orjson.dumps(content), status=status, content_type=JSON_CONTENT_TYPE)
 
 
-def _usage(completed: Completed) -> dict[str, object]:
+def _usage_fields(completed: Completed) -> dict[str, object]:
     usage = {
         "prompt_tokens": completed.prompt_tokens,
         "completion_tokens": completed.completion_tokens,
