--- a/liftrill/node/__init__.py
+++ b/liftrill/node/__init__.py
@@ -1,1 +1,1 @@
-"""The daemon: adaptors around the sans-IO parts. All I/O and all tasks are here."""
+"""The daemon: adapters around the sans-IO modules, with all I/O and all tasks."""
--- a/liftrill/node/caller_api.py
+++ b/liftrill/node/caller_api.py
@@ -86,7 +86,7 @@
                 self.response = await self._start_response()
             await self.response.write(content)
         except ConnectionError as error:
-            raise CallerGoneError(self._request_id) from error
+            raise CallerGoneError(f"caller of request {self._request_id} disconnected") from error
 
     async def end(self) -> web.StreamResponse:
         """Finish the response."""
@@ -94,7 +94,7 @@
         try:
             await self.response.write_eof()
         except ConnectionError as error:
-            raise CallerGoneError(self._request_id) from error
+            raise CallerGoneError(f"caller of request {self._request_id} disconnected") from error
         return self.response
 
     async def _start_response(self) -> web.StreamResponse:
--- a/liftrill/node/caller_schema.py
+++ b/liftrill/node/caller_schema.py
@@ -1,4 +1,4 @@
-"""What callers send: OpenAI's completions and chat completions, and liftrill's headers."""
+"""Requests of callers: OpenAI's completions and chat completions, and liftrill's headers."""
 
 import uuid
 from collections.abc import Mapping
@@ -23,7 +23,7 @@
 
 
 class CompletionRequest(BaseModel):
-    """Body of `POST /v1/completions`. Unknown fields are ignored, as OpenAI's clients expect."""
+    """Body of `POST /v1/completions`; unknown fields are ignored, as OpenAI's clients expect."""
 
     model_config = ConfigDict(extra="ignore")
 
@@ -36,7 +36,7 @@
     n: Literal[1] = 1
 
     def prompt_text(self) -> str:
-        """Return the text that the engine continues."""
+        """Return the prompt for the engine."""
         return self.prompt
 
 
@@ -73,10 +73,10 @@
 
 @dataclass(frozen=True, slots=True)
 class CallerHeaders:
-    """What the headers of a request say.
+    """The parsed headers of a request.
 
     Attributes:
-        deadline_milliseconds: None where the workload's own deadline holds.
+        deadline_milliseconds: None if the workload's deadline applies.
         idempotency_key: canonical UUIDv7, or empty for a repeatable request.
     """
 
@@ -88,10 +88,10 @@
 
 
 def parse_headers(headers: Mapping[str, str]) -> CallerHeaders:
-    """Return the checked headers.
+    """Parse and validate the headers of a request.
 
     Raises:
-        InvalidRequestError: a header has a wrong value.
+        InvalidRequestError: a header has an invalid value.
     """
     authorization = headers.get(API_KEY_HEADER, "")
     repeatable = headers.get(REPEATABLE_HEADER, "yes").lower() != "no"
@@ -100,15 +100,15 @@
         workload=headers.get(WORKLOAD_HEADER, ""),
         deadline_milliseconds=_parse_deadline(headers.get(DEADLINE_HEADER)),
         repeatable=repeatable,
-        idempotency_key="" if repeatable else _parse_key(headers.get(IDEMPOTENCY_HEADER, "")),
+        idempotency_key="" if repeatable else _parse_uuid7(headers.get(IDEMPOTENCY_HEADER, "")),
     )
 
 
 def parse_body(schema: type[CallerBody], content: bytes) -> CallerBody:
-    """Return the checked body.
+    """Parse and validate the body of a request.
 
     Raises:
-        InvalidRequestError: the body is not JSON or a field is wrong.
+        InvalidRequestError: the body is not JSON or a field is invalid.
     """
     try:
         return schema.model_validate_json(content)
@@ -127,12 +127,14 @@
     shortest = constants.SHORTEST_DEADLINE_MILLISECONDS
     longest = constants.LONGEST_DEADLINE_MILLISECONDS
     if not value.isascii() or not value.isdigit() or not shortest <= int(value[:12]) <= longest:
-        detail = f"{DEADLINE_HEADER}: {value[:40]!r}: expected {shortest} to {longest}"
+        detail = (
+            f"{DEADLINE_HEADER}: {value[:40]!r}: expected milliseconds from {shortest} to {longest}"
+        )
         raise InvalidRequestError(ResultCode.INVALID_DEADLINE, detail)
     return int(value)
 
 
-def _parse_key(value: str) -> str:
+def _parse_uuid7(value: str) -> str:
     try:
         key = uuid.UUID(value)
     except ValueError as error:
--- a/liftrill/node/claim_codec.py
+++ b/liftrill/node/claim_codec.py
@@ -1,4 +1,4 @@
-"""Protobuf form of claims."""
+"""Conversion between claims and their protobuf messages."""
 
 from liftrill.coordination.claims import ClaimAnswer, ClaimProposal, StoredResult, Verdict
 from liftrill.messages import peer_pb2 as messages
@@ -14,7 +14,7 @@
 
 
 def proposal_message(proposal: ClaimProposal) -> messages.ClaimRequest:
-    """Return a proposal's message."""
+    """Return the message of a proposal."""
     return messages.ClaimRequest(
         key=proposal.key,
         attempt_id=proposal.attempt_id,
@@ -24,12 +24,12 @@
 
 
 def proposal_from_message(message: messages.ClaimRequest) -> ClaimProposal:
-    """Return a proposal."""
+    """Return the proposal of a message."""
     return ClaimProposal(message.key, message.attempt_id, message.request_digest, message.epoch)
 
 
 def answer_message(answer: ClaimAnswer) -> messages.ClaimReply:
-    """Return an answer's message."""
+    """Return the message of an answer."""
     message = messages.ClaimReply(
         verdict=_VERDICTS[answer.verdict],
         holder_attempt_id=answer.holder_attempt_id,
@@ -41,14 +41,14 @@
 
 
 def answer_from_message(message: messages.ClaimReply) -> ClaimAnswer:
-    """Return an answer; a verdict of a newer version counts as an abstention."""
+    """Return the answer of a message; an unknown verdict, as of a newer version, is ABSTAINED."""
     result = result_from_message(message.result) if message.HasField("result") else None
     verdict = _VERDICTS_BY_NUMBER.get(int(message.verdict), Verdict.ABSTAINED)
     return ClaimAnswer(verdict, message.holder_attempt_id, message.holder_request_digest, result)
 
 
 def result_message(result: StoredResult) -> messages.StoredResult:
-    """Return a result's message."""
+    """Return the message of a stored response."""
     return messages.StoredResult(
         text=result.text,
         finish_reason=result.finish_reason,
@@ -59,7 +59,7 @@
 
 
 def result_from_message(message: messages.StoredResult) -> StoredResult:
-    """Return a result."""
+    """Return the stored response of a message."""
     return StoredResult(
         message.text,
         message.finish_reason,
--- a/liftrill/node/configuration_sync.py
+++ b/liftrill/node/configuration_sync.py
@@ -46,7 +46,7 @@
         self._watches_store = watches_store
         self._on_members = on_members
         self._on_adopted = on_adopted
-        self._fetching = asyncio.Lock()
+        self._fetch_lock = asyncio.Lock()
         self._newest_head = messages.Head()
 
     async def offer(self, head: messages.Head) -> None:
@@ -163,7 +163,7 @@
 
     async def _fetch_missing(self) -> None:
         """Fetch the missing sections, one at a time, each from the peers and then the store."""
-        async with self._fetching:
+        async with self._fetch_lock:
             for digest in self._context.replica.wanted_digests:
                 content = await self._fetch_section(digest)
                 if content is not None:
--- a/liftrill/node/context.py
+++ b/liftrill/node/context.py
@@ -1,4 +1,4 @@
-"""What the parts of a running node share."""
+"""State that is shared by the services of a node."""
 
 from collections.abc import Mapping
 from dataclasses import dataclass, field
@@ -22,13 +22,13 @@
 
 @dataclass(slots=True)
 class NodeContext:
-    """One per node; the API handlers and the background tasks work on it.
+    """State that is shared by the API handlers and the background tasks of a node.
 
     Attributes:
-        head: the head in force, as stored, with its confirmations.
-        view: the configuration in force, for lookups.
-        plans: plans made here that wait for confirmation, by id, oldest first.
-        draining: whether a planned stop has begun.
+        head: the message of the head in force, with its confirmations.
+        view: the configuration in force, indexed for lookups.
+        plans: the plans made on this node, which can be confirmed here, by id, oldest first.
+        draining: whether a graceful shutdown has started.
     """
 
     settings: NodeSettings
@@ -49,7 +49,7 @@
     draining: bool = False
 
     def unready_reason(self) -> str | None:
-        """Return why the node cannot serve, or None if it can."""
+        """Return the reason why the node is not ready, or None if it is ready."""
         if self.draining:
             return "draining"
         if self.view.generation == 0:
@@ -59,7 +59,7 @@
         return None
 
     def engines_by_pool(self) -> Mapping[str, int]:
-        """Return the number of known engines of each pool."""
+        """Return the number of known engines by pool."""
         counts: dict[str, int] = {}
         for engine in self.engines:
             counts[engine.pool] = counts.get(engine.pool, 0) + 1
--- a/liftrill/node/daemon.py
+++ b/liftrill/node/daemon.py
@@ -1,4 +1,4 @@
-"""Assembles a node and runs it until it is told to stop."""
+"""Assembles a node, and runs it until it receives a stop signal."""
 
 import asyncio
 import random
@@ -40,17 +40,17 @@
 
 
 class NodeDaemon:
-    """One node."""
+    """The process of one node: its servers, background tasks and shutdown."""
 
     def __init__(self, settings: NodeSettings) -> None:
         self._settings = settings
         self._tasks: set[asyncio.Task[None]] = set()
         self._stop_requested = asyncio.Event()
-        self._stop_now = asyncio.Event()
-        self._pulling = False
+        self._forced_stop = asyncio.Event()
+        self._is_pulling = False
 
     async def run(self) -> bool:
-        """Serve until a signal; True if the stop cut off no request."""
+        """Serve until a stop signal; return whether all requests have ended before the stop."""
         self._install_signal_handlers()
         connector = aiohttp.TCPConnector(limit=0)
         async with aiohttp.ClientSession(connector=connector) as session:
@@ -137,15 +137,15 @@
         return context
 
     def _on_adopted(self, view: ConfigurationView) -> None:
-        """Let the parts that depend on the configuration know of a new one."""
+        """Pass an adopted configuration to the services that depend on it."""
         self._claims.apply_section(view.claims)
         self._gossip.announce()
 
     def _on_newer_generation(self, address: str) -> None:
-        """Fetch a newer configuration from the member that told of it, once at a time."""
-        if self._pulling:
+        """Fetch a newer configuration from the member that announced it; one fetch at a time."""
+        if self._is_pulling:
             return
-        self._pulling = True
+        self._is_pulling = True
         self._spawn(self._pull(address))
 
     async def _join(self) -> None:
@@ -156,7 +156,7 @@
         try:
             await self._sync.pull_head(address)
         finally:
-            self._pulling = False
+            self._is_pulling = False
 
     async def _listen(self, context: NodeContext) -> list[web.AppRunner]:
         public = web.Application(
@@ -172,20 +172,20 @@
         ]
 
     async def _drain(self, context: NodeContext) -> bool:
-        """Refuse new work and wait for requests in flight; True if all have ended."""
+        """Refuse new requests and wait for those in flight; return whether all have ended."""
         context.draining = True
         log_change("drain_started", grace_seconds=self._settings.drain_grace_seconds)
         open_requests = context.open_requests
-        idle = asyncio.create_task(open_requests.wait_until_none())
-        forced = asyncio.create_task(self._stop_now.wait())
+        drained = asyncio.create_task(open_requests.wait_until_none())
+        forced = asyncio.create_task(self._forced_stop.wait())
         await asyncio.wait(
-            (idle, forced),
+            (drained, forced),
             timeout=self._settings.drain_grace_seconds,
             return_when=asyncio.FIRST_COMPLETED,
         )
-        idle.cancel()
+        drained.cancel()
         forced.cancel()
-        if self._stop_now.is_set():
+        if self._forced_stop.is_set():
             log_change("second_signal", requests_cut_off=open_requests.count)
         elif open_requests.count:
             log_change("drain_grace_ended", requests_cut_off=open_requests.count)
@@ -193,12 +193,12 @@
 
     def _install_signal_handlers(self) -> None:
         loop = asyncio.get_running_loop()
-        for number in (signal.SIGTERM, signal.SIGINT):
-            loop.add_signal_handler(number, self._on_signal)
+        for signal_number in (signal.SIGTERM, signal.SIGINT):
+            loop.add_signal_handler(signal_number, self._on_signal)
 
     def _on_signal(self) -> None:
         if self._stop_requested.is_set():
-            self._stop_now.set()
+            self._forced_stop.set()
         self._stop_requested.set()
 
     def _spawn(self, coroutine: Coroutine[None, None, None]) -> None:
@@ -207,7 +207,7 @@
         task.add_done_callback(self._on_task_done)
 
     async def _supervise(self, run: Callable[[], Coroutine[None, None, None]]) -> None:
-        """Run a background task, and again if it fails, since the node needs all of them."""
+        """Run a background task; restart it after an exception, since the node needs all tasks."""
         while True:
             try:
                 await run()
--- a/liftrill/node/dispatcher.py
+++ b/liftrill/node/dispatcher.py
@@ -22,7 +22,7 @@
     def __init__(self, code: ResultCode, retry_after_seconds: float) -> None:
         self.code = code
         self.retry_after_seconds = retry_after_seconds
-        super().__init__(code.name.lower())
+        super().__init__(f"request cannot wait in the queue: {code.name.lower()}")
 
 
 class Dispatcher(RoutingPorts):
--- a/liftrill/node/engine_client.py
+++ b/liftrill/node/engine_client.py
@@ -1,4 +1,4 @@
-"""Adaptor to the engines: sends attempts and turns their streams into events."""
+"""HTTP client of the engines: sends attempts, and parses their streams, reports and events."""
 
 import asyncio
 from collections.abc import Mapping
@@ -20,11 +20,11 @@
 
 EVENT_SEPARATOR = b"\n\n"
 DATA_PREFIX = b"data: "
-DONE_MARK = b"[DONE]"
+DONE_MARKER = b"[DONE]"
 STORED_KIND = "stored"
 OK_STATUS = 200
 CONFLICT_STATUS = 409
-MISMATCH_STATUS = 412
+PRECONDITION_FAILED_STATUS = 412
 SERVICE_UNAVAILABLE_STATUS = 503
 LEAVING_CODES = frozenset({"leaving", "loading"})
 
@@ -41,36 +41,36 @@
     """The engine did not run the attempt.
 
     Attributes:
-        identity: what the engine is now, where it told.
+        identity: the current identity of the engine, or None if its response has none.
     """
 
     def __init__(self, kind: events.RefusalKind, identity: EngineIdentity | None = None) -> None:
         self.kind = kind
         self.identity = identity
-        super().__init__(kind.value)
+        super().__init__(f"engine refused the attempt: {kind.value}")
 
 
 class StaleFenceError(LiftrillError):
-    """An engine refused an order since it has seen a newer fencing token."""
+    """An engine refused an order because it has received a newer fencing fencing_token."""
 
 
 class AttemptBrokenError(LiftrillError):
-    """The attempt was sent and its connection was lost."""
+    """The connection failed after the attempt was sent, so the engine may have run it."""
 
 
 class EngineStream:
-    """The output of one attempt."""
+    """The output stream of one attempt."""
 
     def __init__(self, response: aiohttp.ClientResponse, attempt_id: str) -> None:
         self._response = response
         self._attempt_id = attempt_id
-        self._rest = b""
+        self._buffer = b""
 
     async def read(self) -> list[events.RequestEvent]:
         """Return the events of the next chunk of bytes.
 
         Raises:
-            AttemptBrokenError: the stream was cut, fell silent or cannot be parsed.
+            AttemptBrokenError: the stream was closed early, timed out or cannot be parsed.
         """
         try:
             data = await self._response.content.readany()
@@ -78,9 +78,9 @@
             raise AttemptBrokenError(self._attempt_id) from error
         if not data:
             raise AttemptBrokenError(self._attempt_id)
-        *complete, self._rest = (self._rest + data).split(EVENT_SEPARATOR)
+        *complete, self._buffer = (self._buffer + data).split(EVENT_SEPARATOR)
         try:
-            parsed = [_parse_event(line) for line in complete]
+            parsed = [_parse_event(event_data) for event_data in complete]
         except (orjson.JSONDecodeError, KeyError, TypeError, IndexError) as error:
             raise AttemptBrokenError(self._attempt_id) from error
         return [event for event in parsed if event is not None]
@@ -90,7 +90,7 @@
         self._response.close()
 
     async def release(self) -> None:
-        """Give the connection back for reuse after the last event."""
+        """Read the rest of the response, so that the connection can be reused."""
         try:
             async with asyncio.timeout(constants.ENGINE_CONNECT_TIMEOUT_SECONDS):
                 await self._response.read()
@@ -99,7 +99,7 @@
 
 
 class EngineClient:
-    """Talks to all engines through one connection pool."""
+    """Calls the engines through one connection pool."""
 
     def __init__(self, session: aiohttp.ClientSession, cache_secret: bytes) -> None:
         self._session = session
@@ -116,8 +116,8 @@
         """Send an attempt and return its stream.
 
         Raises:
-            AttemptRefusedError: it was certainly not run.
-            AttemptBrokenError: it may have been run.
+            AttemptRefusedError: the engine definitely did not run the attempt.
+            AttemptBrokenError: the engine may have run the attempt.
         """
         body = self._attempt_body(request, instruction)
         try:
@@ -134,14 +134,14 @@
                 raise AttemptRefusedError(events.RefusalKind.UNREACHABLE) from error
             raise AttemptBrokenError(instruction.attempt_id) from error
         if response.status != OK_STATUS:
-            raise await self._refusal(response, instruction.attempt_id)
+            raise await self._refusal_error(response, instruction.attempt_id)
         _apply_load(engine, response.headers)
         return EngineStream(response, instruction.attempt_id)
 
     async def resume(
         self, engine: EngineState, instruction: events.ResumeAttempt
     ) -> EngineStream | None:
-        """Return the stream of a running attempt from an index, or None if it is gone."""
+        """Return the stream of a running attempt from an index; None if it cannot be resumed."""
         url = f"http://{engine.address}/v1/attempts/{instruction.attempt_id}"
         query = {"from": str(instruction.from_index)}
         try:
@@ -154,7 +154,7 @@
         return EngineStream(response, instruction.attempt_id)
 
     async def cancel(self, engine: EngineState, attempt_id: str) -> None:
-        """Tell an engine to stop an attempt; failure only costs the engine some work."""
+        """Cancel an attempt on an engine; if the call fails, the engine does unneeded work."""
         url = f"http://{engine.address}/v1/attempts/{attempt_id}"
         timeout = aiohttp.ClientTimeout(total=constants.ENGINE_CONNECT_TIMEOUT_SECONDS)
         try:
@@ -164,11 +164,11 @@
             return
 
     async def report(self, engine: EngineState) -> EngineReport | None:
-        """Return an engine's report about itself, or None if it does not answer."""
+        """Return an engine's report, or None if the engine does not respond."""
         return await self._read_report(engine, {}, constants.ENGINE_CONNECT_TIMEOUT_SECONDS)
 
     async def watch_report(self, engine: EngineState) -> EngineReport | None:
-        """Return an engine's report once its identity changes, or after the watch time."""
+        """Return an engine's report once its identity changes, or after ENGINE_WATCH_SECONDS."""
         identity = engine.identity
         if identity is None:
             return await self.report(engine)
@@ -177,14 +177,14 @@
             "revision": str(identity.revision),
             "wait": str(constants.ENGINE_WATCH_SECONDS),
         }
-        limit = constants.ENGINE_WATCH_SECONDS + constants.ENGINE_CONNECT_TIMEOUT_SECONDS
-        return await self._read_report(engine, query, limit)
+        total_seconds = constants.ENGINE_WATCH_SECONDS + constants.ENGINE_CONNECT_TIMEOUT_SECONDS
+        return await self._read_report(engine, query, total_seconds)
 
     async def _read_report(
-        self, engine: EngineState, query: Mapping[str, str], limit_seconds: float
+        self, engine: EngineState, query: Mapping[str, str], timeout_seconds: float
     ) -> EngineReport | None:
         timeout = aiohttp.ClientTimeout(
-            total=limit_seconds, sock_connect=constants.ENGINE_CONNECT_TIMEOUT_SECONDS
+            total=timeout_seconds, sock_connect=constants.ENGINE_CONNECT_TIMEOUT_SECONDS
         )
         url = f"http://{engine.address}/v1/status"
         try:
@@ -195,7 +195,7 @@
             return None
 
     async def cache_events(self, engine: EngineState, after: int) -> EventBatch | None:
-        """Return an engine's cache events after a sequence number, or None if it is silent."""
+        """Return an engine's cache events after a sequence number, or None without a response."""
         timeout = aiohttp.ClientTimeout(total=constants.ENGINE_CONNECT_TIMEOUT_SECONDS)
         url = f"http://{engine.address}/v1/events"
         try:
@@ -206,13 +206,16 @@
         except (aiohttp.ClientError, TimeoutError, OSError, ValueError, KeyError, TypeError):
             return None
 
-    async def export_prefix(self, engine: EngineState, advice: KeepPrefix) -> None:
-        """Have an engine give a prefix to the kept-KV store; failure costs a later import."""
-        body = {"name": advice.name.hex(), "blocks": advice.blocks}
+    async def export_prefix(self, engine: EngineState, prefix: KeepPrefix) -> None:
+        """Order an engine to export a prefix to the kept-KV store.
+
+        If the call fails, a later request cannot import the prefix.
+        """
+        body = {"name": prefix.name.hex(), "blocks": prefix.blocks}
         await self._post(f"http://{engine.address}/v1/exports", body)
 
-    async def assign(self, engine: EngineState, order: AssignOrder, token: int) -> bool:
-        """Send a fenced order; False if the engine did not take it.
+    async def assign(self, engine: EngineState, order: AssignOrder, fencing_token: int) -> bool:
+        """Send a fenced order; False if the engine did not accept it.
 
         Raises:
             StaleFenceError: another controller holds a newer lease.
@@ -220,7 +223,7 @@
         body = {
             "order_id": order.order_id,
             "authority": order.authority,
-            "fence": token,
+            "fence": fencing_token,
             "action": "assign",
             "expected_pool": order.expected_pool,
             "pool": order.pool,
@@ -229,11 +232,13 @@
         }
         status = await self._post(f"http://{engine.address}/v1/orders", body)
         if status == CONFLICT_STATUS:
-            raise StaleFenceError(order.engine_id)
+            raise StaleFenceError(
+                f"engine {order.engine_id} has received a newer fencing token than {fencing_token}"
+            )
         return status == OK_STATUS
 
     async def _post(self, url: str, body: Mapping[str, object]) -> int | None:
-        """Return the status of a short call, or None without an answer."""
+        """Return the HTTP status of a short call, or None without a response."""
         timeout = aiohttp.ClientTimeout(total=constants.ENGINE_CONNECT_TIMEOUT_SECONDS)
         try:
             async with self._session.post(
@@ -248,7 +253,7 @@
         self, request: RoutedRequest, instruction: events.StartAttempt
     ) -> dict[str, object]:
         scope = request.scope(instruction.adapter, instruction.weight_version)
-        conditional = is_enabled(Mechanism.PRECONDITIONS)
+        send_preconditions = is_enabled(Mechanism.PRECONDITIONS)
         return {
             "model": request.model,
             "prompt": request.prompt.decode() + instruction.delivered_text,
@@ -259,17 +264,17 @@
             "request_id": request.request_id,
             "attempt_id": instruction.attempt_id,
             "start_index": instruction.start_index,
-            "incarnation": instruction.incarnation if conditional else None,
-            "weight_version": instruction.weight_version if conditional else None,
+            "incarnation": instruction.incarnation if send_preconditions else None,
+            "weight_version": instruction.weight_version if send_preconditions else None,
             "idempotency_key": request.idempotency_key,
             "user": request.tenant,
             "import_candidates": [name.hex() for name in instruction.import_candidates],
         }
 
-    async def _refusal(
+    async def _refusal_error(
         self, response: aiohttp.ClientResponse, attempt_id: str
     ) -> AttemptRefusedError | AttemptBrokenError:
-        """Return what an answer other than 200 means."""
+        """Return the error for a response with a status other than 200."""
         try:
             body = orjson.loads(await response.read())
             code = str(body["error"]["code"])
@@ -278,7 +283,7 @@
             return AttemptBrokenError(attempt_id)
         if executed:
             return AttemptBrokenError(attempt_id)
-        if response.status == MISMATCH_STATUS:
+        if response.status == PRECONDITION_FAILED_STATUS:
             identity = _parse_identity(body)
             return AttemptRefusedError(events.RefusalKind.MISMATCH, identity)
         if response.status != SERVICE_UNAVAILABLE_STATUS:
@@ -289,7 +294,7 @@
 
 
 def _apply_load(engine: EngineState, headers: Mapping[str, str]) -> None:
-    """Take in the load that an engine told with its answer, where it did."""
+    """Apply the load from the response headers of an engine, if they are present and valid."""
     try:
         engine.apply_load(
             int(headers["X-Engine-Running"]),
@@ -301,9 +306,9 @@
         return
 
 
-def _parse_event(line: bytes) -> events.RequestEvent | None:
-    content = line.removeprefix(DATA_PREFIX)
-    if content == DONE_MARK or not content:
+def _parse_event(event_data: bytes) -> events.RequestEvent | None:
+    content = event_data.removeprefix(DATA_PREFIX)
+    if content == DONE_MARKER or not content:
         return None
     chunk: dict[str, Any] = orjson.loads(content)
     choice = chunk["choices"][0]
@@ -323,11 +328,11 @@
 
 
 def _parse_batch(body: Mapping[str, Any]) -> EventBatch:
-    events_read = tuple(
+    block_events = tuple(
         BlockEvent(int(sequence), kind == STORED_KIND, bytes.fromhex(name))
         for sequence, kind, name in body["events"]
     )
-    return EventBatch(int(body["incarnation"]), events_read)
+    return EventBatch(int(body["incarnation"]), block_events)
 
 
 def _parse_identity(body: Mapping[str, Any]) -> EngineIdentity | None:
--- a/liftrill/node/gossip_codec.py
+++ b/liftrill/node/gossip_codec.py
@@ -1,4 +1,4 @@
-"""Protobuf form of the records that nodes exchange, and its authentication."""
+"""Encoding of gossip packets: protobuf messages, authenticated with a shared key."""
 
 import hashlib
 import hmac
@@ -38,25 +38,25 @@
 
 @dataclass(frozen=True, slots=True)
 class GossipPacket:
-    """A membership datagram and the engine records that ride on it."""
+    """A membership datagram and the engine records piggybacked on it."""
 
     datagram: Datagram
     listings: tuple[EngineListing, ...]
     observations: tuple[EngineObservation, ...]
 
 
-def with_records(datagram: Datagram, records: EngineRecords, members: int) -> GossipPacket:
-    """Return a datagram with the engine records whose turn it is to be spread."""
+def with_records(datagram: Datagram, records: EngineRecords, member_count: int) -> GossipPacket:
+    """Return a packet of a datagram and the engine records that are due for dissemination."""
     count = constants.GOSSIP_RECORDS_PER_DATAGRAM
     return GossipPacket(
         datagram,
-        tuple(records.take_listings(count, members)),
-        tuple(records.take_observations(count, members)),
+        tuple(records.take_listings(count, member_count)),
+        tuple(records.take_observations(count, member_count)),
     )
 
 
 def encode_packet(packet: GossipPacket, shared_key: bytes) -> bytes:
-    """Return a packet's bytes: signature, then protobuf."""
+    """Return a packet as bytes: the signature, followed by the protobuf message."""
     message = datagram_message(packet.datagram)
     message.engines.extend(listing_message(listing) for listing in packet.listings)
     message.observations.extend(observation_message(o) for o in packet.observations)
@@ -65,14 +65,14 @@
 
 
 def decode_packet(data: bytes, shared_keys: Iterable[bytes]) -> GossipPacket:
-    """Return the packet in some bytes.
+    """Authenticate and decode a packet.
 
     Raises:
-        GossipDecodeError: no accepted key signed it, or it is malformed.
+        GossipDecodeError: no accepted key matches the signature, or the packet is malformed.
     """
     signature, content = data[:SIGNATURE_BYTES], data[SIGNATURE_BYTES:]
     if not any(hmac.compare_digest(signature, _signature(k, content)) for k in shared_keys):
-        raise GossipDecodeError("signature")
+        raise GossipDecodeError("no accepted key matches the packet's signature")
     message = parse_message(content)
     return GossipPacket(
         datagram_from_message(message),
@@ -82,7 +82,7 @@
 
 
 def listing_message(listing: EngineListing) -> messages.EngineListing:
-    """Return a listing's message."""
+    """Return the message of a listing."""
     condition = messages.LISTED_LEAVING if listing.leaving else messages.LISTED
     return messages.EngineListing(
         engine_id=listing.engine_id,
@@ -95,7 +95,7 @@
 
 
 def listing_from_message(message: messages.EngineListing) -> EngineListing:
-    """Return a listing."""
+    """Return the listing of a message."""
     return EngineListing(
         message.engine_id,
         message.address,
@@ -108,7 +108,7 @@
 
 
 def observation_message(observation: EngineObservation) -> messages.EngineObservation:
-    """Return an observation's message."""
+    """Return the message of an observation."""
     identity = observation.identity
     return messages.EngineObservation(
         engine_id=observation.engine_id,
@@ -121,7 +121,7 @@
 
 
 def observation_from_message(message: messages.EngineObservation) -> EngineObservation:
-    """Return an observation."""
+    """Return the observation of a message."""
     identity = EngineIdentity(
         message.incarnation,
         message.revision,
--- a/liftrill/node/logs.py
+++ b/liftrill/node/logs.py
@@ -1,4 +1,4 @@
-"""Structured logs: one line for each change of state, as JSON on standard error."""
+"""Structured logging: one JSON line on standard error for each state change."""
 
 import sys
 
@@ -6,10 +6,10 @@
 
 
 def start_logging() -> None:
-    """Send eliot's messages to standard error."""
+    """Write eliot's messages to standard error."""
     eliot.to_file(sys.stderr)
 
 
 def log_change(message_type: str, **fields: object) -> None:
-    """Log one change of state."""
+    """Log a state change with its fields."""
     eliot.log_message(message_type=f"liftrill:{message_type}", **fields)
--- a/liftrill/node/membership_codec.py
+++ b/liftrill/node/membership_codec.py
@@ -1,4 +1,4 @@
-"""Protobuf form of the membership protocol's datagrams."""
+"""Conversion between the datagrams of the membership protocol and protobuf messages."""
 
 from google.protobuf.message import DecodeError
 
@@ -22,19 +22,19 @@
 
 
 def parse_message(content: bytes) -> messages.Datagram:
-    """Return the message in some bytes.
+    """Decode the protobuf message of a datagram.
 
     Raises:
-        GossipDecodeError: it is malformed.
+        GossipDecodeError: the bytes are not a valid message.
     """
     try:
         return messages.Datagram.FromString(content)
     except DecodeError as error:
-        raise GossipDecodeError("malformed") from error
+        raise GossipDecodeError("datagram is not a valid protobuf message") from error
 
 
 def datagram_message(datagram: Datagram) -> messages.Datagram:
-    """Return a datagram's message."""
+    """Return the message of a datagram."""
     message = messages.Datagram(
         sender=datagram.sender,
         sequence=datagram.sequence,
@@ -55,10 +55,10 @@
 
 
 def datagram_from_message(message: messages.Datagram) -> Datagram:
-    """Return the datagram in a message.
+    """Return the datagram of a message.
 
     Raises:
-        GossipDecodeError: it has no body.
+        GossipDecodeError: the message has no body.
     """
     return Datagram(
         sender=message.sender,
@@ -70,7 +70,7 @@
 
 
 def member_message(member: Member) -> messages.MemberRecord:
-    """Return a member's message."""
+    """Return the message of a member."""
     return messages.MemberRecord(
         node_id=member.node_id,
         address=member.address,
@@ -83,7 +83,7 @@
 
 
 def member_from_message(message: messages.MemberRecord) -> Member:
-    """Return a member."""
+    """Return the member of a message."""
     return Member(
         message.node_id,
         message.address,
@@ -107,4 +107,4 @@
         return MemberListRequest()
     if kind == "member_list":
         return MemberList()
-    raise GossipDecodeError("no body")
+    raise GossipDecodeError(f"datagram from {message.sender!r} has no body")
--- a/liftrill/node/metrics.py
+++ b/liftrill/node/metrics.py
@@ -1,4 +1,4 @@
-"""Counters, gauges and histograms of one node, in Prometheus' form."""
+"""Prometheus counters, gauges and histograms of a node."""
 
 from prometheus_client import CollectorRegistry, Counter, Gauge, Histogram, generate_latest
 
@@ -7,7 +7,7 @@
 
 
 class NodeMetrics:
-    """The metrics of one node, in a registry of its own."""
+    """The metrics of a node, in their own registry."""
 
     def __init__(self) -> None:
         registry = CollectorRegistry()
@@ -55,5 +55,5 @@
         )
 
     def exposition(self) -> bytes:
-        """Return the text that `/metrics` serves."""
+        """Return the metrics in the text format of `/metrics`."""
         return generate_latest(self._registry)
--- a/liftrill/node/open_requests.py
+++ b/liftrill/node/open_requests.py
@@ -1,4 +1,4 @@
-"""Counts the requests being served, so that a planned stop can wait for them."""
+"""Counts the requests in flight, so that a graceful shutdown can wait for them."""
 
 import asyncio
 from collections.abc import Iterator
@@ -8,7 +8,7 @@
 
 
 class OpenRequests:
-    """The number of requests being served now."""
+    """The number of requests in flight."""
 
     def __init__(self, metrics: NodeMetrics) -> None:
         self._metrics = metrics
@@ -18,7 +18,7 @@
 
     @contextmanager
     def track(self) -> Iterator[None]:
-        """Count one request while the context is open."""
+        """Count one request while the context manager is active."""
         self.count += 1
         self._none_open.clear()
         self._metrics.in_flight.inc()
@@ -31,5 +31,5 @@
                 self._none_open.set()
 
     async def wait_until_none(self) -> None:
-        """Return when no request is being served."""
+        """Wait until no request is in flight."""
         await self._none_open.wait()
--- a/liftrill/node/peer_api.py
+++ b/liftrill/node/peer_api.py
@@ -1,4 +1,4 @@
-"""HTTP handlers for other nodes."""
+"""HTTP handlers for calls from other nodes."""
 
 from aiohttp import web
 
@@ -26,7 +26,7 @@
 
 
 class PeerApi:
-    """Snapshots and sections for nodes that have fallen behind, status, prefixes and claims."""
+    """Serves snapshots, heads and sections to nodes that are behind; status; prefixes; claims."""
 
     def __init__(
         self,
@@ -39,7 +39,7 @@
         self._prefix_exchange = prefix_exchange
 
     def routes(self) -> list[web.RouteDef]:
-        """Return the routes to serve."""
+        """Return the HTTP routes."""
         return [
             web.post("/peer/snapshot", self._snapshot),
             web.post("/peer/head", self._head),
@@ -77,8 +77,8 @@
 
     async def _prefixes(self, request: web.Request) -> web.Response:
         message = PrefixExchange.FromString(await self.authenticated_body(request))
-        answers = self._prefix_exchange.answer(message.node_id, reports_from_message(message))
-        reply = exchange_message(self._context.settings.node_id, answers)
+        home_reports = self._prefix_exchange.answer(message.node_id, reports_from_message(message))
+        reply = exchange_message(self._context.settings.node_id, home_reports)
         return protobuf_response(reply.SerializeToString())
 
     async def _claim(self, request: web.Request) -> web.Response:
@@ -98,10 +98,10 @@
         return protobuf_response(b"")
 
     async def authenticated_body(self, request: web.Request) -> bytes:
-        """Return a call's body after checking its signature.
+        """Return the body of a call after verifying its signature.
 
         Raises:
-            web.HTTPForbidden: the signature matches no accepted key.
+            web.HTTPForbidden: no accepted key matches the signature.
         """
         content = await request.read()
         signature = request.headers.get(SIGNATURE_HEADER, "")
@@ -126,5 +126,5 @@
 
 
 def protobuf_response(content: bytes) -> web.Response:
-    """Return a protobuf answer."""
+    """Return a protobuf response."""
     return web.Response(body=content, content_type=PROTOBUF_CONTENT_TYPE)
--- a/liftrill/node/peer_client.py
+++ b/liftrill/node/peer_client.py
@@ -1,4 +1,4 @@
-"""Calls to other nodes: protobuf over HTTP, authenticated with a shared key."""
+"""HTTP client of other nodes: protobuf messages, authenticated with a shared key."""
 
 import hashlib
 import hmac
@@ -14,15 +14,15 @@
 from liftrill.node.metrics import NodeMetrics
 
 SIGNATURE_HEADER = "Liftrill-Signature"
-Answer = TypeVar("Answer", bound=Message)
+Response = TypeVar("Response", bound=Message)
 
 
 class PeerError(LiftrillError):
-    """A peer did not answer, or not as expected."""
+    """A peer did not respond, or sent an unexpected response."""
 
 
 def sign(shared_key: str, path: str, content: bytes) -> str:
-    """Return the signature of a call."""
+    """Return the HMAC-SHA256 signature of a call's path and body, in hex."""
     message = path.encode() + b"\n" + content
     return hmac.new(shared_key.encode(), message, hashlib.sha256).hexdigest()
 
@@ -34,7 +34,7 @@
 
 
 class PeerClient:
-    """Calls other nodes."""
+    """Calls the peer API of other nodes, and counts the bytes sent and received."""
 
     def __init__(
         self,
@@ -47,7 +47,7 @@
         self._metrics = metrics
 
     async def snapshot(self, address: str) -> messages.Snapshot:
-        """Return a peer's configuration and engine list.
+        """Return a peer's configuration, members and engine records.
 
         Raises:
             PeerError: the peer did not answer as expected.
@@ -55,7 +55,7 @@
         return await self._call_for(address, "/peer/snapshot", b"", messages.Snapshot)
 
     async def head(self, address: str) -> Head:
-        """Return the head that a peer has in force.
+        """Return a peer's head in force.
 
         Raises:
             PeerError: the peer did not answer as expected.
@@ -63,7 +63,7 @@
         return await self._call_for(address, "/peer/head", b"", Head)
 
     async def status(self, address: str) -> messages.NodeStatus:
-        """Return a peer's word about itself.
+        """Return a peer's status.
 
         Raises:
             PeerError: the peer did not answer as expected.
@@ -73,10 +73,10 @@
     async def propose_claim(
         self, address: str, request: messages.ClaimRequest
     ) -> messages.ClaimReply:
-        """Return a member's answer to a claim.
+        """Return a member's answer to a claim proposal.
 
         Raises:
-            PeerError: the peer did not answer; it may have granted the claim.
+            PeerError: the peer did not respond as expected; it may have granted the claim.
         """
         content = request.SerializeToString()
         return await self._call_for(address, "/peer/claim", content, messages.ClaimReply)
@@ -84,7 +84,7 @@
     async def exchange_prefixes(
         self, address: str, message: messages.PrefixExchange
     ) -> messages.PrefixExchange:
-        """Return what a home knows of the prefixes in a report.
+        """Send prefix reports to a home node, and return its reports on these prefixes.
 
         Raises:
             PeerError: the peer did not answer as expected.
@@ -93,15 +93,15 @@
         return await self._call_for(address, "/peer/prefixes", content, messages.PrefixExchange)
 
     async def send(self, address: str, path: str, content: bytes) -> None:
-        """Send a message that needs no answer.
+        """Send a message whose response has no content.
 
         Raises:
-            PeerError: the peer did not take it.
+            PeerError: the peer did not accept the message.
         """
         await self._call(address, path, content)
 
     async def section(self, address: str, digest: bytes) -> bytes | None:
-        """Return a section by its digest, or None if the peer does not have it.
+        """Return the section with a digest, or None if the peer does not have it.
 
         Raises:
             PeerError: the peer did not answer.
@@ -109,13 +109,15 @@
         return await self._call(address, "/peer/section", digest)
 
     async def _call_for(
-        self, address: str, path: str, content: bytes, answer_type: type[Answer]
-    ) -> Answer:
+        self, address: str, path: str, content: bytes, response_type: type[Response]
+    ) -> Response:
         body = await self._call(address, path, content)
         try:
-            return answer_type.FromString(body or b"")
+            return response_type.FromString(body or b"")
         except DecodeError as error:
-            raise PeerError(f"{address} sent no {answer_type.__name__}") from error
+            raise PeerError(
+                f"peer {address} sent no valid {response_type.__name__} from {path}"
+            ) from error
 
     async def _call(self, address: str, path: str, content: bytes) -> bytes | None:
         timeout = aiohttp.ClientTimeout(total=constants.PEER_TIMEOUT_SECONDS)
@@ -127,10 +129,12 @@
             ) as response:
                 body = await response.read()
         except (aiohttp.ClientError, TimeoutError, OSError) as error:
-            raise PeerError(f"{address} did not answer") from error
+            raise PeerError(f"peer {address} did not respond to {path}: {error!r}") from error
         self._metrics.control_bytes.labels(direction="received").inc(len(body))
         if response.status == 404:
             return None
         if response.status != 200:
-            raise PeerError(f"{address} answered {response.status}")
+            raise PeerError(
+                f"peer {address} responded to {path} with HTTP status {response.status}"
+            )
         return body
--- a/liftrill/node/platform_client.py
+++ b/liftrill/node/platform_client.py
@@ -1,4 +1,4 @@
-"""Adaptor to the platform's key-value service: a small part of Consul's HTTP API."""
+"""Client of the platform's key-value service, which has a subset of Consul's HTTP API."""
 
 import base64
 from collections.abc import Mapping
@@ -17,46 +17,46 @@
 from liftrill.errors import StoreAnswerLostError, StoreUnavailableError
 
 INDEX_HEADER = "X-Consul-Index"
-REFUSED_STATUSES = frozenset({429, 500, 503})
+REFUSAL_STATUSES = frozenset({429, 500, 503})
 
 
 @dataclass(frozen=True, slots=True)
-class _ReadAnswer:
-    """Body and index of a read."""
+class _ReadResponse:
+    """The body and the index of a response to a read."""
 
     index: int
     body: bytes
 
 
 class PlatformClient(KeyValueStore):
-    """A `KeyValueStore` over HTTP."""
+    """A `KeyValueStore` that calls the platform over HTTP."""
 
     def __init__(self, session: aiohttp.ClientSession, base_url: str) -> None:
         self._session = session
         self._base_url = base_url
 
     async def get(self, key: str) -> StoredEntry | None:
-        """Return the entry of a key."""
+        """Return the entry of a key, or None if the key is absent."""
         return await self._read_entry(key, {}, constants.STORE_TIMEOUT_SECONDS)
 
     async def watch(self, key: str, after_revision: int, wait_seconds: float) -> StoredEntry | None:
-        """Return the entry once it changes, or as it is after the wait."""
+        """Return the entry once its revision exceeds the given one, or after the wait."""
         query = {"index": str(after_revision), "wait": f"{wait_seconds}s"}
         return await self._read_entry(key, query, wait_seconds + constants.STORE_TIMEOUT_SECONDS)
 
     async def compare_and_swap(self, key: str, value: bytes, revision: int) -> bool:
-        """Write a value if the key is still at a revision."""
+        """Write a value if the key is still at a revision; return whether it was written."""
         body = await self._write(f"/v1/kv/{key}", {"cas": str(revision)}, value)
         return body == b"true"
 
     async def create_session(self, time_to_live_seconds: float) -> str:
-        """Create a lease."""
+        """Create a lease and return its identifier."""
         content = orjson.dumps({"TTL": f"{time_to_live_seconds}s"})
         body = await self._write("/v1/session/create", {}, content)
         return str(orjson.loads(body)["ID"])
 
     async def renew_session(self, session: str) -> bool:
-        """Renew a lease."""
+        """Renew a lease; return False if it has expired."""
         try:
             await self._write(f"/v1/session/renew/{session}", {}, b"")
         except _NotFoundError:
@@ -64,7 +64,7 @@
         return True
 
     async def acquire(self, key: str, value: bytes, session: str) -> StoredEntry | None:
-        """Take a key for a lease."""
+        """Acquire a key for a lease; return its entry, or None if another lease holds it."""
         body = await self._write(f"/v1/kv/{key}", {"acquire": session}, value)
         if body != b"true":
             return None
@@ -72,13 +72,13 @@
         return entry if entry is not None and entry.session == session else None
 
     async def watch_machines(self, after_index: int, wait_seconds: float) -> MachineList:
-        """Return the list of machines once its index differs, or as it is after the wait."""
+        """Return the list once its index differs from `after_index`, or after the wait."""
         query = {"index": str(after_index), "wait": f"{wait_seconds}s"}
         timeout_seconds = wait_seconds + constants.STORE_TIMEOUT_SECONDS
-        answer = await self._read("/v1/catalog/services-list", query, timeout_seconds)
-        if answer is None:
+        result = await self._read("/v1/catalog/services-list", query, timeout_seconds)
+        if result is None:
             return MachineList(0, ())
-        rows = orjson.loads(answer.body)
+        rows = orjson.loads(result.body)
         machines = tuple(
             MachineEntry(
                 machine_id=row["ID"],
@@ -89,15 +89,15 @@
             )
             for row in rows
         )
-        return MachineList(answer.index, machines)
+        return MachineList(result.index, machines)
 
     async def _read_entry(
         self, key: str, query: Mapping[str, str], timeout_seconds: float
     ) -> StoredEntry | None:
-        answer = await self._read(f"/v1/kv/{key}", query, timeout_seconds)
-        if answer is None:
+        result = await self._read(f"/v1/kv/{key}", query, timeout_seconds)
+        if result is None:
             return None
-        row = orjson.loads(answer.body)[0]
+        row = orjson.loads(result.body)[0]
         return StoredEntry(
             key=row["Key"],
             value=base64.b64decode(row["Value"]),
@@ -107,8 +107,11 @@
 
     async def _read(
         self, path: str, query: Mapping[str, str], timeout_seconds: float
-    ) -> "_ReadAnswer | None":
-        """Return an answer, or None for 404. A read has no effect, so any failure is harmless."""
+    ) -> "_ReadResponse | None":
+        """Return the response, or None for status 404.
+
+        A read has no effect, so each failure raises StoreUnavailableError.
+        """
         timeout = aiohttp.ClientTimeout(total=timeout_seconds)
         try:
             async with self._session.get(
@@ -117,11 +120,13 @@
                 if response.status == 404:
                     return None
                 if response.status != 200:
-                    raise StoreUnavailableError(f"the store answered {response.status}")
+                    raise StoreUnavailableError(
+                        f"the store responded to a read of {path} with status {response.status}"
+                    )
                 index = int(response.headers.get(INDEX_HEADER, "0"))
-                return _ReadAnswer(index, await response.read())
+                return _ReadResponse(index, await response.read())
         except (aiohttp.ClientError, TimeoutError) as error:
-            raise StoreUnavailableError(f"the store cannot be read: {error!r}") from error
+            raise StoreUnavailableError(f"cannot read {path} from the store: {error!r}") from error
 
     async def _write(self, path: str, query: Mapping[str, str], content: bytes) -> bytes:
         timeout = aiohttp.ClientTimeout(total=constants.STORE_TIMEOUT_SECONDS)
@@ -130,16 +135,20 @@
                 self._base_url + path, params=query, data=content, timeout=timeout
             ) as response:
                 body = await response.read()
-                if response.status in REFUSED_STATUSES:
-                    raise StoreUnavailableError(f"the store answered {response.status}")
+                if response.status in REFUSAL_STATUSES:
+                    raise StoreUnavailableError(
+                        f"the store refused a write of {path} with status {response.status}"
+                    )
                 if response.status == 404:
-                    raise _NotFoundError(path)
+                    raise _NotFoundError(f"the store has no resource at {path}")
                 return body
         except aiohttp.ClientConnectorError as error:
-            raise StoreUnavailableError("the store cannot be reached") from error
+            raise StoreUnavailableError(f"cannot connect to the store to write {path}") from error
         except (aiohttp.ClientError, TimeoutError) as error:
-            raise StoreAnswerLostError(f"no answer to a write: {error!r}") from error
+            raise StoreAnswerLostError(
+                f"no response from the store to a write of {path}: {error!r}"
+            ) from error
 
 
 class _NotFoundError(StoreUnavailableError):
-    """The store does not know the path that was written to."""
+    """The store responded to a write with status 404."""
--- a/liftrill/node/prefix_codec.py
+++ b/liftrill/node/prefix_codec.py
@@ -1,4 +1,4 @@
-"""Protobuf form of what nodes tell each other about prefixes."""
+"""Conversion between prefix reports and protobuf messages."""
 
 from collections.abc import Iterable
 
@@ -7,7 +7,7 @@
 
 
 def exchange_message(node_id: str, reports: Iterable[PrefixReport]) -> messages.PrefixExchange:
-    """Return the message of some reports."""
+    """Return the message of a node's reports."""
     return messages.PrefixExchange(
         node_id=node_id, reports=[_report_message(report) for report in reports]
     )
--- a/liftrill/node/prefix_exchange.py
+++ b/liftrill/node/prefix_exchange.py
@@ -1,4 +1,4 @@
-"""Background tasks that keep beliefs about prefixes fresh: homes and cache events."""
+"""Background tasks that update the prefix directory from home nodes and cache events."""
 
 import asyncio
 import random
@@ -17,7 +17,7 @@
 
 
 class PrefixExchangeService:
-    """Reports prefixes to their homes, answers as a home, and reads cache events."""
+    """Reports prefixes to their home nodes, serves as a home node, and reads cache events."""
 
     def __init__(
         self,
@@ -38,13 +38,13 @@
         self._streams: dict[str, EventStream] = {}
 
     async def exchange_with_homes(self) -> None:
-        """Report prefixes to their homes for as long as the node runs."""
+        """Report prefixes to their home nodes until cancelled."""
         while True:
             await self._exchange()
             await asyncio.sleep(constants.HOME_EXCHANGE_SECONDS * self._jitter())
 
     async def follow_events(self) -> None:
-        """Read the cache events of the own engines for as long as the node runs."""
+        """Read the cache events of the assigned engines until cancelled, unless disabled."""
         while constants.EVENT_READ_SECONDS > 0:
             await self._read_events()
             await asyncio.sleep(constants.EVENT_READ_SECONDS * self._jitter())
@@ -53,7 +53,7 @@
         return self._random.uniform(0.8, 1.2)
 
     def answer(self, node_id: str, reports: list[PrefixReport]) -> list[PrefixReport]:
-        """Answer as a home."""
+        """Merge a node's reports as the home node, and return the information of other nodes."""
         return self._home.exchange(node_id, reports, clock.now_s())
 
     async def _exchange(self) -> None:
@@ -61,7 +61,7 @@
         reporter = self._context.router.reporter
         reports = reporter.take_reports(sorted(members), clock.now_s())
         await asyncio.gather(
-            *(self._exchange_with(home, members[home], own) for home, own in reports.items())
+            *(self._exchange_with(home, members[home], sent) for home, sent in reports.items())
         )
 
     async def _exchange_with(self, home: str, address: str, reports: list[PrefixReport]) -> None:
@@ -82,9 +82,9 @@
         engines = self._context.engines.in_pools(self._context.view.pools_by_name)
         by_id = {engine.engine_id: engine for engine in engines}
         members = [member.node_id for member in self._membership.members()]
-        own = watched_engines(self._context.settings.node_id, members, by_id)
-        self._streams = {e: s for e, s in self._streams.items() if e in own}
-        await asyncio.gather(*(self._read_engine(by_id[engine_id]) for engine_id in own))
+        assigned = watched_engines(self._context.settings.node_id, members, by_id)
+        self._streams = {e: s for e, s in self._streams.items() if e in assigned}
+        await asyncio.gather(*(self._read_engine(by_id[engine_id]) for engine_id in assigned))
 
     async def _read_engine(self, engine: EngineState) -> None:
         stream = self._streams.get(engine.engine_id)
--- a/liftrill/node/responses.py
+++ b/liftrill/node/responses.py
@@ -115,7 +115,7 @@
 
 
 def error_event(error: CodedError, request_id: str) -> bytes:
-    """Return an error as the last event of a stream."""
+    """Return an error as the last event of a stream that has started."""
     return b"data: " + orjson.dumps(error_body(error, request_id)) + b"\n\n"
 
 
--- a/liftrill/node/settings.py
+++ b/liftrill/node/settings.py
@@ -1,4 +1,4 @@
-"""The settings of a node, and what each of them must be."""
+"""The settings of a node and their validation."""
 
 from typing import Annotated
 
@@ -33,19 +33,19 @@
 
 
 class NodeSettings(StrictModel):
-    """Settings of one node; docs/OPERATIONS.md describes each key.
+    """Settings of a node; docs/OPERATIONS.md describes each key.
 
     Attributes:
         listen: address for callers and operators.
         peer_listen: address for other nodes (TCP and UDP).
-        peers: peer addresses to join through; its own may be among them.
+        peers: seed addresses for joining; may include the node's own address.
         platform: URL of the platform's key-value service.
         operator_key: bearer token that operators send.
-        shared_keys: keys that authenticate nodes to each other; the first one signs and
-            all are accepted, so that a key can be rotated.
-        cache_secret: key of the cache salts; the same on every node.
+        shared_keys: keys that authenticate nodes to each other; the first key signs and
+            all keys are accepted, so that a key can be rotated.
+        cache_secret: secret key of the cache salts; must be the same on all nodes.
         policy: name of the routing policy.
-        drain_grace_seconds: how long a planned stop waits for requests in flight.
+        drain_grace_seconds: the time that a graceful shutdown waits for requests in flight.
     """
 
     node_id: str = Field(min_length=1, max_length=64)
