--- a/liftrill/node/caller_api.py
+++ b/liftrill/node/caller_api.py
@@ -156,7 +156,7 @@
         request_id = str(uuid.uuid4())
         with self._context.open_requests.track():
             try:
-                return await self._answer(http_request, schema, response_format, request_id)
+                return await self._respond(http_request, schema, response_format, request_id)
             except RequestError as error:
                 self._count_request(error.execution, error.code)
                 return error_response(error, request_id)
@@ -167,7 +167,7 @@
                 self._count_request(Execution.UNKNOWN, ResultCode.CALLER_GONE)
                 raise
 
-    async def _answer(
+    async def _respond(
         self,
         http_request: web.Request,
         schema: type[CallerBody],
@@ -214,7 +214,7 @@
     async def _finish_response(
         self, outcome: Outcome, sink: "ResponseSink", writer: ResponseWriter, request_id: str
     ) -> web.StreamResponse:
-        """Return the answer that an outcome calls for."""
+        """Return or complete the response of a request from its outcome."""
         if isinstance(sink, BufferedSink):
             if isinstance(outcome, Failed):
                 raise outcome.error
--- a/liftrill/node/dispatcher.py
+++ b/liftrill/node/dispatcher.py
@@ -64,7 +64,7 @@
         self._metrics.queued.inc()
         try:
             # The wake is deferred to the next event loop iteration, so that timers such as
-            # deadlines can run even if turns are turn repeatedly.
+            # deadlines can run even if turns are granted repeatedly.
             asyncio.get_running_loop().call_soon(self.wake, request.model)
             await turn
         except BaseException:
--- a/liftrill/node/engine_client.py
+++ b/liftrill/node/engine_client.py
@@ -51,7 +51,7 @@
 
 
 class StaleFenceError(LiftrillError):
-    """An engine refused an order because it has received a newer fencing fencing_token."""
+    """An engine refused an order because it has received a newer fencing token."""
 
 
 class AttemptBrokenError(LiftrillError):
--- a/liftrill/node/operator_api.py
+++ b/liftrill/node/operator_api.py
@@ -163,8 +163,8 @@
     async def _fetch_member_generations(self) -> dict[str, int | None]:
         """Fetch the generation in force of each member; None if the member does not respond."""
         members = self._context.membership.members()
-        answers = await asyncio.gather(*(self._fetch_generation(m) for m in members))
-        return {m.node_id: answer for m, answer in zip(members, answers, strict=True)}
+        generations = await asyncio.gather(*(self._fetch_generation(m) for m in members))
+        return {m.node_id: g for m, g in zip(members, generations, strict=True)}
 
     async def _fetch_generation(self, member: Member) -> int | None:
         if member.node_id == self._context.settings.node_id:
--- a/liftrill/node/peer_client.py
+++ b/liftrill/node/peer_client.py
@@ -50,7 +50,7 @@
         """Return a peer's configuration, members and engine records.
 
         Raises:
-            PeerError: the peer did not answer as expected.
+            PeerError: the peer did not respond as expected.
         """
         return await self._call_for(address, "/peer/snapshot", b"", messages.Snapshot)
 
@@ -58,7 +58,7 @@
         """Return a peer's head in force.
 
         Raises:
-            PeerError: the peer did not answer as expected.
+            PeerError: the peer did not respond as expected.
         """
         return await self._call_for(address, "/peer/head", b"", Head)
 
@@ -66,7 +66,7 @@
         """Return a peer's status.
 
         Raises:
-            PeerError: the peer did not answer as expected.
+            PeerError: the peer did not respond as expected.
         """
         return await self._call_for(address, "/peer/status", b"", messages.NodeStatus)
 
@@ -87,7 +87,7 @@
         """Send prefix reports to a home node, and return its reports on these prefixes.
 
         Raises:
-            PeerError: the peer did not answer as expected.
+            PeerError: the peer did not respond as expected.
         """
         content = message.SerializeToString()
         return await self._call_for(address, "/peer/prefixes", content, messages.PrefixExchange)
@@ -104,7 +104,7 @@
         """Return the section with a digest, or None if the peer does not have it.
 
         Raises:
-            PeerError: the peer did not answer.
+            PeerError: the peer did not respond.
         """
         return await self._call(address, "/peer/section", digest)
 
