--- a/liftrill/node/peer_api.py
+++ b/liftrill/node/peer_api.py
@@ -77,7 +77,9 @@
 
     async def _prefixes(self, request: web.Request) -> web.Response:
         message = PrefixExchange.FromString(await self.authenticated_body(request))
-        home_reports = self._prefix_exchange.answer(message.node_id, reports_from_message(message))
+        home_reports = self._prefix_exchange.exchange_reports(
+            message.node_id, reports_from_message(message)
+        )
         reply = exchange_message(self._context.settings.node_id, home_reports)
         return protobuf_response(reply.SerializeToString())
 
--- a/liftrill/node/prefix_exchange.py
+++ b/liftrill/node/prefix_exchange.py
@@ -52,7 +52,7 @@
     def _jitter(self) -> float:
         return self._random.uniform(0.8, 1.2)
 
-    def answer(self, node_id: str, reports: list[PrefixReport]) -> list[PrefixReport]:
+    def exchange_reports(self, node_id: str, reports: list[PrefixReport]) -> list[PrefixReport]:
         """Merge a node's reports as the home node, and return the information of other nodes."""
         return self._home.exchange(node_id, reports, clock.now_s())
 
@@ -67,7 +67,7 @@
     async def _exchange_with(self, home: str, address: str, reports: list[PrefixReport]) -> None:
         own_id = self._context.settings.node_id
         if home == own_id:
-            answers = self.answer(own_id, reports)
+            answers = self.exchange_reports(own_id, reports)
         else:
             try:
                 message = exchange_message(own_id, reports)
