--- a/features/steps/coordination_steps.py
+++ b/features/steps/coordination_steps.py
@@ -1,4 +1,4 @@
-"""Steps that run the coordination parts in virtual time."""
+"""Steps that run the coordination library in virtual time."""
 
 import ast
 import contextlib
@@ -35,17 +35,17 @@
 
 
 class MemberNetwork:
-    """Members in virtual time, with loss, pauses, deaths and cuts."""
+    """Members in virtual time, with datagram loss, pauses, crashes and network partitions."""
 
     def __init__(self, count):
         self.clock = VirtualClock()
         self.random = random.Random(3)
-        self.loss = 0.0
-        self.down = set()
+        self.loss_share = 0.0
+        self.crashed = set()
         self.paused = set()
-        self.cut = set()
+        self.partitioned_regions = set()
         self.members = {}
-        self.deaths = set()
+        self.declared_dead = set()
         for number in range(count):
             self.start(number)
 
@@ -54,107 +54,109 @@
         own = Member(f"m{number}", f"a{number}", f"r{number % 2}", f"z{number}", incarnation)
         source = random.Random(number)
         self.members[number] = Membership(own, ["a0"], MembershipParameters(), source)
-        self.down.discard(number)
+        self.crashed.discard(number)
         self.clock.call_later(0.0, lambda: self.tick(number, self.members[number]))
 
     def tick(self, number, membership):
-        if number in self.down or self.members[number] is not membership:
+        if number in self.crashed or self.members[number] is not membership:
             return
         if number not in self.paused:
-            self.carry_out(number, membership.handle(Ticked(), self.clock.now()))
+            self.execute(number, membership.handle(Ticked(), self.clock.now()))
         self.clock.call_later(TICK_SECONDS, lambda: self.tick(number, membership))
 
-    def carry_out(self, number, instructions):
+    def execute(self, number, instructions):
         for instruction in instructions:
             if isinstance(instruction, SendDatagram):
                 self.send(number, instruction)
             elif getattr(instruction, "member", None) and (
                 instruction.member.condition is Condition.DEAD
             ):
-                self.deaths.add(instruction.member.node_id)
+                self.declared_dead.add(instruction.member.node_id)
 
     def send(self, source, instruction):
         target = int(instruction.address[1:])
-        lost = self.random.random() < self.loss
-        if lost or (len({source % 2, target % 2} & self.cut) and source % 2 != target % 2):
+        lost = self.random.random() < self.loss_share
+        if lost or (
+            len({source % 2, target % 2} & self.partitioned_regions) and source % 2 != target % 2
+        ):
             return
         self.clock.call_later(
             LATENCY_SECONDS, lambda: self.deliver(source, target, instruction.datagram)
         )
 
     def deliver(self, source, target, datagram):
-        if target in self.down or target in self.paused:
+        if target in self.crashed or target in self.paused:
             return
         event = DatagramReceived(f"a{source}", datagram)
-        self.carry_out(target, self.members[target].handle(event, self.clock.now()))
+        self.execute(target, self.members[target].handle(event, self.clock.now()))
 
-    def living(self):
-        return [m for n, m in self.members.items() if n not in self.down]
+    def running_members(self):
+        return [m for n, m in self.members.items() if n not in self.crashed]
 
 
-@given("{count:d} members that know one seed")
+@given("{count:d} members with the same seed")
 def step_members(context, count):
     context.network = MemberNetwork(count)
 
 
 @given("{percent:d} percent of the datagrams are lost")
 def step_loss(context, percent):
-    context.network.loss = percent / 100
+    context.network.loss_share = percent / 100
 
 
-def pass_time(context, seconds):
+def advance_time(context, seconds):
     context.network.clock.run(context.network.clock.now() + seconds)
 
 
 @when("{seconds:d} seconds pass")
 def step_pass(context, seconds):
-    pass_time(context, seconds)
+    advance_time(context, seconds)
 
 
-@when("member {number:d} dies and {seconds:d} seconds pass")
-def step_dies(context, number, seconds):
-    context.network.down.add(number)
-    pass_time(context, seconds)
+@when("member {number:d} crashes and {seconds:d} seconds pass")
+def step_crashes(context, number, seconds):
+    context.network.crashed.add(number)
+    advance_time(context, seconds)
 
 
-@when("member {number:d} starts again and {seconds:d} seconds pass")
-def step_starts(context, number, seconds):
+@when("member {number:d} restarts and {seconds:d} seconds pass")
+def step_restarts(context, number, seconds):
     context.network.start(number)
-    pass_time(context, seconds)
+    advance_time(context, seconds)
 
 
 @when("member {number:d} is paused for {seconds:d} seconds")
 def step_paused(context, number, seconds):
     context.network.paused.add(number)
-    pass_time(context, seconds)
+    advance_time(context, seconds)
     context.network.paused.discard(number)
 
 
-@when("region {region:d} is cut off for {seconds:d} seconds")
-def step_cut(context, region, seconds):
-    context.network.cut.add(region)
-    pass_time(context, seconds)
-    context.network.cut.discard(region)
+@when("region {region:d} is partitioned from region 0 for {seconds:d} seconds")
+def step_partitioned(context, region, seconds):
+    context.network.partitioned_regions.add(region)
+    advance_time(context, seconds)
+    context.network.partitioned_regions.discard(region)
 
 
 @then("every member knows {count:d} members")
-def step_know(context, count):
-    for membership in context.network.living():
+def step_members_known(context, count):
+    for membership in context.network.running_members():
         assert len(membership.members()) == count, (membership.own, membership.members())
 
 
-@then("every living member knows that member {number:d} is dead")
-def step_dead(context, number):
-    for membership in context.network.living():
+@then("every running member considers member {number:d} dead")
+def step_considered_dead(context, number):
+    for membership in context.network.running_members():
         assert membership.member(f"m{number}").condition is Condition.DEAD
 
 
-@then("no member is believed dead")
-def step_nobody_dead(context):
-    assert not context.network.deaths, context.network.deaths
+@then("no member was considered dead")
+def step_no_false_death(context):
+    assert not context.network.declared_dead, context.network.declared_dead
 
 
-@then("members of region 0 believe those of region 1 dead")
+@then("region 0 considers all members of region 1 dead")
 def step_region_dead(context):
     membership = context.network.members[0]
     conditions = {m.condition for m in membership.all_members() if m.region == "r1"}
@@ -187,17 +189,17 @@
     offer(context, generation, b"older")
 
 
-@when("it is offered generation {generation:d} with a section that does not match")
+@when("it is offered generation {generation:d} with a section that does not match its digest")
 def step_offer_wrong(context, generation):
     offer(context, generation, b"wrong", digest_of=b"right")
 
 
-@when("it is offered generation {generation:d} with the right section")
+@when("it is offered generation {generation:d} with the matching section")
 def step_offer_right(context, generation):
     offer(context, generation, b"right")
 
 
-@when("it is offered another content for generation {generation:d}")
+@when("it is offered different content for generation {generation:d}")
 def step_offer_other(context, generation):
     offer(context, generation, b"other")
 
@@ -254,28 +256,28 @@
     context.queue.push("c", "c", 0, 1.0, 1.0)
 
 
-def take(context, count):
-    taken = []
+def dispatch(context, count):
+    dispatched = []
 
     def accept(waiter):
-        if len(taken) == count:
+        if len(dispatched) == count:
             return False
-        taken.append(waiter)
+        dispatched.append(waiter)
         return True
 
     context.queue.take_while(accept, 0.0)
-    return taken
+    return dispatched
 
 
-@then("the first taken is the urgent request of tenant c")
-def step_first_urgent(context):
-    assert take(context, 1) == ["c"]
+@then("the first request dispatched is the urgent one of tenant c")
+def step_urgent_first(context):
+    assert dispatch(context, 1) == ["c"]
 
 
-@then("of the next {count:d} taken, {first:d} are of tenant a and {second:d} of tenant b")
-def step_next_taken(context, count, first, second):
-    taken = take(context, count)
-    assert (taken.count("a"), taken.count("b")) == (first, second), taken
+@then("of the next {count:d} dispatched, {first:d} belong to tenant a and {second:d} to tenant b")
+def step_next_dispatched(context, count, first, second):
+    dispatched = dispatch(context, count)
+    assert (dispatched.count("a"), dispatched.count("b")) == (first, second), dispatched
 
 
 @given("a retry budget of share {share:f} and reserve {reserve:d}")
@@ -295,7 +297,7 @@
     assert allowed == [True] * count + [False], allowed
 
 
-@given("a circuit that opens after {failures:d} failures for {seconds:d} seconds")
+@given("a circuit breaker that opens after {failures:d} failures for {seconds:d} seconds")
 def step_circuit(context, failures, seconds):
     context.circuit = CircuitBreaker(failures, seconds)
 
@@ -337,14 +339,14 @@
 
 
 @step("no module under coordination imports sockets, files, clocks or event loops")
-def step_no_io(context):
+def step_no_io_imports(context):
     for path in Path("liftrill/coordination").glob("*.py"):
-        found = FORBIDDEN_IMPORTS & set(imported_modules(path))
-        assert not found, (path, found)
+        forbidden = FORBIDDEN_IMPORTS & set(imported_modules(path))
+        assert not forbidden, (path, forbidden)
 
 
 def run_examples():
-    """Run each example of the page by itself and return what all of them print."""
+    """Run each example of docs/EMBEDDING.md separately and return their joined output."""
     text = Path("docs/EMBEDDING.md").read_text()
     output = io.StringIO()
     for example in re.findall(r"```python\n(.*?)```", text, re.DOTALL):
@@ -359,6 +361,6 @@
     assert re.search(r"a knows .*'b'", context.printed), context.printed
 
 
-@then("they print that a second node lets a tenant's request through")
+@then("they print that a second node admits a tenant's request")
 def step_limit_example(context):
     assert "QuotaVerdict(wait_s=0.0" in context.printed, context.printed
--- a/features/steps/machine_steps.py
+++ b/features/steps/machine_steps.py
@@ -1,4 +1,4 @@
-"""Steps that replay events on a request machine."""
+"""Steps that pass events to a request machine."""
 
 from behave import given, step, then, when
 from hypothesis import HealthCheck, seed, settings, strategies
@@ -14,21 +14,21 @@
 
 
 class FakePorts(RoutingPorts):
-    """Offers three engines in order."""
+    """Offer three engines in a fixed order."""
 
     def __init__(self):
-        self.busy = False
-        self.budget = 10
+        self.all_busy = False
+        self.retry_budget = 10
 
     def choose(self, request, excluded, weight_version):
-        if self.busy:
+        if self.all_busy:
             return Unavailable.ALL_BUSY
         free = [e for e in ENGINES if e not in excluded]
         return EngineChoice(free[0], 1, "w1", "") if free else Unavailable.NONE_ELIGIBLE
 
     def try_spend_retry(self, request):
-        self.budget -= 1
-        return self.budget >= 0
+        self.retry_budget -= 1
+        return self.retry_budget >= 0
 
 
 def new_request(tokens, repeatable=True):
@@ -37,7 +37,7 @@
     )
 
 
-def begin(context, tokens, repeatable):
+def create_machine(context, tokens, repeatable):
     context.ports = FakePorts()
     context.machine = RequestMachine(new_request(tokens, repeatable), context.ports)
     context.instructions = []
@@ -46,29 +46,29 @@
 
 @given("a request of {tokens:d} tokens")
 def step_request(context, tokens):
-    begin(context, tokens, True)
+    create_machine(context, tokens, True)
 
 
-@given("a request of {tokens:d} tokens that may not be repeated")
-def step_unrepeatable(context, tokens):
-    begin(context, tokens, False)
+@given("a non-repeatable request of {tokens:d} tokens")
+def step_non_repeatable(context, tokens):
+    create_machine(context, tokens, False)
 
 
 @given("no retry budget")
 def step_no_budget(context):
-    context.ports.budget = 0
+    context.ports.retry_budget = 0
 
 
 @given("all engines are busy")
 def step_busy(context):
-    context.ports.busy = True
+    context.ports.all_busy = True
 
 
 def attempt_id(context):
     return f"request-{len(context.machine.chosen) - 1}"
 
 
-def feed(context, event):
+def handle_event(context, event):
     context.instructions = context.machine.handle(event)
     tokens = [i for i in context.instructions if isinstance(i, events.DeliverToken)]
     context.delivered.extend(tokens)
@@ -76,14 +76,14 @@
 
 @when("it is started")
 def step_started(context):
-    feed(context, events.Started())
+    handle_event(context, events.Started())
 
 
 @when("tokens {first:d} to {last:d} arrive")
 def step_tokens(context, first, last):
     for index in range(first, last + 1):
         token = events.TokenReceived("request", attempt_id(context), index, f"t{index}")
-        feed(context, token)
+        handle_event(context, token)
 
 
 @when("token {index:d} arrives")
@@ -93,23 +93,23 @@
 
 @when("a token of another request arrives")
 def step_foreign_token(context):
-    feed(context, events.TokenReceived("other", attempt_id(context), 0, "zz"))
+    handle_event(context, events.TokenReceived("other", attempt_id(context), 0, "zz"))
 
 
 @when("the connection breaks")
-def step_breaks(context):
-    feed(context, events.AttemptBroken(attempt_id(context)))
+def step_connection_breaks(context):
+    handle_event(context, events.AttemptBroken(attempt_id(context)))
 
 
 @when("the resume is refused")
 def step_resume_refused(context):
-    feed(context, events.ResumeRefused(attempt_id(context)))
+    handle_event(context, events.ResumeRefused(attempt_id(context)))
 
 
 @when("the engine refuses it as {kind}")
 def step_refused(context, kind):
     refused = events.AttemptRefused(attempt_id(context), events.RefusalKind(kind))
-    feed(context, refused)
+    handle_event(context, refused)
 
 
 @when("every engine refuses it")
@@ -121,15 +121,15 @@
 @when("the attempt finishes with {tokens:d} tokens")
 def step_finishes(context, tokens):
     finished = events.AttemptFinished("request", attempt_id(context), "length", 2, 0, tokens)
-    feed(context, finished)
+    handle_event(context, finished)
 
 
 @when("the deadline passes")
 def step_deadline(context):
-    feed(context, events.DeadlinePassed())
+    handle_event(context, events.DeadlinePassed())
 
 
-def only(context, kind):
+def single_instruction(context, kind):
     found = [i for i in context.instructions if isinstance(i, kind)]
     assert len(found) == 1, context.instructions
     return found[0]
@@ -137,12 +137,12 @@
 
 @then("the attempt is resumed from index {index:d}")
 def step_resumed(context, index):
-    assert only(context, events.ResumeAttempt).from_index == index
+    assert single_instruction(context, events.ResumeAttempt).from_index == index
 
 
 @then("a new attempt starts at index {index:d} with the same weights on another engine")
 def step_new_attempt(context, index):
-    start = only(context, events.StartAttempt)
+    start = single_instruction(context, events.StartAttempt)
     first, second = context.machine.chosen[-2:]
     assert start.start_index == index, start
     assert first.engine_id != second.engine_id
@@ -151,12 +151,12 @@
 
 @then("the attempt is cancelled")
 def step_cancelled(context):
-    only(context, events.CancelAttempt)
+    single_instruction(context, events.CancelAttempt)
 
 
 @then("it waits for an engine")
 def step_waits(context):
-    only(context, events.WaitForEngine)
+    single_instruction(context, events.WaitForEngine)
 
 
 @then("it completed with tokens {first:d} to {last:d} in order")
@@ -165,9 +165,9 @@
     assert context.machine.phase.name == "ENDED"
 
 
-@step("it ended {execution} with code {code:d}")
+@step("it ended as {execution} with code {code:d}")
 def step_ended(context, execution, code):
-    error = only(context, events.EndRequest).outcome.error
+    error = single_instruction(context, events.EndRequest).outcome.error
     assert error.execution.value == execution, error
     assert error.code.number == code, error
 
@@ -182,10 +182,10 @@
 )
 
 
-def random_event(machine, kind):
+def event_of_kind(machine, kind):
     current = f"request-{max(0, len(machine.chosen) - 1)}"
     index = machine.next_index
-    table = {
+    events_by_kind = {
         "start": events.Started(),
         "token": events.TokenReceived("request", current, index, "t"),
         "repeat": events.TokenReceived("request", current, max(0, index - 1), "t"),
@@ -197,11 +197,11 @@
         "lost": events.ResumeRefused(current),
         "deadline": events.DeadlinePassed(),
     }
-    return table[kind]
+    return events_by_kind[kind]
 
 
 def is_possible(machine, kind):
-    """Leave out what an adaptor cannot send: only an attempt that began no token is refused."""
+    """Return whether an adapter can send an event: no refusal follows a token of the attempt."""
     if kind == "start":
         return True
     if not machine.chosen or machine.phase.name == "WAITING":
@@ -211,14 +211,14 @@
     return True
 
 
-def check_history(kinds, repeatable):
+def check_event_sequence(kinds, repeatable):
     machine = RequestMachine(new_request(4, repeatable), FakePorts())
     possibly_run = set()
     outcome = None
     for kind in kinds:
         if not is_possible(machine, kind):
             continue
-        event = random_event(machine, kind)
+        event = event_of_kind(machine, kind)
         if kind == "refuse":
             possibly_run.discard(event.attempt_id)
         for instruction in machine.handle(event):
@@ -229,14 +229,14 @@
                 assert outcome is None, "ended twice"
                 outcome = instruction.outcome
     if isinstance(outcome, Failed) and outcome.error.execution is Execution.NOT_RUN:
-        assert not possibly_run, "told not run although an attempt may have run"
+        assert not possibly_run, "reported as not run although an attempt may have run"
         assert outcome.error.code is not ResultCode.ENGINE_LOST
     if isinstance(outcome, Completed):
         assert outcome.completion_tokens == machine.next_index
 
 
-@then("{count:d} random histories of a request keep its rules")
-def step_random_histories(context, count):
+@then("{count:d} random event sequences of a request violate no rule")
+def step_random_sequences(context, count):
     @seed(1)
     @settings(
         max_examples=count,
@@ -246,6 +246,6 @@
     )
     @given_values(strategies.lists(EVENT_KINDS, max_size=30), strategies.booleans())
     def check(kinds, repeatable):
-        check_history(["start", *kinds], repeatable)
+        check_event_sequence(["start", *kinds], repeatable)
 
     check()
--- a/features/steps/routing_steps.py
+++ b/features/steps/routing_steps.py
@@ -1,4 +1,4 @@
-"""Steps about the router, the directory and homes."""
+"""Steps for the router, the prefix directory and home directories."""
 
 import itertools
 import random
@@ -28,7 +28,7 @@
 
 
 class RouterUnderTest:
-    """A router with engines of one pool."""
+    """A router with the engines of one pool."""
 
     def __init__(self, engines, seed=1):
         deployment = load_deployment("sahil")
@@ -44,7 +44,7 @@
             self.table, policy, self.directory, AdmissionController(), b"secret", time.monotonic
         )
         self.router.view = view_of(configuration_of(deployment))
-        self.numbers = itertools.count()
+        self.request_numbers = itertools.count()
 
     def state(self, number):
         return self.table.get(f"engine-{number}")
@@ -52,7 +52,7 @@
     def request(self, tail=b""):
         prompt = PREFIX + tail
         return RoutedRequest(
-            f"r{next(self.numbers)}",
+            f"r{next(self.request_numbers)}",
             "tenant-1",
             "folio-review",
             "chart-reader",
@@ -74,8 +74,8 @@
     context.routers = [RouterUnderTest(engines, seed) for seed in range(count)]
 
 
-@when("engine {number:d} has no room for more")
-def step_full(context, number):
+@when("engine {number:d} is at its concurrency limit")
+def step_at_limit(context, number):
     state = context.router.state(number)
     for _ in range(constants.ENGINE_INITIAL_CONCURRENCY):
         state.record_start(0.0)
@@ -88,8 +88,8 @@
     context.choice = context.router.router.choose(context.router.request(), excluded, None)
 
 
-@when("a request that was begun with weights {version} is routed")
-def step_begun(context, version):
+@when("a request that started with weights {version} is routed")
+def step_started(context, version):
     request = context.router.request()
     context.choice = context.router.router.choose(request, frozenset(), version)
 
@@ -100,42 +100,42 @@
     context.choice = context.router.router.choose(context.request, frozenset(), None)
 
 
-@then("it goes to engine {number:d}")
-def step_goes(context, number):
+@then("it is routed to engine {number:d}")
+def step_routed_to(context, number):
     assert isinstance(context.choice, EngineChoice), context.choice
     assert context.choice.engine_id == f"engine-{number}", context.choice
 
 
-@then("it is told to wait")
+@then("it has to wait")
 def step_wait(context):
     assert context.choice is Unavailable.ALL_BUSY, context.choice
 
 
-@when("it is queued and engine {number:d} gets room")
+@when("it is queued and engine {number:d} gets a free slot")
 def step_queued(context, number):
     router = context.router.router
     assert router.enqueue(context.request) is not None
     assert router.grant_turns() == []
     context.router.state(number).record_end()
-    context.turns = router.grant_turns()
+    context.granted = router.grant_turns()
 
 
-@then("its turn comes and it goes to engine {number:d}")
-def step_turn(context, number):
-    assert context.turns == [context.request]
+@then("it gets its turn and is routed to engine {number:d}")
+def step_gets_turn(context, number):
+    assert context.granted == [context.request]
     context.choice = context.router.router.choose(context.request, frozenset(), None)
-    step_goes(context, number)
+    step_routed_to(context, number)
 
 
 @when("each routes a request with the same prefix")
-def step_each(context):
+def step_each_routes(context):
     context.choices = {
         r.router.choose(r.request(b"tail"), frozenset(), None).engine_id for r in context.routers
     }
 
 
 @then("all choose the same engine")
-def step_same(context):
+def step_same_engine(context):
     assert len(context.choices) == 1, context.choices
 
 
@@ -148,16 +148,16 @@
         under_test.router.record_answer(request, context.choice.engine_id, 0)
 
 
-def believed(under_test):
+def holder_depths(under_test):
     pool = under_test.router.view.pools.pools[0]
     markers = markers_of(under_test.router.block_names(under_test.request(), pool))
     incarnations = {e.engine_id: e.incarnation for e in under_test.table}
     return under_test.directory.believed_depths(markers, incarnations, time.monotonic())
 
 
-@then("the first choice is believed to hold the prefix")
-def step_believed(context):
-    assert context.choice.engine_id in believed(context.router)
+@then("the directory lists the first choice as a holder of the prefix")
+def step_listed_holder(context):
+    assert context.choice.engine_id in holder_depths(context.router)
 
 
 @when("the first choice restarts")
@@ -166,12 +166,12 @@
     state.apply_identity(EngineIdentity(2, 0, state.weight_version, False))
 
 
-@then("no engine is believed to hold the prefix")
-def step_not_believed(context):
-    assert believed(context.router) == {}
+@then("the directory lists no holder of the prefix")
+def step_no_holder(context):
+    assert holder_depths(context.router) == {}
 
 
-@given("a directory that believes engine 0 to hold a prefix since {age:d} seconds")
+@given("a directory that has listed engine 0 as a holder of a prefix for {age:d} seconds")
 def step_directory(context, age):
     context.directory = PrefixDirectory(100, 100)
     context.stream = EventStream("engine-0", context.directory)
@@ -182,20 +182,20 @@
     context.incarnation = 1
 
 
-@when("its events have a gap")
+@when("the events of engine 0 have a gap")
 def step_gap(context):
     assert context.directory.believed_depths([b"marker"], {"engine-0": 1}, 100.0)
     context.stream.apply(1, [BlockEvent(9, True, b"other")], 100.0)
     assert context.stream.gaps == 1
 
 
-@when("its events come from a new incarnation")
+@when("the events of engine 0 come from a new incarnation")
 def step_new_incarnation(context):
     context.stream.apply(2, [BlockEvent(1, True, b"other")], 100.0)
 
 
-@then("it is not believed to hold the prefix")
-def step_directory_not_believed(context):
+@then("the directory does not list engine 0 as a holder")
+def step_not_listed(context):
     assert not context.directory.believed_depths([b"marker"], {"engine-0": 1}, 100.0)
 
 
@@ -215,14 +215,14 @@
     context.answer = context.home.exchange("b", [PrefixReport(b"p", rate, ())], 11.0)[0]
 
 
-@then("node b is told of {rate:f} requests a second elsewhere and of engine 1")
-def step_told(context, rate):
+@then("node b is told of {rate:f} requests a second at other nodes and of holder engine 1")
+def step_home_answer(context, rate):
     assert context.answer.rate == rate
     assert context.answer.holders == (AgedHolder("engine-1", 1, 1.5),)
 
 
 @then("the block names of 2 tenants and 2 weight versions all differ")
-def step_names(context):
+def step_block_names(context):
     names = []
     for tenant, version in itertools.product(("a", "b"), ("1", "2")):
         salt = CacheScope(tenant, "model", "", version).salt(b"secret")
@@ -230,14 +230,14 @@
     assert len(set(names)) == len(names)
 
 
-@when("engine {number:d} says that it leaves")
-def step_says_leaves(context, number):
+@when("engine {number:d} reports that it is leaving")
+def step_reports_leaving(context, number):
     state = context.router.state(number)
     state.apply_identity(EngineIdentity(1, 1, state.weight_version, True))
 
 
-@when("engine {number:d} says that it has weights {version}")
-def step_says_weights(context, number, version):
+@when("engine {number:d} reports weights {version}")
+def step_reports_weights(context, number, version):
     context.router.state(number).apply_identity(EngineIdentity(1, 1, version, False))
 
 
@@ -250,8 +250,8 @@
     }
 
 
-@then("all go to engine {number:d}")
-def step_all_go(context, number):
+@then("all are routed to engine {number:d}")
+def step_all_routed_to(context, number):
     assert context.choices == {f"engine-{number}"}, context.choices
 
 
