--- a/features/quota_network.py
+++ b/features/quota_network.py
@@ -1,4 +1,4 @@
-"""A fleet that holds one tenant to its limit, in virtual time."""
+"""A fleet of nodes that enforce the limit of one tenant, in virtual time."""
 
 import math
 import random
@@ -19,13 +19,13 @@
 LATENCY_S = 0.002
 DIRECT_NODES = 12
 ZONES = 3
-# Bounds of the rule that the fleet is held to.
+# The tolerance that the fleet must keep.
 TOLERANCE = QuotaTolerance(window_s=8.0, overshoot=0.1, slack=110_000.0)
-LONG_PROMPT, SHORT_PROMPT = 9_200, 875
+LONG_PROMPT_UNITS, SHORT_PROMPT_UNITS = 9_200, 875
 
 
-class AloneBuckets(QuotaPolicy):
-    """Each node by itself, with a share of the limit: what the fleet's buckets replace."""
+class IndependentBuckets(QuotaPolicy):
+    """A bucket with a share of the limit without reports of other nodes, for comparison."""
 
     def __init__(self, share):
         self.share = share
@@ -47,11 +47,11 @@
 
 
 class QuotaNetwork:
-    """Nodes that report to each other as the gateway's do, and callers of one tenant.
+    """Nodes that report to each other like those of the gateway, and callers of one tenant.
 
     Attributes:
-        served: (time, units) of each request that was let through.
-        asked: the same of each request, with whether its node could answer.
+        served: (time, units) of each request that was admitted and not shed.
+        requested: (time, units) of each request, whether or not its node could answer.
     """
 
     def __init__(self, nodes, rate, seed=1, policy="shared"):
@@ -60,15 +60,15 @@
         self.count = nodes
         self.limit = QuotaLimit(rate, rate)
         self.policy = policy
-        self.loss = 0.0
-        # Of what is let through, the share that engines shed after a time; whether what is told
-        # at once comes twice.
-        self.shed_share, self.shed_after_s, self.twice = 0.0, 0.1, False
-        self.down, self.frozen, self.cut = set(), set(), set()
-        # Whether those that are cut off still hear each other.
-        self.cut_together = False
-        self.nodes, self.born, self.backlog = {}, {}, {}
-        self.served, self.asked = [], []
+        self.loss_share = 0.0
+        # The share of the admitted requests that engines shed, the delay after which they do so,
+        # and whether spending notices arrive twice.
+        self.shed_share, self.shed_after_s, self.duplicate_notices = 0.0, 0.1, False
+        self.stopped, self.frozen, self.partitioned = set(), set(), set()
+        # Whether the partitioned nodes still reach each other.
+        self.partition_connected = False
+        self.nodes, self.started_at, self.backlog = {}, {}, {}
+        self.served, self.requested = [], []
         for number in range(nodes):
             self.start(number, first=True)
 
@@ -79,23 +79,23 @@
             source = random.Random(self.random.random())
             node = SharedBuckets(FleetSize(self.count), TOLERANCE, first, source)
         else:
-            node = AloneBuckets(1.0 if self.policy == "alone" else 1.0 / self.count)
+            node = IndependentBuckets(1.0 if self.policy == "independent" else 1.0 / self.count)
         node.configure({TENANT: self.limit}, self.clock.now())
         self.nodes[number] = node
-        self.born[number] = -math.inf if first else self.clock.now()
-        self.down.discard(number)
+        self.started_at[number] = -math.inf if first else self.clock.now()
+        self.stopped.discard(number)
         if self.policy == "shared":
             wait = self.random.uniform(0.0, 0.3)
             self.clock.call_later(wait, lambda: self.report(number, node))
 
     def restart(self, numbers, after):
-        self.down |= set(numbers)
+        self.stopped |= set(numbers)
 
-        def back():
+        def start_again():
             for number in numbers:
                 self.start(number)
 
-        self.clock.call_later(after, back)
+        self.clock.call_later(after, start_again)
 
     def freeze(self, numbers, lasting):
         self.frozen |= set(numbers)
@@ -116,10 +116,10 @@
     def zone(self, number):
         return f"zone-{number % ZONES}"
 
-    # What nodes tell each other
+    # Messages between nodes
 
     def report(self, number, node):
-        if self.nodes[number] is not node or number in self.down:
+        if self.nodes[number] is not node or number in self.stopped:
             return
         interval = 0.1 if self.count <= DIRECT_NODES else min(0.4, 0.01 * self.count / ZONES)
         if number not in self.frozen:
@@ -151,21 +151,21 @@
         self.nodes[number].hear(source, report, self.clock.now())
 
     def send(self, number, other, deliver):
-        if self.random.random() < self.loss or not self.reaches(number, other):
+        if self.random.random() < self.loss_share or not self.reaches(number, other):
             return
         self.clock.call_later(LATENCY_S, lambda: self.arrive(other, deliver))
 
     def reaches(self, number, other):
-        if other in self.down or (number in self.cut) != (other in self.cut):
+        if other in self.stopped or (number in self.partitioned) != (other in self.partitioned):
             return False
-        if number in self.cut and not self.cut_together:
+        if number in self.partitioned and not self.partition_connected:
             return False
-        # A node that has just started learns of the others within two seconds.
+        # A started node discovers each other node within two seconds.
         known_after = random.Random(number * self.count + other).uniform(0.0, 2.0)
-        return self.clock.now() - self.born[number] >= known_after
+        return self.clock.now() - self.started_at[number] >= known_after
 
     def arrive(self, number, deliver):
-        if number in self.down:
+        if number in self.stopped:
             return
         if number in self.frozen:
             self.backlog.setdefault(number, []).append(deliver)
@@ -174,24 +174,27 @@
 
     # Callers
 
-    def call(self, since, until, rate, nodes=None, long_share=0.85):
-        """Let callers ask for a rate of units, for a time, of some nodes or of all."""
-        for share, units in ((long_share, LONG_PROMPT), (1.0 - long_share, SHORT_PROMPT)):
+    def send_load(self, since, until, rate, nodes=None, long_share=0.85):
+        """Schedule requests with a rate of units per second, to the given nodes or to all."""
+        for share, units in (
+            (long_share, LONG_PROMPT_UNITS),
+            (1.0 - long_share, SHORT_PROMPT_UNITS),
+        ):
             at = since
             while share and (at := at + self.random.expovariate(share * rate / units)) < until:
                 number = self.random.choice(nodes) if nodes else self.random.randrange(self.count)
-                units_asked = max(1.0, self.random.gauss(units, units / 4))
-                self.clock.call_at(at, lambda n=number, u=units_asked: self.ask(n, u))
+                request_units = max(1.0, self.random.gauss(units, units / 4))
+                self.clock.call_at(at, lambda n=number, u=request_units: self.handle_request(n, u))
 
-    def ask(self, number, units):
+    def handle_request(self, number, units):
         now = self.clock.now()
-        self.asked.append((now, units))
-        if number in self.down or number in self.frozen:
+        self.requested.append((now, units))
+        if number in self.stopped or number in self.frozen:
             return
         verdict = self.nodes[number].try_take(TENANT, units, now)
         if verdict.wait_s > 0.0:
             return
-        self.tell(number, verdict.notice)
+        self.send_notice(number, verdict.notice)
         if self.random.random() < self.shed_share:
             node = self.nodes[number]
             self.clock.call_later(self.shed_after_s, lambda: self.shed(number, node, units))
@@ -199,24 +202,24 @@
             self.served.append((now, units))
 
     def shed(self, number, node, units):
-        if self.nodes[number] is node and number not in self.down:
-            self.tell(number, node.refund(TENANT, units, self.clock.now()))
+        if self.nodes[number] is node and number not in self.stopped:
+            self.send_notice(number, node.refund(TENANT, units, self.clock.now()))
 
-    def tell(self, number, notice):
+    def send_notice(self, number, notice):
         for other in range(self.count) if notice is not None else ():
-            for _ in range(1 + self.twice) if other != number else ():
+            for _ in range(1 + self.duplicate_notices) if other != number else ():
                 self.send(number, other, lambda o=other: self.hear_spending(o, number, notice))
 
     def hear_spending(self, number, sender, notice):
         self.nodes[number].hear_spending(str(sender), notice, self.clock.now())
 
-    # What came of it
+    # Results
 
     def run(self, until):
         self.clock.run(until)
 
     def most_in_a_window(self, since=0.0):
-        """Return the most units that were let through in any window."""
+        """Return the most units that were served in any window."""
         most, total, first = 0.0, 0.0, 0
         served = [row for row in self.served if row[0] >= since]
         for at, units in served:
@@ -228,16 +231,16 @@
         return most
 
     def allowed(self):
-        """Return what the rule allows in a window."""
+        """Return the units that the tolerance allows in a window."""
         return TOLERANCE.allowed(self.limit)
 
     def served_share(self):
-        """Return what was let through, as a share of what one exact bucket lets through."""
-        level, last, owed = self.limit.burst, 0.0, 0.0
-        for at, units in sorted(self.asked):
+        """Return the served units as a share of those that a single token bucket admits."""
+        level, last, admitted = self.limit.burst, 0.0, 0.0
+        for at, units in sorted(self.requested):
             gained = (at - last) * self.limit.rate_per_s
             level, last = min(self.limit.burst, level + gained), at
             if level > 0.0:
                 level -= units
-                owed += units
-        return sum(units for _, units in self.served) / owed
+                admitted += units
+        return sum(units for _, units in self.served) / admitted
