--- a/features/configuration.feature
+++ b/features/configuration.feature
@@ -1,12 +1,12 @@
 Feature: Operators change the configuration through plans
 
-  Scenario: Nothing changes until a plan is confirmed, then it is in force on every node
+  Scenario: A plan changes nothing until it is confirmed, then it is in force on every node
     Given a cluster of 1 engines and 3 nodes
-    When the operator states an intent on node 0
+    When the operator submits an intent to node 0
       """
       {"tenants": [{"name": "tenant-9", "api_keys": ["key-of-tenant-9"]}]}
       """
-    Then the plan has the line
+    Then the plan contains the line
       """
       + tenants tenant-9: weight 1.0
       """
@@ -18,9 +18,9 @@
     Then every node reaches generation 2
     And tenant-9 can send requests to node 2
 
-  Scenario: A node that restarts during an outage takes the configuration from its peers
+  Scenario: A node that restarts during an outage gets the configuration from its peers
     Given a cluster of 1 engines and 3 nodes
-    When the platform is out for 600 seconds
+    When the platform is unavailable for 600 seconds
     And node 0 is killed
     And node 0 is started again
     Then node 0 becomes ready
--- a/features/steps/burst_steps.py
+++ b/features/steps/burst_steps.py
@@ -1,4 +1,4 @@
-"""Steps about engines that move between pools."""
+"""Steps for engines that move between pools."""
 
 from datetime import UTC, datetime, timedelta
 
@@ -14,16 +14,16 @@
 STEP_SECONDS = 1.0
 
 
-class BurstWorld:
+class PoolSimulation:
     """Two pools, their engines, and one controller for each pool."""
 
-    def __init__(self, credit, overnight, limit):
+    def __init__(self, credit, overnight, borrow_limit):
         self.pools = {
             "credit": Pool(
                 name="credit",
                 model="credit-model",
                 weight_version="c1",
-                borrow_limit=limit,
+                borrow_limit=borrow_limit,
                 borrow_from=["overnight"],
             ),
             "overnight": Pool(name="overnight", model="night-model", weight_version="n1"),
@@ -79,12 +79,12 @@
     "from pool overnight with {other:d} engines"
 )
 def step_pools(context, own, limit, other):
-    context.world = BurstWorld(own, other, limit)
+    context.simulation = PoolSimulation(own, other, limit)
 
 
 @given("pool overnight keeps at least {count:d} engines")
 def step_minimum(context, count):
-    context.world.pools["overnight"].minimum_engines = count
+    context.simulation.pools["overnight"].minimum_engines = count
 
 
 @given(
@@ -100,22 +100,22 @@
         lead_seconds=lead,
         engines=engines,
     )
-    context.world.bursts.append(burst)
+    context.simulation.bursts.append(burst)
 
 
-@given("pool overnight with 2 engines, of which 1 serves a pool that is gone")
-def step_stray(context):
-    context.world = BurstWorld(0, 2, 0)
-    context.world.move("overnight-0", "gone", "g1")
-    assert context.world.count("overnight") == 1
+@given("pool overnight with 2 engines, of which 1 serves a removed pool")
+def step_lent_to_removed_pool(context):
+    context.simulation = PoolSimulation(0, 2, 0)
+    context.simulation.move("overnight-0", "gone", "g1")
+    assert context.simulation.count("overnight") == 1
 
 
 @when("the time is {unix:d}")
 def step_time(context, unix):
-    context.world.unix_now = unix
-    context.world.set_load("credit", 6)
-    context.world.set_load("overnight", 6)
-    context.world.step()
+    context.simulation.unix_now = unix
+    context.simulation.set_load("credit", 6)
+    context.simulation.set_load("overnight", 6)
+    context.simulation.step()
 
 
 @when("the time is {unix:d} and all orders take effect")
@@ -129,38 +129,38 @@
     step_time_effect(context, 0)
 
 
-@when("pool credit has a load of {load:d} requests an engine for {seconds:d} seconds")
+@when("pool credit has a load of {load:d} requests per engine for {seconds:d} seconds")
 def step_load(context, load, seconds):
-    world = context.world
+    simulation = context.simulation
     for _ in range(int(seconds / STEP_SECONDS)):
-        world.set_load("credit", load)
-        world.set_load("overnight", 6)
-        world.step()
+        simulation.set_load("credit", load)
+        simulation.set_load("overnight", 6)
+        simulation.step()
 
 
 @when(
-    "the load of pool credit swings between {low:d} and {high:d} requests "
+    "the load of pool credit alternates between {low:d} and {high:d} requests "
     "every {period:d} seconds for {seconds:d} seconds"
 )
-def step_swing(context, low, high, period, seconds):
+def step_alternating_load(context, low, high, period, seconds):
     for second in range(seconds):
         step_load(context, high if second // period % 2 else low, 1)
 
 
-@then("nothing is ordered")
-def step_nothing(context):
-    assert context.world.orders == [], context.world.orders
+@then("no order is issued")
+def step_no_order(context):
+    assert context.simulation.orders == [], context.simulation.orders
 
 
 @then("pool credit has {credit:d} engines and pool overnight has {overnight:d}")
 def step_counts(context, credit, overnight):
-    found = context.world.count("credit"), context.world.count("overnight")
-    assert found == (credit, overnight), (found, context.world.orders)
+    counts = context.simulation.count("credit"), context.simulation.count("overnight")
+    assert counts == (credit, overnight), (counts, context.simulation.orders)
 
 
 @then("pool overnight has {count:d} engines")
 def step_overnight(context, count):
-    assert context.world.count("overnight") == count
+    assert context.simulation.count("overnight") == count
 
 
 @given("a cluster with {own:d} engines of chart-llm and {other:d} engines of spare")
@@ -175,7 +175,7 @@
     context.run(context.cluster.configure())
 
 
-@when("the operator confirms a burst of chart-llm that is on now and asks for 1 engine")
+@when("the operator confirms a burst of chart-llm that is in progress and asks for 1 engine")
 def step_confirm_burst(context):
     now = datetime.now(UTC)
     pool = context.cluster.deployment.pools[0]
@@ -207,14 +207,14 @@
     context.run(confirm())
 
 
-@then("the plan tells that engines of spare are emptied")
-def step_plan_tells(context):
+@then("the plan states that engines of spare are emptied")
+def step_plan_states(context):
     text = " ".join(context.plan["consequences"])
     assert "engines of spare" in text and "emptied" in text, context.plan
 
 
-@then("chart-llm comes to have {own:d} engines and spare {other:d}")
-def step_come_to_have(context, own, other):
+@then("chart-llm eventually has {own:d} engines and spare {other:d}")
+def step_eventual_engines(context, own, other):
     async def moved():
         status = await context.cluster.operator(1).call("GET", "/status")
         serving = [e["pool"] for e in status["engines"] if not e["leaving"]]
@@ -226,7 +226,7 @@
     context.run(wait_until(moved, f"{own} and {other} engines"))
 
 
-@then("the moved engine ran some of them")
+@then("the moved engine ran some of the requests")
 def step_ran_some(context):
     assert len(context.moved) == 1, context.moved
     rows = [r for r in context.cluster.executions() if r["engine_id"] == context.moved[0]]
--- a/features/steps/caller_steps.py
+++ b/features/steps/caller_steps.py
@@ -1,4 +1,4 @@
-"""Steps about callers of a running node."""
+"""Steps for callers of a running node."""
 
 import asyncio
 import signal
@@ -42,7 +42,7 @@
 
 
 @when("a caller closes its connection after the first token of a long stream")
-def step_leaves(context):
+def step_disconnects(context):
     async def run():
         body = stream_body(5000)
         async with aiohttp.ClientSession() as session:
@@ -63,7 +63,7 @@
 
 
 @then("the node counted a cancelled attempt")
-def step_counted(context):
+def step_cancelled_counted(context):
     async def metrics():
         async with context.cluster.session.get(url(context, "/metrics")) as response:
             return await response.text()
@@ -72,7 +72,7 @@
 
 
 @when("a caller pauses for {seconds:d} seconds while a stream of {tokens:d} tokens comes")
-def step_slow(context, seconds, tokens):
+def step_slow_reader(context, seconds, tokens):
     async def run():
         node = psutil.Process(context.cluster.nodes[0].process.pid)
         before = node.memory_info().rss
@@ -80,24 +80,24 @@
             url(context), data=stream_body(tokens), headers=HEADERS
         ) as response:
             await asyncio.sleep(seconds)
-            context.grown = node.memory_info().rss - before
+            context.memory_growth = node.memory_info().rss - before
             context.streamed = await read_stream(response)
         context.expected = expected_output("2026-11", b"a prompt", tokens)
 
     context.run(run())
 
 
-@then("the stream is whole")
-def step_whole(context):
+@then("the stream is complete")
+def step_stream_complete(context):
     assert context.streamed == (context.expected, True)
 
 
-@then("the node grew by less than {megabytes:d} megabytes")
-def step_grown(context, megabytes):
-    assert context.grown < megabytes * 1e6, context.grown
+@then("the memory of the node grew by less than {megabytes:d} megabytes")
+def step_memory_growth(context, megabytes):
+    assert context.memory_growth < megabytes * 1e6, context.memory_growth
 
 
-@then("the answer says when to come back")
+@then("the response has a Retry-After header")
 def step_retry_after(context):
     assert int(context.answer[1]["Retry-After"]) >= 1, context.answer
 
@@ -108,7 +108,7 @@
     return orjson.dumps(body)
 
 
-@then("a whole chat has a message, a finish reason and usage")
+@then("a complete chat response has a message, a finish reason and usage")
 def step_chat(context):
     answer = context.run(post(context, "/v1/chat/completions", chat_body(False)))
     body = orjson.loads(answer[2])
@@ -118,7 +118,7 @@
     assert body["usage"]["completion_tokens"] == 3, body
 
 
-@then("a streamed chat has deltas, a finish reason and the end mark")
+@then("a streamed chat response has deltas, a finish reason and the end marker")
 def step_chat_stream(context):
     _, _, body = context.run(post(context, "/v1/chat/completions", chat_body(True)))
     lines = [line[6:] for line in body.split(b"\n\n") if line.startswith(b"data: ")]
@@ -145,17 +145,17 @@
         *(context.caller.send(node.name, node.address, request) for request in planned)
     )
 
-    async def begun():
+    async def executions_started():
         return len(context.cluster.executions()) >= streams
 
-    await wait_until(begun, "executions")
+    await wait_until(executions_started, "executions")
     for _ in range(signals):
         node.send_signal(signal.SIGTERM)
         await asyncio.sleep(0.3)
     return calls
 
 
-@when("node 0 is told to stop while {streams:d} streams run")
+@when("node 0 receives SIGTERM while {streams:d} streams run")
 def step_stop(context, streams):
     async def run():
         calls = await stop_under_load(context, streams, 1)
@@ -172,14 +172,14 @@
     assert orjson.loads(body)["error"]["code"] == code, body
 
 
-@then("the {streams:d} streams end whole and node 0 exits with {code:d}")
-def step_end_whole(context, streams, code):
+@then("the {streams:d} streams are complete and node 0 exits with {code:d}")
+def step_streams_complete(context, streams, code):
     assert all(r.complete and not r.problems for r in context.records), context.records
     assert len(context.records) == streams
     assert context.cluster.nodes[0].wait(30) == code
 
 
-@when("node 0 is told twice to stop while {streams:d} streams run")
+@when("node 0 receives SIGTERM twice while {streams:d} streams run")
 def step_stop_twice(context, streams):
     async def run():
         calls = await stop_under_load(context, streams, 2)
@@ -188,7 +188,7 @@
     context.run(run())
 
 
-@step("node 0 exits with {code:d} and its log tells of a second signal")
+@step("node 0 exits with {code:d} and its log reports a second signal")
 def step_second_signal(context, code):
     node = context.cluster.nodes[0]
     assert node.wait(30) == code
--- a/features/steps/claim_steps.py
+++ b/features/steps/claim_steps.py
@@ -1,4 +1,4 @@
-"""Steps about requests that may not be repeated."""
+"""Steps for non-repeatable requests."""
 
 import asyncio
 import random
@@ -17,7 +17,7 @@
 GROUP_CHANGE_MARGIN_SECONDS = 4
 
 
-def unrepeatable(context, count, **changes):
+def plan_non_repeatable(context, count, **changes):
     context.planned = planned_requests(context, count, "depth-label", **changes)
     context.keys = [new_key(KEY_SOURCE) for _ in context.planned]
 
@@ -31,8 +31,8 @@
     return await asyncio.gather(*calls)
 
 
-async def claims_served(context):
-    """Send new keys until every node grants one: a started node waits for its peers."""
+async def wait_for_claims(context):
+    """Send new keys until every node grants one: a started node first waits for its peers."""
     for number in range(len(context.cluster.nodes)):
 
         async def granted(node=number):
@@ -43,49 +43,49 @@
         await wait_until(granted, f"claims through node {number}")
 
 
-@given("the platform is out for {seconds:d} seconds")
+@given("the platform is unavailable for {seconds:d} seconds")
 def step_given_outage(context, seconds):
     context.run(context.cluster.platform_fault(kind="outage", seconds=seconds))
 
 
-@when("{count:d} unrepeatable requests are each sent through two nodes at once")
+@when("{count:d} non-repeatable requests are each sent through two nodes at once")
 def step_two_nodes(context, count):
     async def send():
-        await claims_served(context)
-        unrepeatable(context, count)
-        answers = await asyncio.gather(
+        await wait_for_claims(context)
+        plan_non_repeatable(context, count)
+        record_lists = await asyncio.gather(
             send_to(context, 0, context.planned, context.keys),
             send_to(context, 1, context.planned, context.keys),
         )
-        return [record for records in answers for record in records]
+        return [record for records in record_lists for record in records]
 
     context.records = context.run(send())
 
 
-@when("{count:d} unrepeatable requests are sent")
-def step_send_unrepeatable(context, count):
+@when("{count:d} non-repeatable requests are sent")
+def step_send_non_repeatable(context, count):
     async def send():
-        await claims_served(context)
-        unrepeatable(context, count)
+        await wait_for_claims(context)
+        plan_non_repeatable(context, count)
         return await send_all(context, context.planned, context.keys)
 
     context.records = context.run(send())
 
 
-@when("{count:d} unrepeatable requests with new keys are sent {seconds:d} seconds later")
+@when("{count:d} non-repeatable requests with new keys are sent {seconds:d} seconds later")
 def step_send_new_keys(context, count, seconds):
     async def send():
         await asyncio.sleep(seconds)
-        await claims_served(context)
-        unrepeatable(context, count)
+        await wait_for_claims(context)
+        plan_non_repeatable(context, count)
         return await send_all(context, context.planned, context.keys)
 
     context.records = context.run(send())
 
 
-@when("{count:d} unrepeatable requests are sent to nodes 0 and 1")
+@when("{count:d} non-repeatable requests are sent to nodes 0 and 1")
 def step_send_to_two(context, count):
-    unrepeatable(context, count)
+    plan_non_repeatable(context, count)
     half = count // 2
 
     async def send():
@@ -96,17 +96,17 @@
     context.records = context.run(send())
 
 
-@when("{count:d} slow unrepeatable requests are sent to node 0, which is killed meanwhile")
-def step_killed_meanwhile(context, count):
+@when("{count:d} slow non-repeatable requests are sent to node 0, which is killed during them")
+def step_killed_during_requests(context, count):
     async def send():
-        await claims_served(context)
-        unrepeatable(context, count, output_tokens=100)
+        await wait_for_claims(context)
+        plan_non_repeatable(context, count, output_tokens=100)
         task = asyncio.create_task(send_to(context, 0, context.planned, context.keys))
 
-        async def begun():
+        async def execution_started():
             return len(executed_keys(context)) > 0
 
-        await wait_until(begun, "an execution")
+        await wait_until(execution_started, "an execution")
         context.cluster.nodes[0].send_signal(signal.SIGKILL)
         return await task
 
@@ -132,12 +132,12 @@
 
 @when("node {number:d} is paused")
 def step_pause(context, number):
-    context.run(claims_served(context))
+    context.run(wait_for_claims(context))
     context.cluster.nodes[number].send_signal(signal.SIGSTOP)
 
 
-@when("node {number:d} goes on")
-def step_continue(context, number):
+@when("node {number:d} is resumed")
+def step_resume(context, number):
     context.cluster.nodes[number].send_signal(signal.SIGCONT)
 
 
@@ -147,21 +147,21 @@
     return context.run(post(context, "/v1/completions", body, headers, node))
 
 
-@when("an unrepeatable request is sent to node {node:d}")
+@when("a non-repeatable request is sent to node {node:d}")
 def step_send_one(context, node):
     context.keys = [new_key(KEY_SOURCE)]
     if all(n.process.poll() is None for n in context.cluster.nodes):
-        context.run(claims_served(context))
+        context.run(wait_for_claims(context))
         context.keys = [new_key(KEY_SOURCE)]
     context.answer = send_one(context, node, "first", context.keys[0])
 
 
-@when("its key is sent with another body to node {node:d}")
+@when("the same key is sent with another body to node {node:d}")
 def step_other_body(context, node):
     context.answer = send_one(context, node, "second", context.keys[0])
 
 
-async def confirm_group(context, members):
+async def confirm_claim_group(context, members):
     operator = context.cluster.operator()
     plan = await operator.call("POST", "/intents", {"claims": {"members": members}})
     generation = None
@@ -183,9 +183,9 @@
 
 @step("the claim group is changed to nodes 2, 3 and 4")
 @step("the change of the claim group is completed")
-def step_change_group(context):
+def step_change_claim_group(context):
     members = [node.name for node in context.cluster.nodes[2:5]]
-    context.run(confirm_group(context, members))
+    context.run(confirm_claim_group(context, members))
     time.sleep(GROUP_CHANGE_MARGIN_SECONDS)
 
 
@@ -194,18 +194,18 @@
     return Counter(row["idempotency_key"] for row in rows if row["idempotency_key"])
 
 
-@then("no key was run twice")
+@then("no key was executed twice")
 def step_no_key_twice(context):
-    twice = {key: count for key, count in executed_keys(context).items() if count > 1}
-    assert not twice, twice
+    executed_twice = {key: count for key, count in executed_keys(context).items() if count > 1}
+    assert not executed_twice, executed_twice
 
 
-@then("every key was run")
+@then("every key was executed")
 def step_every_key(context):
     assert set(context.keys) <= set(executed_keys(context)), context.records
 
 
-@then("every answer is the key's own, or says that the outcome is unknown")
+@then("every response is correct for its key or reports an unknown outcome")
 def step_own_or_unknown(context):
     executed = executed_keys(context)
     for record in context.records:
--- a/features/steps/cluster_steps.py
+++ b/features/steps/cluster_steps.py
@@ -1,4 +1,4 @@
-"""Steps that start a deployment as processes and send requests to it."""
+"""Steps that start the processes of a deployment and send requests to them."""
 
 import signal
 
@@ -21,12 +21,12 @@
     start_cluster(context, engines, nodes)
 
 
-@when("{count:d} requests are sent over all nodes")
-def step_send(context, count):
+@when("{count:d} requests are sent through all nodes")
+def step_send_requests(context, count):
     context.records = context.run(send_all(context, planned_requests(context, count)))
 
 
-@then("every request ran and its answer is whole and its own")
+@then("every request ran and got its complete and correct response")
 def step_all_ran(context):
     for record in context.records:
         assert record.complete, record
@@ -34,15 +34,15 @@
         assert not record.problems, record.problems
 
 
-BAD_REQUESTS = {
+REQUESTS = {
     "malformed JSON": (b'{"model": ', {}),
     "an oversized body": (b'{"prompt": "' + b"x" * 5_000_000 + b'"}', {}),
     "an unknown model": (orjson.dumps({"model": "none", "prompt": "x"}), {}),
-    "a wrong key": (
+    "a wrong API key": (
         orjson.dumps({"model": "chart-reader", "prompt": "x"}),
         {"Authorization": "Bearer wrong"},
     ),
-    "an absurd deadline": (
+    "an out-of-range deadline": (
         orjson.dumps({"model": "chart-reader", "prompt": "x"}),
         {"Liftrill-Deadline-Milliseconds": "99999999999999999999"},
     ),
@@ -51,38 +51,38 @@
         orjson.dumps({"model": "chart-reader", "prompt": "x"}),
         {"Liftrill-Workload": "none"},
     ),
-    "a key that is no UUIDv7": (
+    "an idempotency key that is no UUIDv7": (
         orjson.dumps({"model": "chart-reader", "prompt": "x"}),
         {"Liftrill-Repeatable": "no", "Idempotency-Key": "1234"},
     ),
-    "a good body": (orjson.dumps({"model": "chart-reader", "prompt": "x"}), {}),
+    "a valid body": (orjson.dumps({"model": "chart-reader", "prompt": "x"}), {}),
 }
 
 
-@when("a request with {fault} is sent")
-def step_send_bad(context, fault):
-    body, headers = BAD_REQUESTS[fault]
+@when("a request with {kind} is sent")
+def step_send_request(context, kind):
+    body, headers = REQUESTS[kind]
     context.answer = context.run(post(context, "/v1/completions", body, headers))
 
 
-@then("the answer has status {status:d}, code {code:d} and execution {execution}")
-def step_answer_code(context, status, code, execution):
-    answered, headers, body = context.answer
+@then("the response has status {status:d}, code {code:d} and execution {execution}")
+def step_response_code(context, status, code, execution):
+    actual_status, headers, body = context.answer
     error = orjson.loads(body)["error"]
-    assert answered == status, (answered, body)
+    assert actual_status == status, (actual_status, body)
     assert error["code"] == code, body
     assert headers["Liftrill-Code"] == str(code), headers
     assert headers["Liftrill-Execution"] == execution, headers
     assert set(error) >= {"message", "type", "code", "param"}, body
 
 
-@then("no engine ran anything")
-def step_nothing_ran(context):
+@then("no engine executed a request")
+def step_nothing_executed(context):
     assert context.cluster.executions() == []
 
 
 @when("the operator confirms an intent on node {node:d}")
-def step_confirm(context, node):
+def step_confirm_intent(context, node):
     async def confirm():
         operator = context.cluster.operator(node)
         intent = orjson.loads(str(context.text))
@@ -93,30 +93,30 @@
     context.run(confirm())
 
 
-@when("the operator states an intent on node {node:d}")
-def step_state(context, node):
+@when("the operator submits an intent to node {node:d}")
+def step_submit_intent(context, node):
     operator = context.cluster.operator(node)
     intent = orjson.loads(str(context.text))
     context.plan = context.run(operator.call("POST", "/intents", intent))
 
 
-@then("the plan has the line")
+@then("the plan contains the line")
 def step_plan_line(context):
     assert context.text.strip() in context.plan["changes"], context.plan
 
 
 @then("every node reaches generation {generation:d}")
 def step_reach_generation(context, generation):
-    async def reached():
+    async def reached_everywhere():
         return all(g == generation for g in await generations(context))
 
-    context.run(wait_until(reached, f"generation {generation} on every node"))
+    context.run(wait_until(reached_everywhere, f"generation {generation} on every node"))
 
 
 @then("every node is at generation {generation:d}")
 def step_at_generation(context, generation):
-    found = context.run(generations(context))
-    assert found == [generation] * len(found), found
+    actual = context.run(generations(context))
+    assert actual == [generation] * len(actual), actual
 
 
 @then("{tenant} can send requests to node {node:d}")
@@ -144,6 +144,6 @@
     context.run(context.cluster.wait_ready(context.cluster.nodes[number]))
 
 
-@when("the platform is out for {seconds:d} seconds")
+@when("the platform is unavailable for {seconds:d} seconds")
 def step_outage(context, seconds):
     context.run(context.cluster.platform_fault(kind="outage", seconds=seconds))
--- a/features/steps/command_line_steps.py
+++ b/features/steps/command_line_steps.py
@@ -1,4 +1,4 @@
-"""Steps about commands and settings."""
+"""Steps for commands, settings files and bench files."""
 
 import json
 import subprocess
@@ -12,7 +12,7 @@
 from liftrill.cli.errors import error_table
 from liftrill.errors import SettingsError
 
-GOOD = {
+VALID_SETTINGS = {
     "node_id": '"n"',
     "zone": '"z"',
     "listen": '"127.0.0.1:0"',
@@ -23,13 +23,13 @@
     "cache_secret": '"0123456789abcdef"',
 }
 FAULTS = {
-    "nothing wrong": {},
+    "no fault": {},
     "an unknown key": {"colour": '"blue"'},
     "a wrong address": {"listen": '"nowhere"'},
     "a missing key": {"platform": None},
     "a wrong policy": {"policy": '"best"'},
-    "text that is no TOML": {"zone": "= ="},
-    "a negative grace time": {"drain_grace_seconds": "-1"},
+    "text that is not TOML": {"zone": "= ="},
+    "a negative grace period": {"drain_grace_seconds": "-1"},
 }
 COMMANDS = (
     ["node"],
@@ -66,14 +66,14 @@
 
 @given("a settings file with {fault}")
 def step_settings(context, fault):
-    values = {**GOOD, **FAULTS[fault]}
+    values = {**VALID_SETTINGS, **FAULTS[fault]}
     lines = [f"{key} = {value}" for key, value in values.items() if value is not None]
     context.settings = context.directory / "node.toml"
     context.settings.write_text("\n".join(lines))
 
 
 @when("the node is started with it")
-def step_start(context):
+def step_start_node(context):
     context.result = run("node", f"--settings={context.settings}")
 
 
@@ -82,14 +82,14 @@
     context.result = run("node", f"--settings={context.settings}", flag)
 
 
-@then('it ends with exit code {code:d} and one line that names "{named}"')
-def step_ends(context, code, named):
+@then('it exits with code {code:d} and one error line that names "{named}"')
+def step_exits_with_error(context, code, named):
     assert context.result.returncode == code, context.result
     lines = context.result.stderr.strip().splitlines()
     assert len(lines) == 1 and named in lines[0], lines
 
 
-@then("the help of every command reads well")
+@then("the help of every command has a usage line and a sentence")
 def step_help(context):
     for command in COMMANDS:
         result = run(*command, "--help")
@@ -100,11 +100,11 @@
 
 
 @then("docs/ERRORS.md is what liftrill errors prints")
-def step_errors(context):
+def step_error_table(context):
     assert Path("docs/ERRORS.md").read_text() == error_table(), "run `make errors`"
 
 
-@then("a scenario file with an unknown key is refused by name")
+@then("a scenario file with an unknown key is refused with an error that names the key")
 def step_unknown_key(context):
     text = Path("scenarios/quiet-day.toml").read_text()
     path = context.directory / "wrong.toml"
@@ -114,7 +114,7 @@
     except SettingsError as error:
         assert "storm" in str(error), error
     else:
-        raise AssertionError("it was accepted")
+        raise AssertionError("load_scenario accepted a file with an unknown key")
 
 
 @then("every file under scenarios and deployments loads")
@@ -128,7 +128,7 @@
         load_deployment(str(path))
 
 
-@given("a log in which a request got an engine's 500 twice")
+@given("a log with a request that engines answered with status 500 twice")
 def step_log(context):
     row = {
         "message_type": "liftrill:request",
@@ -145,20 +145,20 @@
 
 
 @when('liftrill is run with "{arguments}"')
-def step_run_with(context, arguments):
+def step_run_liftrill(context, arguments):
     names = {
         "LOG": context.log,
         "MISSING": context.directory / "missing.log",
         "DIRECTORY": context.directory,
     }
-    words = [str(names.get(word, word)) for word in arguments.split()]
+    command_arguments = [str(names.get(word, word)) for word in arguments.split()]
     code = "import sys; from liftrill.cli.main import main; main()"
-    command = [sys.executable, "-c", code, *words]
-    context.finished = subprocess.run(command, capture_output=True, text=True)
+    command = [sys.executable, "-c", code, *command_arguments]
+    context.result = subprocess.run(command, capture_output=True, text=True)
 
 
-@then('it ends with {code:d} and says "{says}"')
-def step_ends_saying(context, code, says):
-    told = context.finished.stdout + context.finished.stderr
-    assert context.finished.returncode == code, context.finished
-    assert says in told and "Traceback" not in told, told
+@then('it exits with {code:d} and prints "{output}"')
+def step_exits_and_prints(context, code, output):
+    printed = context.result.stdout + context.result.stderr
+    assert context.result.returncode == code, context.result
+    assert output in printed and "Traceback" not in printed, printed
--- a/features/steps/parser_steps.py
+++ b/features/steps/parser_steps.py
@@ -1,4 +1,4 @@
-"""Steps that feed random input to the parsers."""
+"""Steps that pass random input to the parsers."""
 
 from behave import given, then
 from hypothesis import given as given_values
@@ -97,7 +97,7 @@
         return
 
 
-def cases(context):
+def strategies_and_parsers(context):
     json_bytes = JSON_VALUES.map(lambda v: str(v).replace("'", '"').encode())
     return {
         "gossip datagrams": (values.binary(max_size=200), parse_datagram),
@@ -111,13 +111,13 @@
             values.binary(max_size=100) | json_bytes,
             lambda data: parse_engine_stream(context, data),
         ),
-        "heads": (values.binary(max_size=100), parse_stored_head),
+        "configuration heads": (values.binary(max_size=100), parse_stored_head),
     }
 
 
-@then("{count:d} random {kind} are parsed or refused as documented")
-def step_random(context, count, kind):
-    strategy, parse = cases(context)[kind]
+@then("{count:d} random {kind} are accepted or rejected with the documented error")
+def step_random_input(context, count, kind):
+    strategy, parse = strategies_and_parsers(context)[kind]
 
     @seed(2)
     @settings(max_examples=count, deadline=None, database=None)
@@ -135,12 +135,12 @@
     context.data = encode_packet(context.packet, key.encode())
 
 
-@then('a node that accepts "{first}" and "{second}" takes it')
-def step_takes(context, first, second):
+@then('a node that accepts "{first}" and "{second}" accepts it')
+def step_accepts(context, first, second):
     assert decode_packet(context.data, [first.encode(), second.encode()]) == context.packet
 
 
-def is_refused(data, key):
+def is_rejected(data, key):
     try:
         decode_packet(data, [key])
     except GossipDecodeError:
@@ -148,15 +148,15 @@
     return False
 
 
-@then('a node that accepts "{key}" refuses it')
-def step_refuses(context, key):
-    assert is_refused(context.data, key.encode())
+@then('a node that accepts "{key}" rejects it')
+def step_rejects(context, key):
+    assert is_rejected(context.data, key.encode())
 
 
-@then("it is refused when any of its bytes is changed")
-def step_changed(context):
+@then("it is rejected when any of its bytes is changed")
+def step_changed_bytes(context):
     assert len(context.data) > SIGNATURE_BYTES
     for position in range(len(context.data)):
         changed = bytearray(context.data)
         changed[position] ^= 1
-        assert is_refused(bytes(changed), b"new"), position
+        assert is_rejected(bytes(changed), b"new"), position
--- a/features/steps/promise_steps.py
+++ b/features/steps/promise_steps.py
@@ -1,4 +1,4 @@
-"""Steps that bring about one failure each and let a checker judge the history."""
+"""Steps that cause one failure each and run a checker on the recorded history."""
 
 import asyncio
 import itertools
@@ -27,15 +27,15 @@
 
 KEY_SOURCE = random.Random(5)
 CLAIM_MARGIN_SECONDS = 4.0
-LEAVING_SECONDS = 4.0
-# By then the records of the start have been gossiped as often as they will be.
+LEAVING_LOAD_SECONDS = 4.0
+# The records of the start have had all their gossip retransmissions by then.
 GOSSIP_QUIET_SECONDS = 8.0
 RESTART_LIMIT_SECONDS = 12.0
 
 
 @given("a cluster of {engines:d} engines and {nodes:d} nodes without {mechanism}")
 def step_cluster_without(context, engines, nodes, mechanism):
-    # Every node reads the store, so that no other one makes up for what it reads.
+    # Every node watches the store, so that no node depends on the data relayed by another.
     environment = {ENVIRONMENT_NAME: mechanism, "LIFTRILL_STORE_WATCHERS_PER_REGION": "3"}
     start_cluster(context, engines, nodes, environment=environment)
     context.run(context.cluster.configure())
@@ -47,53 +47,53 @@
     return context.history
 
 
-async def call(context, node, planned, key=""):
+async def send_request(context, node, planned, key=""):
     target = context.cluster.nodes[node]
     record = await context.caller.send(target.name, target.address, planned, key)
     history_of(context).calls.append(record)
     return record
 
 
-async def call_all(context, planned, keys=None, nodes=(0, 1, 2)):
+async def send_requests(context, planned, keys=None, nodes=(0, 1, 2)):
     keys = keys or [""] * len(planned)
     calls = [
-        call(context, nodes[index % len(nodes)], request, key)
+        send_request(context, nodes[index % len(nodes)], request, key)
         for index, (request, key) in enumerate(zip(planned, keys, strict=True))
     ]
     return await asyncio.gather(*calls)
 
 
-def streams(context, count, tokens=60):
+def streaming_requests(context, count, tokens=60):
     return planned_requests(context, count, "folio-review", output_tokens=tokens)
 
 
-async def in_flight(context, count):
-    async def begun():
+async def wait_for_executions(context, count):
+    async def enough_executions():
         return len(context.cluster.executions()) >= count
 
-    await wait_until(begun, f"{count} executions")
+    await wait_until(enough_executions, f"{count} executions")
 
 
-@when("the same keys go through two nodes at once")
+@when("the same keys are sent through two nodes at once")
 def step_two_nodes(context):
     async def run():
         await asyncio.sleep(CLAIM_MARGIN_SECONDS)
         planned = planned_requests(context, 8, "depth-label")
         keys = [new_key(KEY_SOURCE) for _ in planned]
         await asyncio.gather(
-            call_all(context, planned, keys, [0]), call_all(context, planned, keys, [1])
+            send_requests(context, planned, keys, [0]), send_requests(context, planned, keys, [1])
         )
 
     context.run(run())
 
 
-@when("the same keys come again after all nodes restarted")
-def step_restarted(context):
+@when("the same keys are sent again after all nodes restarted")
+def step_keys_after_restart(context):
     async def run():
         await asyncio.sleep(CLAIM_MARGIN_SECONDS)
         planned = planned_requests(context, 6, "depth-label")
         keys = [new_key(KEY_SOURCE) for _ in planned]
-        await call_all(context, planned, keys)
+        await send_requests(context, planned, keys)
         for node in context.cluster.nodes:
             node.send_signal(signal.SIGKILL)
             node.wait(10)
@@ -101,7 +101,7 @@
         for node in context.cluster.nodes:
             await context.cluster.wait_ready(node)
         await asyncio.sleep(1.0)
-        await call_all(context, planned, keys, [1, 2, 0])
+        await send_requests(context, planned, keys, [1, 2, 0])
 
     context.run(run())
 
@@ -110,10 +110,10 @@
 def step_engine_killed(context):
     async def run():
         await asyncio.sleep(CLAIM_MARGIN_SECONDS)
-        planned = streams(context, 12)
+        planned = streaming_requests(context, 12)
         keys = [new_key(KEY_SOURCE) if r.number % 2 else "" for r in planned]
-        calls = asyncio.create_task(call_all(context, planned, keys))
-        await in_flight(context, 12)
+        calls = asyncio.create_task(send_requests(context, planned, keys))
+        await wait_for_executions(context, 12)
         busiest = max(context.cluster.engines, key=lambda e: e.journal_path.stat().st_size)
         busiest.managed.send_signal(signal.SIGKILL)
         await calls
@@ -121,59 +121,63 @@
     context.run(run())
 
 
-async def under_fault(context, planned, kind, **fault):
-    """Send requests while every engine has a fault."""
-    calls = asyncio.create_task(call_all(context, planned))
-    await in_flight(context, len(planned) // 2)
+async def send_under_fault(context, planned, kind, **fault):
+    """Send requests and start a fault on every engine once half of them are running."""
+    calls = asyncio.create_task(send_requests(context, planned))
+    await wait_for_executions(context, len(planned) // 2)
     for engine in context.cluster.engines:
         await context.cluster.engine_fault(engine, kind=kind, **fault)
     await calls
 
 
-@when("the connections of an engine are cut")
-def step_cut(context):
-    context.run(under_fault(context, streams(context, 12), "cut_streams"))
+@when("the streams of all engines are cut")
+def step_streams_cut(context):
+    context.run(send_under_fault(context, streaming_requests(context, 12), "cut_streams"))
 
 
-@when("an engine sends chunks of another request")
-def step_foreign(context):
+@when("engines send chunks of other requests")
+def step_foreign_chunks(context):
     async def run():
         for engine in context.cluster.engines:
             await context.cluster.engine_fault(engine, kind="foreign_answers", seconds=60)
-        await call_all(context, streams(context, 9, tokens=8))
+        await send_requests(context, streaming_requests(context, 9, tokens=8))
 
     context.run(run())
 
 
-@when("an engine repeats chunks")
-def step_repeated(context):
+@when("engines repeat chunks")
+def step_repeated_chunks(context):
     async def run():
         for engine in context.cluster.engines:
             await context.cluster.engine_fault(engine, kind="repeated_chunks", seconds=60)
-        await call_all(context, streams(context, 9, tokens=8))
+        await send_requests(context, streaming_requests(context, 9, tokens=8))
 
     context.run(run())
 
 
-@when("an engine changes its weights unasked")
+@when("engines change their weights without an order")
 def step_weights_unasked(context):
     async def run():
-        # Nodes learn of a change within some tens of ms, so requests come all the while.
+        # Nodes learn of a change within tens of milliseconds, so requests arrive continuously.
         for engine, month in itertools.product(context.cluster.engines, (11, 12)):
-            calls = asyncio.create_task(call_all(context, streams(context, 9, tokens=4)))
+            calls = asyncio.create_task(
+                send_requests(context, streaming_requests(context, 9, tokens=4))
+            )
             fault = {"kind": "load", "seconds": 0.0, "weight_version": f"2026-{month}"}
             await context.cluster.engine_fault(engine, **fault)
-            await call_all(context, streams(context, 9, tokens=4))
+            await send_requests(context, streaming_requests(context, 9, tokens=4))
             await calls
 
     context.run(run())
 
 
-@when("engines crash between choice and arrival")
+@when("engines crash between routing and arrival")
 def step_crash_race(context):
     async def run():
         for _ in range(6):
-            calls = asyncio.create_task(call_all(context, streams(context, 9, tokens=4)))
+            calls = asyncio.create_task(
+                send_requests(context, streaming_requests(context, 9, tokens=4))
+            )
             for engine in context.cluster.engines:
                 await context.cluster.engine_fault(engine, kind="crash")
             await calls
@@ -185,12 +189,12 @@
 def step_same_prompts(context):
     async def run():
         for _ in range(3):
-            await call_all(context, planned_requests(context, 24, "buoy-alert"))
+            await send_requests(context, planned_requests(context, 24, "buoy-alert"))
 
     context.run(run())
 
 
-async def sample(context):
+async def sample_generations(context):
     history = history_of(context)
     for index, node in enumerate(context.cluster.nodes):
         status = await context.cluster.operator(index).call("GET", "/status")
@@ -213,7 +217,7 @@
     return generation
 
 
-async def observe_configuration(context):
+async def record_configuration(context):
     history = history_of(context)
     for index, node in enumerate(context.cluster.nodes):
         operator = context.cluster.operator(index)
@@ -223,30 +227,30 @@
 
 
 async def wait_for_generation(context, generation):
-    async def everywhere():
-        await sample(context)
+    async def reached_everywhere():
+        await sample_generations(context)
         return all(s.generation >= generation for s in context.history.samples[-3:])
 
-    await wait_until(everywhere, f"generation {generation}")
+    await wait_until(reached_everywhere, f"generation {generation}")
 
 
-@when("the store goes back to an old copy")
-def step_restore(context):
+@when("the store is restored from an old copy")
+def step_store_restored(context):
     async def run():
         await context.cluster.platform_fault(kind="save")
         generation = await confirm_tenant(context, 0, "tenant-9")
         await wait_for_generation(context, generation)
         await context.cluster.platform_fault(kind="restore")
         for _ in range(20):
-            await sample(context)
+            await sample_generations(context)
             await asyncio.sleep(0.1)
-        await observe_configuration(context)
+        await record_configuration(context)
 
     context.run(run())
 
 
-@when("two operators confirm at once and answers are lost")
-def step_race(context):
+@when("two operators confirm at once and responses are lost")
+def step_operator_race(context):
     async def run():
         for number in range(4):
             await context.cluster.platform_fault(kind="lose_answers", count=2)
@@ -256,17 +260,17 @@
             )
             await context.cluster.platform_fault(kind="none")
             await wait_for_generation(context, max(generations))
-        await observe_configuration(context)
+        await record_configuration(context)
 
     context.run(run())
 
 
 @when("a node is stopped under load")
-def step_stop(context):
+def step_node_stopped(context):
     async def run():
-        planned = streams(context, 9)
-        calls = asyncio.create_task(call_all(context, planned))
-        await in_flight(context, 9)
+        planned = streaming_requests(context, 9)
+        calls = asyncio.create_task(send_requests(context, planned))
+        await wait_for_executions(context, 9)
         node = context.cluster.nodes[0]
         node.send_signal(signal.SIGTERM)
         exit_code = await asyncio.to_thread(node.wait, 40)
@@ -277,36 +281,36 @@
     context.run(run())
 
 
-async def load_while_leaving(context, engine, marked_at):
+async def send_while_leaving(context, engine, marked_at):
     history_of(context).leaving_marks.append(LeavingMark(engine.engine_id, marked_at))
-    until = time.monotonic() + LEAVING_SECONDS
+    until = time.monotonic() + LEAVING_LOAD_SECONDS
     while time.monotonic() < until:
-        await call_all(context, planned_requests(context, 12, "depth-label"))
+        await send_requests(context, planned_requests(context, 12, "depth-label"))
 
 
-@when("an engine says that it leaves")
-def step_leaves(context):
+@when("an engine reports that it is leaving")
+def step_engine_leaves(context):
     async def run():
         engine = context.cluster.engines[0]
-        # An engine that refuses by itself would hide what the nodes do.
+        # An engine that refuses requests itself would hide requests that nodes still send to it.
         await context.cluster.engine_fault(engine, kind="accept_while_leaving")
-        await load_while_leaving(context, engine, time.time())
+        await send_while_leaving(context, engine, time.time())
 
     context.run(run())
 
 
-@when("the machine list says that an engine leaves")
+@when("the machine list marks an engine as leaving")
 def step_list_leaves(context):
     async def run():
         engine = context.cluster.engines[0]
         await context.cluster.register_engine(engine, leaving=True)
         await asyncio.sleep(context.cluster.machine_list_lag_seconds)
-        await load_while_leaving(context, engine, time.time())
+        await send_while_leaving(context, engine, time.time())
 
     context.run(run())
 
 
-@when("a node restarts while the platform is out")
+@when("a node restarts while the platform is unavailable")
 def step_restart_in_outage(context):
     async def run():
         await asyncio.sleep(GOSSIP_QUIET_SECONDS)
@@ -317,7 +321,9 @@
         started_at = time.monotonic()
         node.start()
         try:
-            await wait_until(lambda: answers(context, node), "an answer", RESTART_LIMIT_SECONDS)
+            await wait_until(
+                lambda: node_answers(context, node), "an answer", RESTART_LIMIT_SECONDS
+            )
             elapsed = time.monotonic() - started_at
         except LaunchError:
             elapsed = None
@@ -326,7 +332,7 @@
     context.run(run())
 
 
-async def answers(context, node):
+async def node_answers(context, node):
     body = orjson.dumps({"model": "chart-reader", "prompt": "x", "max_tokens": 1})
     headers = {"Authorization": f"Bearer {api_key('tenant-1')}"}
     url = f"http://{node.address}/v1/completions"
--- a/features/steps/rollout_steps.py
+++ b/features/steps/rollout_steps.py
@@ -1,4 +1,4 @@
-"""Steps about changes of weights."""
+"""Steps for changes of weights."""
 
 import asyncio
 
@@ -8,7 +8,7 @@
 from liftrill.bench.launcher import wait_until
 
 
-async def weights(context):
+async def weight_versions(context):
     status = await context.cluster.operator().call("GET", "/status")
     return {engine["weight_version"] for engine in status["engines"]}
 
@@ -16,28 +16,28 @@
 @when("requests are sent while the operator confirms weights {version}")
 def step_confirm_weights(context, version):
     pool = context.cluster.deployment.pools[0]
-    row = {"name": pool.name, "model": pool.model, "weight_version": version}
+    pool_intent = {"name": pool.name, "model": pool.model, "weight_version": version}
 
     async def send_until_changed():
         records = []
-        await context.cluster.operator(1).confirm_intent({"pools": [row]})
-        while await weights(context) != {version}:
+        await context.cluster.operator(1).confirm_intent({"pools": [pool_intent]})
+        while await weight_versions(context) != {version}:
             records.extend(await send_all(context, planned_requests(context, 6)))
         return records
 
     context.records = context.run(asyncio.wait_for(send_until_changed(), 120))
 
 
-@then("every engine comes to have weights {version}")
-def step_all_have(context, version):
+@then("every engine eventually has weights {version}")
+def step_all_changed(context, version):
     async def changed():
-        return await weights(context) == {version}
+        return await weight_versions(context) == {version}
 
     context.run(wait_until(changed, f"weights {version}"))
 
 
-@then("every answer was made with weights {version}")
-def step_made_with(context, version):
+@then("every response was generated with weights {version}")
+def step_generated_with(context, version):
     for record in context.records:
         assert record.weight_version == version, record
         assert not record.problems, record
