--- a/features/callers.feature
+++ b/features/callers.feature
@@ -3,12 +3,12 @@
   Scenario: The attempt of a caller that disconnects is cancelled at the engine
     Given a cluster of 1 engines and 1 nodes
     When a caller closes its connection after the first token of a long stream
-    Then the engine soon holds no attempt
+    Then the engine eventually holds no attempt
     And the node counted a cancelled attempt
 
   Scenario: A caller that reads slowly gets its whole stream, with bounded memory on the node
     Given a cluster of 1 engines and 1 nodes
-    When a caller pauses for 3 seconds while a stream of 1200 tokens comes
+    When a caller pauses for 3 seconds while a stream of 1200 tokens arrives
     Then the stream is complete
     And the memory of the node grew by less than 40 megabytes
 
--- a/features/quota_network.py
+++ b/features/quota_network.py
@@ -88,16 +88,16 @@
             wait = self.random.uniform(0.0, 0.3)
             self.clock.call_later(wait, lambda: self.report(number, node))
 
-    def restart(self, numbers, after):
+    def restart(self, numbers, delay_s):
         self.stopped |= set(numbers)
 
         def start_again():
             for number in numbers:
                 self.start(number)
 
-        self.clock.call_later(after, start_again)
+        self.clock.call_later(delay_s, start_again)
 
-    def freeze(self, numbers, lasting):
+    def freeze(self, numbers, duration_s):
         self.frozen |= set(numbers)
 
         def thaw():
@@ -106,7 +106,7 @@
                 for deliver in self.backlog.pop(number, []):
                     deliver()
 
-        self.clock.call_later(lasting, thaw)
+        self.clock.call_later(duration_s, thaw)
 
     def set_limit(self, rate):
         self.limit = QuotaLimit(rate, rate)
--- a/features/quotas.feature
+++ b/features/quotas.feature
@@ -48,7 +48,7 @@
     When the tenant requests 4.2 times its rate, and its limit is doubled for a second
     Then no window of 8 s exceeds the tolerance
 
-  Scenario: Random sequences of load, partitions, restarts and limit changes
+  Scenario: Random sequences of load, partitions, restarts and limit changes stay within the tolerance
     Then in 25 random sequences no window of 8 s exceeds the tolerance
 
   Scenario: Refused callers get different retry delays that grow with the number of refusals
--- a/features/steps/caller_steps.py
+++ b/features/steps/caller_steps.py
@@ -53,7 +53,7 @@
     context.run(run())
 
 
-@then("the engine soon holds no attempt")
+@then("the engine eventually holds no attempt")
 def step_no_attempt(context):
     async def idle():
         status = await engine_status(context)
@@ -71,7 +71,7 @@
     assert 'liftrill_attempts_total{result="cancelled"} 1.0' in context.run(metrics())
 
 
-@when("a caller pauses for {seconds:d} seconds while a stream of {tokens:d} tokens comes")
+@when("a caller pauses for {seconds:d} seconds while a stream of {tokens:d} tokens arrives")
 def step_slow_reader(context, seconds, tokens):
     async def run():
         node = psutil.Process(context.cluster.nodes[0].process.pid)
--- a/features/steps/machine_steps.py
+++ b/features/steps/machine_steps.py
@@ -130,9 +130,9 @@
 
 
 def single_instruction(context, kind):
-    found = [i for i in context.instructions if isinstance(i, kind)]
-    assert len(found) == 1, context.instructions
-    return found[0]
+    matching = [i for i in context.instructions if isinstance(i, kind)]
+    assert len(matching) == 1, context.instructions
+    return matching[0]
 
 
 @then("the attempt is resumed from index {index:d}")
--- a/features/steps/promise_steps.py
+++ b/features/steps/promise_steps.py
@@ -26,7 +26,7 @@
 from liftrill.mechanisms import ENVIRONMENT_NAME
 
 KEY_SOURCE = random.Random(5)
-CLAIM_MARGIN_SECONDS = 4.0
+CLAIM_WARM_UP_SECONDS = 4.0
 LEAVING_LOAD_SECONDS = 4.0
 # The records of the start have had all their gossip retransmissions by then.
 GOSSIP_QUIET_SECONDS = 8.0
@@ -77,7 +77,7 @@
 @when("the same keys are sent through two nodes at once")
 def step_two_nodes(context):
     async def run():
-        await asyncio.sleep(CLAIM_MARGIN_SECONDS)
+        await asyncio.sleep(CLAIM_WARM_UP_SECONDS)
         planned = planned_requests(context, 8, "depth-label")
         keys = [new_key(KEY_SOURCE) for _ in planned]
         await asyncio.gather(
@@ -90,7 +90,7 @@
 @when("the same keys are sent again after all nodes restarted")
 def step_keys_after_restart(context):
     async def run():
-        await asyncio.sleep(CLAIM_MARGIN_SECONDS)
+        await asyncio.sleep(CLAIM_WARM_UP_SECONDS)
         planned = planned_requests(context, 6, "depth-label")
         keys = [new_key(KEY_SOURCE) for _ in planned]
         await send_requests(context, planned, keys)
@@ -109,7 +109,7 @@
 @when("an engine is killed with requests in flight")
 def step_engine_killed(context):
     async def run():
-        await asyncio.sleep(CLAIM_MARGIN_SECONDS)
+        await asyncio.sleep(CLAIM_WARM_UP_SECONDS)
         planned = streaming_requests(context, 12)
         keys = [new_key(KEY_SOURCE) if r.number % 2 else "" for r in planned]
         calls = asyncio.create_task(send_requests(context, planned, keys))
--- a/features/steps/quota_steps.py
+++ b/features/steps/quota_steps.py
@@ -67,20 +67,22 @@
     network.run(RUN_END_S)
 
 
-@when("the tenant requests {times:g} times its rate, and after 6 s its limit is lowered to a tenth")
-def step_lowered(context, times):
+@when(
+    "the tenant requests {factor:g} times its rate, and after 6 s its limit is lowered to a tenth"
+)
+def step_lowered(context, factor):
     network = context.network
     rate = network.limit.rate_per_s
-    network.send_load(0.0, 2 * RUN_END_S, times * rate)
+    network.send_load(0.0, 2 * RUN_END_S, factor * rate)
     network.clock.call_at(BASE_LOAD_END_S, lambda: network.set_limit(rate / 10))
     network.run(2 * RUN_END_S)
 
 
-@when("the tenant requests {times:g} times its rate, and its limit is doubled for a second")
-def step_doubled(context, times):
+@when("the tenant requests {factor:g} times its rate, and its limit is doubled for a second")
+def step_doubled(context, factor):
     network = context.network
     rate = network.limit.rate_per_s
-    network.send_load(0.0, RUN_END_S, times * rate)
+    network.send_load(0.0, RUN_END_S, factor * rate)
     network.clock.call_at(BASE_LOAD_END_S, lambda: network.set_limit(2 * rate))
     network.clock.call_at(BASE_LOAD_END_S + 1.0, lambda: network.set_limit(rate))
     network.run(RUN_END_S)
@@ -129,12 +131,12 @@
 )
 
 
-def play(calls, troubles, seed):
+def play(load_intervals, faults, seed):
     network = QuotaNetwork(7, 318_000, seed)
     rate = network.limit.rate_per_s
-    for since, lasting, times, one_node in calls:
-        network.send_load(since, since + lasting, times * rate, nodes=[3] if one_node else None)
-    for kind, at, numbers in troubles:
+    for since, duration, factor, one_node in load_intervals:
+        network.send_load(since, since + duration, factor * rate, nodes=[3] if one_node else None)
+    for kind, at, numbers in faults:
         network.clock.call_at(at, lambda k=kind, n=numbers: apply_fault(network, k, n, rate))
     network.run(26.0)
     return network
@@ -143,7 +145,7 @@
 def apply_fault(network, kind, numbers, rate):
     if kind == "cut":
         network.partitioned = set(numbers)
-        later(network, 2.0, network.partitioned.clear)
+        call_later(network, 2.0, network.partitioned.clear)
     elif kind == "restart":
         network.restart(numbers, 1.2)
     elif kind == "restart all":
@@ -154,12 +156,12 @@
         network.set_limit(rate * (0.5 if kind == "lower" else 1.0))
 
 
-def later(network, seconds, what):
-    network.clock.call_later(seconds, what)
+def call_later(network, seconds, callback):
+    network.clock.call_later(seconds, callback)
 
 
 @then("in {count:d} random sequences no window of 8 s exceeds the tolerance")
-def step_histories(context, count):
+def step_random_sequences(context, count):
     @settings(
         max_examples=count,
         deadline=None,
