--- a/features/steps/promise_steps.py
+++ b/features/steps/promise_steps.py
@@ -219,7 +219,7 @@
         operator = context.cluster.operator(index)
         history.final_generations[node.name] = (await operator.call("GET", "/status"))["generation"]
         rows = (await operator.call("GET", "/history"))["confirmations"]
-        history.histories[node.name] = [row["summary"] for row in rows]
+        history.confirmation_summaries[node.name] = [row["summary"] for row in rows]
 
 
 async def wait_for_generation(context, generation):
--- a/liftrill/bench/faults/checkers.py
+++ b/liftrill/bench/faults/checkers.py
@@ -152,7 +152,7 @@
     highest: dict[tuple[str, int], int] = {}
     violations: list[str] = []
     for sample in history.samples:
-        key = (sample.node, sample.life)
+        key = (sample.node, sample.start_count)
         if sample.generation < highest.get(key, 0):
             violations.append(f"{sample.node} went back to generation {sample.generation}")
         highest[key] = max(highest.get(key, 0), sample.generation)
@@ -170,7 +170,7 @@
 
 def _told_wrongly(history: RunHistory) -> list[str]:
     violations: list[str] = []
-    for node, summaries in history.histories.items():
+    for node, summaries in history.confirmation_summaries.items():
         for confirmation in history.confirmations:
             is_there = any(f"tenants {confirmation.tenant}:" in line for line in summaries)
             if confirmation.code == 0 and not is_there:
--- a/liftrill/bench/faults/inject.py
+++ b/liftrill/bench/faults/inject.py
@@ -36,9 +36,9 @@
         self._race_number = 0
         self._platform_lock = asyncio.Lock()
         self._node_free = asyncio.Condition()
-        self.lives: Counter[str] = Counter()
-        self.down: set[str] = set()
-        self.stopping: set[str] = set()
+        self.start_counts: Counter[str] = Counter()
+        self.down_nodes: set[str] = set()
+        self.stopping_nodes: set[str] = set()
         self._actions: dict[FaultAction, Callable[[PlannedFault], Awaitable[None]]] = {
             FaultAction.ENGINE_KILL: self._engine_kill,
             FaultAction.ENGINE_CRASH: self._engine_fault("crash"),
@@ -58,7 +58,7 @@
             FaultAction.WEIGHT_CHANGE: self._weight_change,
         }
 
-    async def carry_out(self, schedule: list[PlannedFault]) -> None:
+    async def run_schedule(self, schedule: list[PlannedFault]) -> None:
         """Carry out all faults at their times, overlapping."""
         started_at = time.monotonic()
         tasks: list[asyncio.Task[None]] = []
@@ -142,7 +142,7 @@
 
     async def _node_kill(self, fault: PlannedFault) -> None:
         node = await self._take_node(fault.target)
-        self.down.add(node.name)
+        self.down_nodes.add(node.name)
         node.send_signal(signal.SIGKILL)
         await asyncio.to_thread(node.wait, KILL_WAIT_SECONDS)
         await asyncio.sleep(fault.seconds)
@@ -157,16 +157,16 @@
 
     async def _node_stop(self, fault: PlannedFault) -> None:
         node = await self._take_node(fault.target)
-        self.stopping.add(node.name)
+        self.stopping_nodes.add(node.name)
         node.send_signal(signal.SIGTERM)
         exit_code = await asyncio.to_thread(node.wait, STOP_WAIT_SECONDS)
         self._history.planned_stops.append(PlannedStop(node.name, exit_code))
-        self.down.add(node.name)
-        self.stopping.discard(node.name)
+        self.down_nodes.add(node.name)
+        self.stopping_nodes.discard(node.name)
         await self._start_node(node)
 
     async def _start_node(self, node: ManagedProcess) -> None:
-        self.lives[node.name] += 1
+        self.start_counts[node.name] += 1
         started_at = time.monotonic()
         node.start()
         try:
@@ -177,7 +177,7 @@
         except LaunchError:
             elapsed = None
         self._history.node_starts.append(NodeStart(node.name, elapsed))
-        self.down.discard(node.name)
+        self.down_nodes.discard(node.name)
         await self._release_node(node)
 
     async def _answers(self, node: ManagedProcess) -> bool:
--- a/liftrill/bench/faults/observations.py
+++ b/liftrill/bench/faults/observations.py
@@ -45,7 +45,7 @@
 
     at: float
     node: str
-    life: int
+    start_count: int
     generation: int
 
 
@@ -85,5 +85,5 @@
     samples: list[GenerationSample] = field(default_factory=list)
     confirmations: list[Confirmation] = field(default_factory=list)
     final_generations: dict[str, int] = field(default_factory=dict)
-    histories: dict[str, list[str]] = field(default_factory=dict)
+    confirmation_summaries: dict[str, list[str]] = field(default_factory=dict)
     faults_began_at: float = 0.0
--- a/liftrill/bench/faults/run.py
+++ b/liftrill/bench/faults/run.py
@@ -14,7 +14,7 @@
 from liftrill.bench.faults.checkers import Verdict, check_all
 from liftrill.bench.faults.inject import FaultInjector, weight_versions
 from liftrill.bench.faults.observations import GenerationSample, RunHistory
-from liftrill.bench.faults.schedule import QUIET_SHARE, draw_schedule
+from liftrill.bench.faults.schedule import FAULT_FREE_SHARE, draw_schedule
 from liftrill.bench.history import CallRecord
 from liftrill.bench.idempotency_key import new_key
 from liftrill.bench.launcher import Cluster, LaunchError, ManagedProcess, wait_until
@@ -83,8 +83,8 @@
         load = _FaultLoad(cluster, injector, history, seed)
         sampler = asyncio.create_task(load.sample_generations())
         started_at = time.monotonic()
-        history.faults_began_at = started_at + seconds * QUIET_SHARE
-        faults = asyncio.create_task(injector.carry_out(draw_schedule(seed, seconds)))
+        history.faults_began_at = started_at + seconds * FAULT_FREE_SHARE
+        faults = asyncio.create_task(injector.run_schedule(draw_schedule(seed, seconds)))
         await load.send(seconds)
         await faults
         await load.observe_end()
@@ -152,11 +152,11 @@
         """Return the next node that is not known to be down."""
         nodes = self._cluster.nodes
         order = [nodes[(number + offset) % len(nodes)] for offset in range(len(nodes))]
-        up = [node for node in order if node.name not in self._injector.down]
+        up = [node for node in order if node.name not in self._injector.down_nodes]
         return (up or order)[0]
 
     def _was_cut_by_stop(self, node: ManagedProcess, record: CallRecord) -> bool:
-        stopping = node.name in self._injector.stopping
+        stopping = node.name in self._injector.stopping_nodes
         refused = "Connect" in record.transport_error
         return stopping and bool(record.transport_error) and not refused
 
@@ -168,16 +168,18 @@
 
     async def _sample(self, index: int) -> None:
         node = self._cluster.nodes[index]
-        life = self._injector.lives[node.name]
-        if node.name in self._injector.down:
+        start_count = self._injector.start_counts[node.name]
+        if node.name in self._injector.down_nodes:
             return
         try:
             status = await self._cluster.operator(index).call("GET", "/status")
         except OperatorCallError:
             return
-        if life == self._injector.lives[node.name]:
+        if start_count == self._injector.start_counts[node.name]:
             generation = int(status["generation"])
-            self._history.samples.append(GenerationSample(time.time(), node.name, life, generation))
+            self._history.samples.append(
+                GenerationSample(time.time(), node.name, start_count, generation)
+            )
 
     async def observe_end(self) -> None:
         """Wait until the nodes agree, and record what is in force."""
@@ -189,7 +191,7 @@
             status = await operator.call("GET", "/status")
             rows = (await operator.call("GET", "/history"))["confirmations"]
             self._history.final_generations[node.name] = int(status["generation"])
-            self._history.histories[node.name] = [row["summary"] for row in rows]
+            self._history.confirmation_summaries[node.name] = [row["summary"] for row in rows]
 
     async def _nodes_agree(self) -> bool:
         newest = max((c.generation for c in self._history.confirmations), default=0)
--- a/liftrill/bench/faults/schedule.py
+++ b/liftrill/bench/faults/schedule.py
@@ -42,7 +42,7 @@
     seconds: float
 
 
-QUIET_SHARE = 0.25
+FAULT_FREE_SHARE = 0.25
 SHORTEST_SECONDS = 0.5
 LONGEST_SECONDS = 2.0
 
@@ -55,7 +55,7 @@
     source = random.Random(f"faults/{seed}")
     actions = list(FaultAction)
     source.shuffle(actions)
-    begin = seconds * QUIET_SHARE
+    begin = seconds * FAULT_FREE_SHARE
     gap = (seconds - begin) / len(actions)
     return [
         PlannedFault(
--- a/liftrill/bench/launcher.py
+++ b/liftrill/bench/launcher.py
@@ -30,7 +30,7 @@
 CLAIM_GROUP_SIZE = 3
 # Which ports to take: FIRST-LAST.
 PORTS_VARIABLE = "LIFTRILL_BENCH_PORTS"
-FREE_PORTS = "10000-29999"
+DEFAULT_PORT_RANGE = "10000-29999"
 
 
 class LaunchError(LiftrillError):
@@ -347,7 +347,7 @@
     They lie below those that the system gives to outgoing connections, and in a part of
     their own for each process that sets `PORTS_VARIABLE`: nobody takes them meanwhile.
     """
-    first, _, last = os.environ.get(PORTS_VARIABLE, FREE_PORTS).partition("-")
+    first, _, last = os.environ.get(PORTS_VARIABLE, DEFAULT_PORT_RANGE).partition("-")
     candidates = list(range(int(first), int(last) + 1))
     random.shuffle(candidates)
     found: list[int] = []
--- a/liftrill/bench/live.py
+++ b/liftrill/bench/live.py
@@ -14,7 +14,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class LiveFigures:
+class LiveMetrics:
     """Figures of one policy over processes; times in milliseconds."""
 
     policy: str
@@ -29,7 +29,7 @@
 
 async def run_live(
     scenario: Scenario, policy: str, seed: int, seconds: float, directory: Path
-) -> LiveFigures:
+) -> LiveMetrics:
     """Run the first seconds of a scenario's load under a policy, and return its figures."""
     deployment = scenario.scaled_deployment()
     generator = WorkloadGenerator(deployment, seed)
@@ -65,7 +65,7 @@
     return await send_open_loop(planned, lambda r: asyncio.create_task(send(r)))
 
 
-def format_live(rows: list[LiveFigures]) -> str:
+def format_live(rows: list[LiveMetrics]) -> str:
     """Return the figures for people, the best hit rate first."""
     lines = [f"{'policy':24} {'hit':>6} {'wasted':>9} {'p50':>7} {'p99':>7} {'problems':>9}"]
     for row in sorted(rows, key=lambda r: r.hit_rate, reverse=True):
@@ -76,8 +76,8 @@
     return "\n".join(lines)
 
 
-def _figures(policy: str, seed: int, summary: LoadSummary) -> LiveFigures:
-    return LiveFigures(
+def _figures(policy: str, seed: int, summary: LoadSummary) -> LiveMetrics:
+    return LiveMetrics(
         policy=policy,
         seed=seed,
         requests=summary.requests,
--- a/liftrill/bench/report.py
+++ b/liftrill/bench/report.py
@@ -7,7 +7,7 @@
 from matplotlib import pyplot
 from matplotlib.axes import Axes
 
-from liftrill.bench.simulation.compare import RunFigures, figures
+from liftrill.bench.simulation.compare import RunMetrics, run_metrics
 from liftrill.bench.simulation.scenario import Scenario
 from liftrill.bench.simulation.simulator import SimulatedCall, Simulation
 from liftrill.bench.summary import percentiles
@@ -22,14 +22,14 @@
     """Run a scenario under each policy and write `NAME.md` and `NAME.png`; return the page."""
     directory.mkdir(parents=True, exist_ok=True)
     calls = {policy: Simulation(scenario, policy, seed).run() for policy in policies}
-    rows = [figures(scenario.name, policy, seed, found) for policy, found in calls.items()]
+    rows = [run_metrics(scenario.name, policy, seed, found) for policy, found in calls.items()]
     _plot(scenario, calls, directory / f"{scenario.name}.png")
     page = directory / f"{scenario.name}.md"
     page.write_text(_page(scenario, seed, rows))
     return page
 
 
-def _page(scenario: Scenario, seed: int, rows: Sequence[RunFigures]) -> str:
+def _page(scenario: Scenario, seed: int, rows: Sequence[RunMetrics]) -> str:
     lines = [
         f"# {scenario.name}",
         "",
--- a/liftrill/bench/scale/hollow_node.py
+++ b/liftrill/bench/scale/hollow_node.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass, field
 
 from liftrill import constants
-from liftrill.bench.scale.network import Network, Place
+from liftrill.bench.scale.network import Location, Network
 from liftrill.bench.simulation.clock import VirtualClock
 from liftrill.coordination.configuration import (
     Adoption,
@@ -56,7 +56,7 @@
 
 
 @dataclass(slots=True)
-class ChangeLog:
+class Detections:
     """When each node first knew of something."""
 
     generation_at: dict[int, float] = field(default_factory=dict)
@@ -73,7 +73,7 @@
         clock: VirtualClock,
         network: Network,
         node_id: str,
-        place: Place,
+        location: Location,
         seeds: list[str],
         engines: dict[str, HollowEngine],
         parameters: MembershipParameters,
@@ -81,9 +81,9 @@
     ) -> None:
         self.node_id = node_id
         self.address = node_id
-        self.place = place
+        self.location = location
         self.traffic = Traffic()
-        self.log = ChangeLog()
+        self.detections = Detections()
         self.processor_seconds = 0.0
         self.alive = True
         self.table = EngineTable()
@@ -93,12 +93,12 @@
         self._network = network
         self._engines = engines
         self._random = random.Random(seed)
-        own = Member(node_id, node_id, place.region, place.zone, int(clock.now() * 1000) + 1)
+        own = Member(node_id, node_id, location.region, location.zone, int(clock.now() * 1000) + 1)
         self.membership = Membership(own, seeds, parameters, self._random)
         self._peers: dict[str, HollowNode] = {}
         self._pulling = False
         self._watched: list[str] = []
-        network.attach(self.address, place, self._receive)
+        network.attach(self.address, location, self._receive)
 
     def start(self, peers: "dict[str, HollowNode]") -> None:
         """Begin to tick and to watch engines."""
@@ -161,9 +161,9 @@
 
     def _note_member(self, member: Member) -> None:
         if member.condition.name == "SUSPECT":
-            self.log.suspicions += 1
+            self.detections.suspicions += 1
         if member.condition.name == "DEAD":
-            self.log.dead_at.setdefault(member.node_id, self._clock.now())
+            self.detections.dead_at.setdefault(member.node_id, self._clock.now())
 
     # Configuration
 
@@ -204,7 +204,7 @@
     def _on_adopted(self) -> None:
         generation = self.replica.generation
         self.membership.generation = generation
-        self.log.generation_at.setdefault(generation, self._clock.now())
+        self.detections.generation_at.setdefault(generation, self._clock.now())
         self._carry_out(self.membership.announce())
 
     def _count_transfer(self, peer: "HollowNode", content_bytes: int) -> None:
@@ -219,8 +219,8 @@
         if not self.alive:
             return
         started_at = time.process_time()
-        members = [m.node_id for m in self.membership.members() if m.region == self.place.region]
-        engines = [e for e in self._engines if e.startswith(f"{self.place.region}/")]
+        members = [m.node_id for m in self.membership.members() if m.region == self.location.region]
+        engines = [e for e in self._engines if e.startswith(f"{self.location.region}/")]
         self._watched = watched_engines(self.node_id, members, engines)
         self.processor_seconds += time.process_time() - started_at
         self._clock.call_later(constants.WATCH_ASSIGNMENT_SECONDS, self._assign)
@@ -238,7 +238,7 @@
         rate = constants.ENGINE_EXTRA_REPORTS / constants.ENGINE_REPORT_INTERVAL_SECONDS
         return int(rate * constants.ENGINE_WATCH_SECONDS)
 
-    def hear_of_change(self, engine: HollowEngine) -> None:
+    def receive_engine_change(self, engine: HollowEngine) -> None:
         """Get the answer of a blocking query, if this node watches the engine."""
         if self.alive and engine.engine_id in self._watched:
             self.traffic.reports += REPORT_BYTES
@@ -250,7 +250,7 @@
             return
         self.membership.request_announcement()
         if observation.identity.leaving:
-            self.log.leaving_at.setdefault(observation.engine_id, self._clock.now())
+            self.detections.leaving_at.setdefault(observation.engine_id, self._clock.now())
 
 
 def head_bytes(head: Head) -> int:
--- a/liftrill/bench/scale/network.py
+++ b/liftrill/bench/scale/network.py
@@ -17,7 +17,7 @@
 
 
 @dataclass(slots=True)
-class Place:
+class Location:
     """Where a node is."""
 
     region: str
@@ -30,20 +30,22 @@
 
     Attributes:
         loss_share: share of datagrams that are lost.
-        cut_regions: regions that reach only themselves.
+        partitioned_regions: regions that reach only themselves.
     """
 
     clock: VirtualClock
     random_source: random.Random
     latencies: Latencies = field(default_factory=Latencies)
     loss_share: float = 0.0
-    cut_regions: set[str] = field(default_factory=set)
-    _places: dict[str, Place] = field(default_factory=dict)
+    partitioned_regions: set[str] = field(default_factory=set)
+    _places: dict[str, Location] = field(default_factory=dict)
     _receivers: dict[str, Callable[[bytes, str], None]] = field(default_factory=dict)
 
-    def attach(self, address: str, place: Place, receive: Callable[[bytes, str], None]) -> None:
+    def attach(
+        self, address: str, location: Location, receive: Callable[[bytes, str], None]
+    ) -> None:
         """Let an address receive."""
-        self._places[address] = place
+        self._places[address] = location
         self._receivers[address] = receive
 
     def detach(self, address: str) -> None:
@@ -55,7 +57,7 @@
         if target not in self._receivers:
             return False
         regions = {self._places[source].region, self._places[target].region}
-        return len(regions) == 1 or not regions & self.cut_regions
+        return len(regions) == 1 or not regions & self.partitioned_regions
 
     def delay(self, source: str, target: str) -> float:
         """Return the one-way delay between two addresses."""
--- a/liftrill/bench/scale/run.py
+++ b/liftrill/bench/scale/run.py
@@ -7,7 +7,7 @@
 import psutil
 
 from liftrill.bench.scale.hollow_node import HollowEngine, HollowNode
-from liftrill.bench.scale.network import Network, Place
+from liftrill.bench.scale.network import Location, Network
 from liftrill.bench.simulation.clock import VirtualClock
 from liftrill.bench.summary import percentiles
 from liftrill.coordination.configuration import Head, content_digest
@@ -85,10 +85,10 @@
 
     def run(self) -> ScaleResult:
         """Measure quiet costs, then changes, a cut, a leaving engine and a death."""
-        suspicions_before = sum(node.log.suspicions for node in self._nodes.values())
+        suspicions_before = sum(node.detections.suspicions for node in self._nodes.values())
         traffic = self._measure_traffic()
-        suspicions = sum(n.log.suspicions for n in self._nodes.values()) - suspicions_before
-        false_deaths = sum(len(node.log.dead_at) for node in self._nodes.values())
+        suspicions = sum(n.detections.suspicions for n in self._nodes.values()) - suspicions_before
+        false_deaths = sum(len(node.detections.dead_at) for node in self._nodes.values())
         after_cut = self._measure_cut()
         leaving = self._measure_leaving()
         death, unaware = self._measure_death()
@@ -135,7 +135,7 @@
                 self._clock,
                 self._network,
                 node_id,
-                Place(f"region-{number % REGIONS}", f"zone-{number % ZONES}"),
+                Location(f"region-{number % REGIONS}", f"zone-{number % ZONES}"),
                 seeds,
                 self._engines,
                 parameters,
@@ -193,9 +193,9 @@
         measured = [g for g in self._confirmed_at if g > 1 and g not in self._cut_generations]
         return [
             [
-                node.log.generation_at[g] - self._confirmed_at[g]
+                node.detections.generation_at[g] - self._confirmed_at[g]
                 for node in self._nodes.values()
-                if g in node.log.generation_at
+                if g in node.detections.generation_at
             ]
             for g in measured
         ]
@@ -203,17 +203,18 @@
     def _measure_cut(self) -> float:
         """Cut a region off, change the configuration, heal, and wait for the region."""
         region = f"region-{REGIONS - 1}"
-        self._network.cut_regions.add(region)
+        self._network.partitioned_regions.add(region)
         self._clock.run(self._clock.now() + CUT_SECONDS / 2)
         before = self._generation
         self._confirm()
         self._cut_generations = {self._generation}
         self._clock.run(self._clock.now() + CUT_SECONDS / 2)
-        self._network.cut_regions.clear()
+        self._network.partitioned_regions.clear()
         healed_at = self._clock.now()
         self._clock.run(healed_at + 60.0)
         late = [
-            node.log.generation_at.get(before + 1, float("inf")) for node in self._nodes.values()
+            node.detections.generation_at.get(before + 1, float("inf"))
+            for node in self._nodes.values()
         ]
         return max(max(late) - healed_at, 0.0)
 
@@ -222,25 +223,26 @@
         engine.identity = replace(engine.identity, revision=1, leaving=True)
         marked_at = self._clock.now()
         for node in self._nodes.values():
-            node.hear_of_change(engine)
+            node.receive_engine_change(engine)
         self._clock.run(marked_at + 30.0)
         known = [
-            node.log.leaving_at.get(engine.engine_id, float("inf")) for node in self._nodes.values()
+            node.detections.leaving_at.get(engine.engine_id, float("inf"))
+            for node in self._nodes.values()
         ]
         return max(known) - marked_at
 
     def _measure_death(self) -> tuple[float, int]:
         victim = self._random.choice(list(self._nodes.values()))
         for node in self._nodes.values():
-            node.log.dead_at.pop(victim.node_id, None)
+            node.detections.dead_at.pop(victim.node_id, None)
         victim.kill()
         died_at = self._clock.now()
         self._clock.run(died_at + 60.0)
         others = [node for node in self._nodes.values() if node is not victim]
         known = [
-            node.log.dead_at[victim.node_id]
+            node.detections.dead_at[victim.node_id]
             for node in others
-            if victim.node_id in node.log.dead_at
+            if victim.node_id in node.detections.dead_at
         ]
         return max(known, default=float("inf")) - died_at, len(others) - len(known)
 
--- a/liftrill/bench/simulation/compare.py
+++ b/liftrill/bench/simulation/compare.py
@@ -14,7 +14,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class RunFigures:
+class RunMetrics:
     """Figures of one run.
 
     Attributes:
@@ -45,7 +45,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class PolicyFigures:
+class PolicyMetrics:
     """Medians over the seeds; latencies in milliseconds."""
 
     policy: str
@@ -65,7 +65,7 @@
 
     scenario: str
     seeds: tuple[int, ...]
-    policies: tuple[PolicyFigures, ...]
+    policies: tuple[PolicyMetrics, ...]
     waste_ratio: float
     first_token_p99_ratio: float
 
@@ -74,18 +74,20 @@
         return asdict(self)
 
 
-def run_once(scenario: Scenario, policy: str, seed: int) -> RunFigures:
+def run_once(scenario: Scenario, policy: str, seed: int) -> RunMetrics:
     """Run one simulation and return its figures."""
-    return figures(scenario.name, policy, seed, Simulation(scenario, policy, seed).run())
+    return run_metrics(scenario.name, policy, seed, Simulation(scenario, policy, seed).run())
 
 
-def figures(scenario: str, policy: str, seed: int, calls: Sequence[SimulatedCall]) -> RunFigures:
+def run_metrics(
+    scenario: str, policy: str, seed: int, calls: Sequence[SimulatedCall]
+) -> RunMetrics:
     """Return the figures of a run's calls."""
     done = [call for call in calls if call.complete]
     prompt_tokens = sum(call.prompt_tokens for call in done) or 1
     latency = percentiles(_first_token_seconds(done))
     urgent = percentiles(_first_token_seconds(call for call in done if call.urgent))
-    return RunFigures(
+    return RunMetrics(
         scenario=scenario,
         policy=policy,
         seed=seed,
@@ -147,11 +149,11 @@
     return [c.first_token_at - c.sent_at for c in calls if c.first_token_at is not None]
 
 
-def _medians(policy: str, runs: Sequence[RunFigures]) -> PolicyFigures:
+def _medians(policy: str, runs: Sequence[RunMetrics]) -> PolicyMetrics:
     def median(values: Iterable[float]) -> float:
         return statistics.median(values)
 
-    return PolicyFigures(
+    return PolicyMetrics(
         policy=policy,
         hit_rate=median(r.hit_rate for r in runs),
         share_of_bound=median(r.share_of_bound for r in runs),
--- a/liftrill/bench/simulation/kept_store.py
+++ b/liftrill/bench/simulation/kept_store.py
@@ -18,7 +18,7 @@
         self._prefixes: OrderedDict[bytes, int] = OrderedDict()
         self.exported_blocks = 0
 
-    def longest(self, names: Sequence[bytes]) -> int:
+    def longest_stored_prefix(self, names: Sequence[bytes]) -> int:
         """Return the length in blocks of the longest named prefix that is stored, or 0."""
         for name in reversed(names):
             if name in self._prefixes:
@@ -26,7 +26,7 @@
                 return self._prefixes[name]
         return 0
 
-    def keep(self, advice: KeepPrefix, engine: "SimulatedEngine") -> None:
+    def save(self, advice: KeepPrefix, engine: "SimulatedEngine") -> None:
         """Take a prefix from an engine, if the engine still holds it."""
         if advice.name not in engine.model.cache:
             return
--- a/liftrill/bench/simulation/node.py
+++ b/liftrill/bench/simulation/node.py
@@ -216,7 +216,7 @@
             incarnation=instruction.incarnation,
             weight_version=instruction.weight_version,
             user=request.tenant,
-            kept_blocks=self._kept_store.longest(instruction.import_candidates),
+            kept_blocks=self._kept_store.longest_stored_prefix(instruction.import_candidates),
         )
         attempt_id = instruction.attempt_id
 
@@ -286,7 +286,7 @@
             opened.engine.record_success()
             advice = self.router.record_answer(request, outcome.engine_id, outcome.cached_tokens)
             if advice is not None:
-                self._kept_store.keep(advice, self._engines[advice.engine_id])
+                self._kept_store.save(advice, self._engines[advice.engine_id])
         self.router.record_abandoned(request)
         self._close(opened)
         opened.on_end(outcome)
