--- a/liftrill/bench/__init__.py
+++ b/liftrill/bench/__init__.py
@@ -1,1 +1,1 @@
-"""Scenarios, load, history checking and reports."""
+"""Benchmarks and fault tests: load generation, simulation, history checks and reports."""
--- a/liftrill/bench/caller.py
+++ b/liftrill/bench/caller.py
@@ -1,4 +1,4 @@
-"""Sends requests to nodes as an application does, and records what it sees."""
+"""Sends requests to nodes as an application does, and records the responses."""
 
 import asyncio
 import time
@@ -12,11 +12,11 @@
 from liftrill.bench.history import CallRecord
 from liftrill.bench.workload import PlannedRequest
 
-GIVE_UP_MARGIN_SECONDS = 10.0
+TIMEOUT_MARGIN_SECONDS = 10.0
 
 
 class Caller:
-    """Sends requests over one connection pool."""
+    """Sends requests over one client session and checks the responses."""
 
     def __init__(self, session: aiohttp.ClientSession, weight_versions: list[str]) -> None:
         self._session = session
@@ -25,7 +25,7 @@
     async def send(
         self, node_name: str, address: str, planned: PlannedRequest, idempotency_key: str = ""
     ) -> CallRecord:
-        """Send a request, read the whole answer and check it."""
+        """Send a request, read and check the whole response, and return its record."""
         record = CallRecord(
             number=planned.number,
             node=node_name,
@@ -34,15 +34,15 @@
             idempotency_key=idempotency_key,
             sent_at=time.monotonic(),
         )
-        limit = planned.workload.deadline_milliseconds / 1000 + GIVE_UP_MARGIN_SECONDS
+        timeout_seconds = planned.workload.deadline_milliseconds / 1000 + TIMEOUT_MARGIN_SECONDS
         try:
             async with self._session.post(
                 f"http://{address}/v1/completions",
                 data=orjson.dumps(_body(planned)),
                 headers=_headers(planned, idempotency_key),
-                timeout=aiohttp.ClientTimeout(total=limit, sock_connect=2.0),
+                timeout=aiohttp.ClientTimeout(total=timeout_seconds, sock_connect=2.0),
             ) as response:
-                await self._read(record, response, planned)
+                await self._read_response(record, response, planned)
         except (aiohttp.ClientError, TimeoutError, OSError) as error:
             record.transport_error = repr(error)
         record.ended_at = time.monotonic()
@@ -50,7 +50,7 @@
         self._check(record, planned)
         return record
 
-    async def _read(
+    async def _read_response(
         self, record: CallRecord, response: aiohttp.ClientResponse, planned: PlannedRequest
     ) -> None:
         record.status = response.status
@@ -62,7 +62,7 @@
         elif planned.workload.streamed:
             await self._read_stream(record, response)
         else:
-            self._read_whole(record, orjson.loads(await response.read()))
+            self._read_unstreamed(record, orjson.loads(await response.read()))
 
     async def _read_stream(self, record: CallRecord, response: aiohttp.ClientResponse) -> None:
         async for line in response.content:
@@ -85,12 +85,12 @@
             return
         if record.first_token_at is None:
             record.first_token_at = time.monotonic()
-        _take_choice(record, chunk)
+        _record_choice(record, chunk)
 
-    def _read_whole(self, record: CallRecord, body: dict[str, object]) -> None:
+    def _read_unstreamed(self, record: CallRecord, body: dict[str, object]) -> None:
         record.first_token_at = time.monotonic()
         record.complete = True
-        _take_choice(record, body)
+        _record_choice(record, body)
 
     def _check(self, record: CallRecord, planned: PlannedRequest) -> None:
         if record.status and not record.execution:
@@ -106,7 +106,7 @@
     planned: list[PlannedRequest],
     send: Callable[[PlannedRequest], "asyncio.Task[CallRecord]"],
 ) -> list[CallRecord]:
-    """Send each request at its time, whether or not earlier ones have been answered."""
+    """Send each request at its scheduled time, without waiting for earlier responses."""
     started_at = time.monotonic()
     tasks: list[asyncio.Task[CallRecord]] = []
     for request in planned:
@@ -139,7 +139,7 @@
     return headers
 
 
-def _take_choice(record: CallRecord, content: dict[str, object]) -> None:
+def _record_choice(record: CallRecord, content: dict[str, object]) -> None:
     choices = content["choices"]
     assert isinstance(choices, list)
     record.text += choices[0]["text"]
--- a/liftrill/bench/faults/__init__.py
+++ b/liftrill/bench/faults/__init__.py
@@ -1,1 +1,1 @@
-"""Load under a seeded schedule of faults, and checkers over the recorded history."""
+"""Fault tests: load under a seeded schedule of faults, and checks of the recorded history."""
--- a/liftrill/bench/faults/checkers.py
+++ b/liftrill/bench/faults/checkers.py
@@ -1,4 +1,4 @@
-"""One checker per promise. Each reads the history only, never the nodes' own opinion."""
+"""One checker for each guarantee. A checker reads only the recorded history of a run."""
 
 from collections import Counter
 from collections.abc import Callable
@@ -14,10 +14,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Verdict:
-    """What a checker found.
+    """The result of a checker.
 
     Attributes:
-        checked: how many events it judged; a promise with none was not tested.
+        promise: name of the guarantee.
+        checked: number of events that were checked; 0 means that the guarantee was not tested.
     """
 
     promise: str
@@ -26,7 +27,7 @@
 
 
 def check_cache_scope(history: RunHistory) -> Verdict:
-    """Check that no other tenant's, weights' or dead incarnation's cache was relied on."""
+    """Check that no request used cache of another tenant, weight version or engine incarnation."""
     violations: list[str] = []
     for reuse in history.reuses:
         for user, weight_version in reuse["origins"]:
@@ -35,12 +36,14 @@
     for row in history.executions:
         expected = row["expected_incarnation"]
         if expected != row["incarnation"]:
-            violations.append(f"{row['request_id']} ran on another incarnation than expected")
+            violations.append(
+                f"{row['request_id']} ran on incarnation {row['incarnation']}, expected {expected}"
+            )
     return Verdict("cache scope", len(history.reuses) + len(history.executions), violations)
 
 
 def check_streams(history: RunHistory) -> Verdict:
-    """Check that every answer is complete and in order, or ends in an explicit error."""
+    """Check that each response is complete and in order, or ends with an explicit error."""
     violations = [
         f"request {call.number}: {problem}"
         for call in history.calls
@@ -51,7 +54,7 @@
 
 
 def check_own_answers(history: RunHistory) -> Verdict:
-    """Check that every caller gets the answer to its own request."""
+    """Check that each caller receives the response to its own request."""
     violations = [
         f"request {call.number}: {problem}"
         for call in history.calls
@@ -62,68 +65,71 @@
 
 
 def check_not_run(history: RunHistory) -> Verdict:
-    """Check that a request that was told not run has no execution.
+    """Check that a request reported as not run was not executed.
 
-    A key that was told not run must have none until then; its caller may send it again,
-    and that submission may run.
+    An idempotency key must have no execution before the response that reports not run. The
+    caller may submit the key again, and a later submission may run.
     """
     executed = {row["request_id"] for row in history.executions}
-    first_run = _first_run_of_keys(history)
-    told = [call for call in history.calls if call.execution == "not-run"]
+    first_executions = _first_executions(history)
+    reported_not_run = [call for call in history.calls if call.execution == "not-run"]
     violations = [
-        f"request {call.number} was told not run ({call.code}) and ran"
-        for call in told
+        f"request {call.number} was reported as not run (code {call.code}) but ran"
+        for call in reported_not_run
         if call.request_id in executed
-        or first_run.get(call.idempotency_key, call.answered_at_unix) < call.answered_at_unix
+        or first_executions.get(call.idempotency_key, call.answered_at_unix) < call.answered_at_unix
     ]
-    return Verdict("not run means not run", len(told), violations)
+    return Verdict("not run means not run", len(reported_not_run), violations)
 
 
-def _first_run_of_keys(history: RunHistory) -> dict[str, float]:
-    """Return when each key first ran, in Unix seconds."""
-    first_run: dict[str, float] = {}
+def _first_executions(history: RunHistory) -> dict[str, float]:
+    """Return the time of the first execution of each idempotency key, in Unix seconds."""
+    first_executions: dict[str, float] = {}
     for row in history.executions:
         key = row["idempotency_key"]
         if key:
-            first_run[key] = min(row["at"], first_run.get(key, row["at"]))
-    return first_run
+            first_executions[key] = min(row["at"], first_executions.get(key, row["at"]))
+    return first_executions
 
 
 def check_at_most_once(history: RunHistory) -> Verdict:
-    """Check that a key runs at most once."""
+    """Check that each idempotency key is executed at most once."""
     counts = Counter(r["idempotency_key"] for r in history.executions if r["idempotency_key"])
-    violations = [f"key {key} ran {count} times" for key, count in counts.items() if count > 1]
+    violations = [
+        f"idempotency key {key} ran {count} times" for key, count in counts.items() if count > 1
+    ]
     keys = {call.idempotency_key for call in history.calls if call.idempotency_key}
     return Verdict("at most once", len(keys), violations)
 
 
 def check_leaving(history: RunHistory) -> Verdict:
-    """Check that a leaving engine gets no new work after the grace time."""
+    """Check that a leaving engine receives no new request after the grace period."""
     violations: list[str] = []
     for mark in history.leaving_marks:
-        late = [
+        late_executions = [
             row
             for row in history.executions
             if row["engine_id"] == mark.engine_id
             and mark.at + LEAVING_GRACE_SECONDS < row["at"] < mark.until
         ]
         violations.extend(
-            f"{mark.engine_id} got {row['request_id']} {row['at'] - mark.at:.1f} s after leaving"
-            for row in late
+            f"{mark.engine_id} received {row['request_id']} {row['at'] - mark.at:.1f} s"
+            " after it was marked as leaving"
+            for row in late_executions
         )
     return Verdict("leaving engines", len(history.leaving_marks), violations)
 
 
 def check_planned_stops(history: RunHistory) -> Verdict:
-    """Check that a planned stop cuts off nothing: the node says so and exits with 0."""
+    """Check that a planned stop interrupts no request and that the node exits with code 0."""
     violations = [
-        f"{stop.node} exited with {stop.exit_code}"
+        f"{stop.node} exited with code {stop.exit_code} after a planned stop"
         for stop in history.planned_stops
         if stop.exit_code != 0
     ]
     stopped = {stop.node for stop in history.planned_stops}
     violations.extend(
-        f"request {call.number} at {call.node} was cut off: {call.transport_error}"
+        f"request {call.number} on {call.node} was interrupted: {call.transport_error}"
         for call in history.calls
         if call.node in stopped and call.cut_by_planned_stop
     )
@@ -131,9 +137,9 @@
 
 
 def check_restarts(history: RunHistory) -> Verdict:
-    """Check that a restarted node serves at once."""
+    """Check that a restarted node answers a request within the time limit."""
     violations = [
-        f"{start.node} first answered after {start.seconds_to_first_answer} s"
+        f"{start.node} answered its first request after {start.seconds_to_first_answer} s"
         for start in history.node_starts
         if start.seconds_to_first_answer is None
         or start.seconds_to_first_answer > RESTART_LIMIT_SECONDS
@@ -142,41 +148,47 @@
 
 
 def check_configuration(history: RunHistory) -> Verdict:
-    """Check that what was confirmed is in force everywhere and was not taken back."""
-    violations = [*_reverted(history), *_lost(history), *_told_wrongly(history)]
+    """Check that confirmed configuration is in force on every node and was not reverted."""
+    violations = [
+        *_reverted_generations(history),
+        *_missing_generations(history),
+        *_wrong_confirmation_responses(history),
+    ]
     checked = len(history.samples) + len(history.confirmations)
     return Verdict("configuration", checked, violations)
 
 
-def _reverted(history: RunHistory) -> list[str]:
+def _reverted_generations(history: RunHistory) -> list[str]:
     highest: dict[tuple[str, int], int] = {}
     violations: list[str] = []
     for sample in history.samples:
         key = (sample.node, sample.start_count)
         if sample.generation < highest.get(key, 0):
-            violations.append(f"{sample.node} went back to generation {sample.generation}")
+            violations.append(f"{sample.node} reverted to generation {sample.generation}")
         highest[key] = max(highest.get(key, 0), sample.generation)
     return violations
 
 
-def _lost(history: RunHistory) -> list[str]:
+def _missing_generations(history: RunHistory) -> list[str]:
     newest = max((c.generation for c in history.confirmations if c.code == 0), default=0)
     return [
-        f"{node} ended at generation {generation}, confirmed was {newest}"
+        f"{node} ended at generation {generation}, but {newest} was confirmed"
         for node, generation in history.final_generations.items()
         if generation < newest
     ]
 
 
-def _told_wrongly(history: RunHistory) -> list[str]:
+def _wrong_confirmation_responses(history: RunHistory) -> list[str]:
     violations: list[str] = []
     for node, summaries in history.confirmation_summaries.items():
         for confirmation in history.confirmations:
-            is_there = any(f"tenants {confirmation.tenant}:" in line for line in summaries)
-            if confirmation.code == 0 and not is_there:
-                violations.append(f"{node} lacks the confirmed {confirmation.tenant}")
-            if confirmation.code == CONFLICT_CODE and is_there:
-                violations.append(f"{node} has {confirmation.tenant}, told as a conflict")
+            is_listed = any(f"tenants {confirmation.tenant}:" in line for line in summaries)
+            if confirmation.code == 0 and not is_listed:
+                violations.append(f"{node} lacks tenant {confirmation.tenant}, which was confirmed")
+            if confirmation.code == CONFLICT_CODE and is_listed:
+                violations.append(
+                    f"{node} has tenant {confirmation.tenant}, which was reported as a conflict"
+                )
     return violations
 
 
@@ -194,5 +206,5 @@
 
 
 def check_all(history: RunHistory) -> list[Verdict]:
-    """Return the verdict of every checker."""
+    """Return the verdicts of all checkers."""
     return [checker(history) for checker in CHECKERS]
--- a/liftrill/bench/faults/observations.py
+++ b/liftrill/bench/faults/observations.py
@@ -1,4 +1,4 @@
-"""What a fault run records, for the checkers."""
+"""Records of a fault run, which the checkers read."""
 
 from dataclasses import dataclass, field
 from typing import Any
@@ -8,10 +8,11 @@
 
 @dataclass(slots=True)
 class LeavingMark:
-    """An engine was marked as leaving; times are Unix seconds.
+    """The interval during which an engine was marked as leaving, in Unix seconds.
 
     Attributes:
-        until: when the mark was taken back or the engine's machine replaced.
+        at: when the mark was set.
+        until: when the mark was removed or the machine of the engine was replaced.
     """
 
     engine_id: str
@@ -21,7 +22,11 @@
 
 @dataclass(frozen=True, slots=True)
 class PlannedStop:
-    """A node was asked to stop; `exit_code` is None if it had to be killed."""
+    """A planned stop of a node.
+
+    Attributes:
+        exit_code: exit code of the process, or None if it did not exit before the timeout.
+    """
 
     node: str
     exit_code: int | None
@@ -29,10 +34,11 @@
 
 @dataclass(frozen=True, slots=True)
 class NodeStart:
-    """A node was started again while others served.
+    """A restart of a node while other nodes served requests.
 
     Attributes:
-        seconds_to_first_answer: from the start of the process to its first success.
+        seconds_to_first_answer: from the start of the process to its first successful
+            response, or None if there was none before the timeout.
     """
 
     node: str
@@ -41,7 +47,12 @@
 
 @dataclass(frozen=True, slots=True)
 class GenerationSample:
-    """The generation a node had in force; `life` counts its starts."""
+    """The configuration generation in force on a node at a time.
+
+    Attributes:
+        at: Unix time of the sample.
+        start_count: number of restarts of the node before the sample.
+    """
 
     at: float
     node: str
@@ -51,11 +62,13 @@
 
 @dataclass(frozen=True, slots=True)
 class Confirmation:
-    """An operator's attempt to confirm a plan.
+    """An attempt of an operator to confirm a plan.
 
     Attributes:
-        code: 0 when it was told confirmed, otherwise the result code.
-        tenant: the tenant that the plan adds, by which it can be recognised.
+        at: Unix time of the response.
+        code: 0 if the response was a confirmation, -1 if it had no result code, otherwise
+            the result code.
+        tenant: the tenant that the plan adds, which identifies the plan in a node's history.
     """
 
     at: float
@@ -67,13 +80,16 @@
 
 @dataclass(slots=True)
 class RunHistory:
-    """Everything that was observed in one run.
+    """All observations of one run.
 
     Attributes:
-        executions: rows of the engines' journals.
-        reuses: rows of the engines' journals about cached blocks.
-        final_tenants: tenants in force at the end, by node.
-        final_generations: generations in force at the end, by node.
+        executions: journal rows of the engines about executed requests.
+        reuses: journal rows of the engines about reused cache blocks.
+        samples: configuration generations of the nodes over time.
+        final_generations: configuration generation in force at the end, by node.
+        confirmation_summaries: summaries of the confirmed plans that a node lists at the end,
+            by node.
+        faults_began_at: monotonic time of the end of the fault-free period.
     """
 
     calls: list[CallRecord] = field(default_factory=list)
--- a/liftrill/bench/faults/run.py
+++ b/liftrill/bench/faults/run.py
@@ -1,4 +1,4 @@
-"""A fault run: load with repeated keys, the schedule of faults, and the verdicts."""
+"""Runs load with reused idempotency keys under a schedule of faults and checks the history."""
 
 import asyncio
 import contextlib
@@ -24,22 +24,25 @@
 from liftrill.mechanisms import ENVIRONMENT_NAME
 
 UNREPEATABLE_SHARE = 0.3
-SUBMISSIONS = 3
+MAXIMUM_SUBMISSIONS = 3
 RETRY_WAIT_SECONDS = 0.3
-# Started members abstain for keys made within the restart margin.
+# After a start, claim members abstain from keys created within the restart margin.
 CLAIM_WARM_UP_SECONDS = RESTART_MARGIN_IN_SKEWS * constants.CLAIM_CLOCK_SKEW_SECONDS + 1.0
-SAMPLE_SECONDS = 0.25
-SETTLE_LIMIT_SECONDS = 20.0
+SAMPLE_INTERVAL_SECONDS = 0.25
+AGREEMENT_TIMEOUT_SECONDS = 20.0
 
 
 @dataclass(frozen=True, slots=True)
 class FaultRunResult:
-    """The verdicts of one run.
+    """The result of one run.
 
     Attributes:
-        answered_before: share of requests that ran, before the first fault.
-        answered_during: the same while faults were active.
-        slowest_restart_seconds: from the start of a node's process to its first answer.
+        disabled: names of the disabled mechanisms, separated by commas.
+        requests: number of submissions, including repeated ones.
+        answered_before: share of the requests sent before the first fault that completed.
+        answered_during: share of the later requests that completed.
+        slowest_restart_seconds: longest time from the start of a node process to its first
+            successful response.
     """
 
     deployment: str
@@ -53,25 +56,25 @@
 
     @property
     def violations(self) -> int:
-        """The number of violations of all promises."""
+        """The number of violations over all checkers."""
         return sum(len(verdict.violations) for verdict in self.verdicts)
 
     def as_json(self) -> dict[str, object]:
-        """Return the result for printing."""
+        """Return the result as a JSON object."""
         return {**asdict(self), "violations": self.violations}
 
 
 async def run_faults(
     deployment_name: str, seed: int, seconds: float, directory: Path, disabled: str = ""
 ) -> FaultRunResult:
-    """Run one seed.
+    """Run load and faults for one seed and return the verdicts.
 
     Args:
-        deployment_name: as for `load_deployment`.
-        seed: of load and faults.
+        deployment_name: name or path of a deployment file; see `load_deployment`.
+        seed: seed of the load and the faults.
         seconds: duration of the load.
-        directory: for logs and journals.
-        disabled: mechanisms to turn off in the nodes, separated by commas.
+        directory: directory of the logs and journals.
+        disabled: mechanisms to disable in the nodes, separated by commas.
     """
     deployment = load_deployment(deployment_name)
     environment = {ENVIRONMENT_NAME: disabled} if disabled else {}
@@ -87,11 +90,11 @@
         faults = asyncio.create_task(injector.run_schedule(draw_schedule(seed, seconds)))
         await load.send(seconds)
         await faults
-        await load.observe_end()
+        await load.record_final_state()
         sampler.cancel()
         history.executions = cluster.executions()
         history.reuses = cluster.reuses()
-    before, during = _answered(history)
+    before, during = _completed_shares(history)
     return FaultRunResult(
         deployment=deployment.name,
         seed=seed,
@@ -107,7 +110,11 @@
 
 
 class _FaultLoad:
-    """The callers of a fault run: they repeat what may be repeated, and keys."""
+    """The callers of a fault run.
+
+    They resubmit a request that did not complete. A request that is not repeatable keeps its
+    idempotency key.
+    """
 
     def __init__(
         self, cluster: Cluster, injector: FaultInjector, history: RunHistory, seed: int
@@ -120,24 +127,26 @@
         self._caller = Caller(cluster.session, weight_versions(cluster))
 
     async def send(self, seconds: float) -> None:
-        """Send the load and wait for all answers."""
+        """Send the load and wait until all submissions have ended."""
         rate = self._cluster.deployment.load.requests_per_second
-        planned = [self._adapt(r) for r in self._generator.requests(rate, seconds)]
+        planned = [
+            self._with_random_repeatability(r) for r in self._generator.requests(rate, seconds)
+        ]
         await send_open_loop(planned, lambda r: asyncio.create_task(self._submit(r)))
 
-    def _adapt(self, planned: PlannedRequest) -> PlannedRequest:
-        """Mark a share of the requests as not repeatable."""
+    def _with_random_repeatability(self, planned: PlannedRequest) -> PlannedRequest:
+        """Return the request, marked as not repeatable for a random share of requests."""
         if self._random.random() >= UNREPEATABLE_SHARE:
             return planned
         workload = planned.workload.model_copy(update={"repeatable": False})
         return replace(planned, workload=workload)
 
     async def _submit(self, planned: PlannedRequest) -> CallRecord:
-        """Send a request until it ran, over different nodes, as an application would."""
+        """Submit a request to nodes in turn until it completes, up to `MAXIMUM_SUBMISSIONS` times."""
         key = "" if planned.workload.repeatable else new_key(self._random)
         record: CallRecord | None = None
-        for attempt in range(SUBMISSIONS):
-            node = self._node(planned.number + attempt)
+        for attempt in range(MAXIMUM_SUBMISSIONS):
+            node = self._select_node(planned.number + attempt)
             record = await self._caller.send(node.name, node.address, planned, key)
             record.submission = attempt
             record.cut_by_planned_stop = self._was_cut_by_stop(node, record)
@@ -148,25 +157,25 @@
         assert record is not None
         return record
 
-    def _node(self, number: int) -> ManagedProcess:
-        """Return the next node that is not known to be down."""
+    def _select_node(self, number: int) -> ManagedProcess:
+        """Return the first node from an index on that is not known to be down."""
         nodes = self._cluster.nodes
         order = [nodes[(number + offset) % len(nodes)] for offset in range(len(nodes))]
-        up = [node for node in order if node.name not in self._injector.down_nodes]
-        return (up or order)[0]
+        available = [node for node in order if node.name not in self._injector.down_nodes]
+        return (available or order)[0]
 
     def _was_cut_by_stop(self, node: ManagedProcess, record: CallRecord) -> bool:
-        stopping = node.name in self._injector.stopping_nodes
+        is_stopping = node.name in self._injector.stopping_nodes
         refused = "Connect" in record.transport_error
-        return stopping and bool(record.transport_error) and not refused
+        return is_stopping and bool(record.transport_error) and not refused
 
     async def sample_generations(self) -> None:
-        """Record the generation in force on each node, again and again."""
+        """Periodically record the configuration generation in force on each node."""
         while True:
-            await asyncio.gather(*(self._sample(i) for i in range(len(self._cluster.nodes))))
-            await asyncio.sleep(SAMPLE_SECONDS)
+            await asyncio.gather(*(self._sample_node(i) for i in range(len(self._cluster.nodes))))
+            await asyncio.sleep(SAMPLE_INTERVAL_SECONDS)
 
-    async def _sample(self, index: int) -> None:
+    async def _sample_node(self, index: int) -> None:
         node = self._cluster.nodes[index]
         start_count = self._injector.start_counts[node.name]
         if node.name in self._injector.down_nodes:
@@ -181,11 +190,13 @@
                 GenerationSample(time.time(), node.name, start_count, generation)
             )
 
-    async def observe_end(self) -> None:
-        """Wait until the nodes agree, and record what is in force."""
-        # If they do not agree in time, the checker of the configuration says so.
+    async def record_final_state(self) -> None:
+        """Wait until all nodes have the same generation and record their configuration."""
+        # If the nodes do not agree within the timeout, `check_configuration` reports it.
         with contextlib.suppress(LaunchError):
-            await wait_until(self._nodes_agree, "one generation", SETTLE_LIMIT_SECONDS)
+            await wait_until(
+                self._nodes_agree, "all nodes have the same generation", AGREEMENT_TIMEOUT_SECONDS
+            )
         for index, node in enumerate(self._cluster.nodes):
             operator = self._cluster.operator(index)
             status = await operator.call("GET", "/status")
@@ -202,28 +213,28 @@
         return len(generations) == 1 and generations.pop() >= newest
 
 
-def _answered(history: RunHistory) -> tuple[float, float]:
-    """Return the share of requests that ran in the end, before and during the faults."""
-    first: dict[int, CallRecord] = {}
-    ran: set[int] = set()
+def _completed_shares(history: RunHistory) -> tuple[float, float]:
+    """Return the shares of requests sent before and during the faults that finally completed."""
+    first_calls: dict[int, CallRecord] = {}
+    completed: set[int] = set()
     for call in history.calls:
-        first.setdefault(call.number, call)
+        first_calls.setdefault(call.number, call)
         if call.complete:
-            ran.add(call.number)
+            completed.add(call.number)
     began_at = history.faults_began_at
-    before = [n for n, call in first.items() if call.sent_at < began_at]
-    during = [n for n, call in first.items() if call.sent_at >= began_at]
-    return _share(before, ran), _share(during, ran)
+    before = [n for n, call in first_calls.items() if call.sent_at < began_at]
+    during = [n for n, call in first_calls.items() if call.sent_at >= began_at]
+    return _completed_share(before, completed), _completed_share(during, completed)
 
 
-def _share(numbers: Sequence[int], ran: set[int]) -> float:
-    return sum(1 for number in numbers if number in ran) / len(numbers) if numbers else 1.0
+def _completed_share(numbers: Sequence[int], completed: set[int]) -> float:
+    return sum(1 for number in numbers if number in completed) / len(numbers) if numbers else 1.0
 
 
 def format_faults(result: FaultRunResult) -> str:
-    """Return a result for people."""
+    """Return a result as text."""
     lines = [
-        f"{result.deployment} seed {result.seed}: {result.requests} submissions, answered "
+        f"{result.deployment} seed {result.seed}: {result.requests} submissions, completed "
         f"{result.answered_before:.3f} before and {result.answered_during:.3f} during faults, "
         f"slowest restart {result.slowest_restart_seconds:.2f} s"
     ]
--- a/liftrill/bench/faults/schedule.py
+++ b/liftrill/bench/faults/schedule.py
@@ -1,4 +1,4 @@
-"""The schedule of faults: drawn from a seed, so that a run can be repeated."""
+"""Draws the schedule of faults from a seed, so that a run can be repeated."""
 
 import random
 from dataclasses import dataclass
@@ -6,7 +6,7 @@
 
 
 class FaultAction(Enum):
-    """What is done to the system."""
+    """The kinds of faults."""
 
     ENGINE_KILL = "engine_kill"
     ENGINE_CRASH = "engine_crash"
@@ -28,12 +28,12 @@
 
 @dataclass(frozen=True, slots=True)
 class PlannedFault:
-    """One fault.
+    """A scheduled fault.
 
     Attributes:
         at: seconds after the start of the load.
-        target: draws the engine or node.
-        seconds: how long it lasts, where it lasts.
+        target: random number that selects the engine or node.
+        seconds: duration; ignored by faults without one.
     """
 
     at: float
@@ -43,26 +43,26 @@
 
 
 FAULT_FREE_SHARE = 0.25
-SHORTEST_SECONDS = 0.5
-LONGEST_SECONDS = 2.0
+MINIMUM_FAULT_SECONDS = 0.5
+MAXIMUM_FAULT_SECONDS = 2.0
 
 
 def draw_schedule(seed: int, seconds: float) -> list[PlannedFault]:
-    """Return every kind of fault once, in random order, after a quiet beginning.
+    """Return a schedule with each kind of fault once, in random order, after a fault-free period.
 
-    Faults overlap: their starts are spread evenly with jitter, whatever lasts.
+    Start times are spaced evenly with jitter and do not depend on durations, so faults can overlap.
     """
-    source = random.Random(f"faults/{seed}")
+    random_source = random.Random(f"faults/{seed}")
     actions = list(FaultAction)
-    source.shuffle(actions)
-    begin = seconds * FAULT_FREE_SHARE
-    gap = (seconds - begin) / len(actions)
+    random_source.shuffle(actions)
+    first_fault_at = seconds * FAULT_FREE_SHARE
+    interval = (seconds - first_fault_at) / len(actions)
     return [
         PlannedFault(
-            at=begin + gap * (number + source.random() * 0.9),
+            at=first_fault_at + interval * (number + random_source.random() * 0.9),
             action=action,
-            target=source.randrange(1_000),
-            seconds=source.uniform(SHORTEST_SECONDS, LONGEST_SECONDS),
+            target=random_source.randrange(1_000),
+            seconds=random_source.uniform(MINIMUM_FAULT_SECONDS, MAXIMUM_FAULT_SECONDS),
         )
         for number, action in enumerate(actions)
     ]
--- a/liftrill/bench/history.py
+++ b/liftrill/bench/history.py
@@ -1,23 +1,29 @@
-"""What callers saw, one record a request, and checks of single answers."""
+"""Records of requests as their callers observed them, and checks of single responses."""
 
 from dataclasses import dataclass, field
 
 from liftrill.emulator.engine_model import expected_output
 
-STREAM_ENDED_SILENTLY = "stream ended without an end mark or an error"
-NO_EXECUTION = "answer does not say whether the request was run"
+STREAM_ENDED_SILENTLY = "stream ended without [DONE] or an error"
+NO_EXECUTION = "response does not state whether the request was executed"
 
 
 @dataclass(slots=True)
 class CallRecord:
-    """One request as its caller saw it. Times are seconds on the caller's monotonic clock.
+    """A request as its caller observed it. Times are seconds on the caller's monotonic clock.
 
     Attributes:
-        answered_at_unix: Unix time of the answer, to compare with the engines' journals.
-        execution: what the answer said: not-run, ran or unknown; empty without an answer.
-        text: all output received.
-        reusable_tokens: prompt tokens that an unlimited cache would have had.
-        problems: what was wrong with the answer.
+        status: HTTP status, or 0 without a response.
+        code: result code of an error, or 0.
+        execution: execution state in the response: not-run, ran or unknown; empty without a
+            response.
+        text: all output that was received.
+        reusable_tokens: prompt tokens that an unlimited cache would have contained.
+        answered_at_unix: Unix time of the end of the response, comparable with the journals
+            of the engines.
+        cut_by_planned_stop: whether a planned stop of the node interrupted the request.
+        submission: index of the submission, if the request was submitted several times.
+        problems: violations that the checks found in the response.
     """
 
     number: int
@@ -48,7 +54,7 @@
 
     @property
     def outcome(self) -> str:
-        """The outcome for a summary."""
+        """The outcome as counted in a summary."""
         if self.complete:
             return "ran"
         if self.transport_error:
@@ -57,19 +63,21 @@
 
 
 def check_complete_answer(record: CallRecord, prompt: str, tokens: int) -> None:
-    """Note what is wrong with an answer that claims to be complete."""
+    """Record a problem if the output of a complete response differs from the expected output."""
     expected = expected_output(record.weight_version, prompt.encode(), tokens)
     if record.text == expected:
         return
     if expected.startswith(record.text):
         record.problems.append("answer is cut short")
     else:
-        record.problems.append("answer belongs to another request, is out of order, or mixed")
+        record.problems.append(
+            "answer belongs to another request, is out of order or mixes several answers"
+        )
 
 
 def check_partial_answer(record: CallRecord, prompt: str, versions: list[str]) -> None:
-    """Note a part of an answer that is not a correct beginning under any weight version."""
+    """Record a problem if a partial output is no prefix of the output under any weight version."""
     tokens = len(record.text) // 4
-    beginnings = [expected_output(version, prompt.encode(), tokens) for version in versions]
-    if record.text and record.text not in beginnings:
-        record.problems.append("partial answer is not a beginning of the right one")
+    expected_prefixes = [expected_output(version, prompt.encode(), tokens) for version in versions]
+    if record.text and record.text not in expected_prefixes:
+        record.problems.append("partial answer is not a beginning of the expected answer")
--- a/liftrill/bench/idempotency_key.py
+++ b/liftrill/bench/idempotency_key.py
@@ -1,4 +1,4 @@
-"""Makes UUIDv7 keys (RFC 9562, section 5.7) as callers do."""
+"""Generates idempotency keys as callers do: UUIDv7 (RFC 9562, section 5.7)."""
 
 import random
 import time
@@ -11,7 +11,7 @@
 
 
 def new_key(random_source: random.Random, unix_seconds: float | None = None) -> str:
-    """Return a UUIDv7 for now, or for a given time."""
+    """Return a UUIDv7 key for the current time, or for a given Unix time."""
     seconds = time.time() if unix_seconds is None else unix_seconds
     value = int(seconds * 1000) << 80
     value |= VERSION << 76
--- a/liftrill/bench/launcher.py
+++ b/liftrill/bench/launcher.py
@@ -1,4 +1,4 @@
-"""Starts a deployment as separate processes on loopback, and stops them."""
+"""Starts and stops the processes of a deployment on the loopback interface."""
 
 import asyncio
 import os
@@ -26,20 +26,20 @@
 CACHE_SECRET = "cache-secret-of-the-launcher"
 START_TIMEOUT_SECONDS = 30.0
 STOP_TIMEOUT_SECONDS = 15.0
-POLL_SECONDS = 0.05
+POLL_INTERVAL_SECONDS = 0.05
 CLAIM_GROUP_SIZE = 3
-# Which ports to take: FIRST-LAST.
+# Environment variable for the range of usable ports, as FIRST-LAST.
 PORTS_VARIABLE = "LIFTRILL_BENCH_PORTS"
 DEFAULT_PORT_RANGE = "10000-29999"
 
 
 class LaunchError(LiftrillError):
-    """A process did not start or did not become ready."""
+    """Raised when a process does not start or a condition does not hold within its timeout."""
 
 
 @dataclass(slots=True)
 class ManagedProcess:
-    """One process that the launcher started."""
+    """A process that the launcher starts and stops."""
 
     name: str
     arguments: list[str]
@@ -49,7 +49,7 @@
     process: subprocess.Popen[bytes] | None = None
 
     def start(self) -> None:
-        """Start the process, or start it again after it ended."""
+        """Start the process, or restart it after it has ended."""
         with self.log_path.open("ab") as log:
             self.process = subprocess.Popen(
                 [sys.executable, "-m", "liftrill", *self.arguments],
@@ -59,12 +59,12 @@
             )
 
     def send_signal(self, number: signal.Signals) -> None:
-        """Send a signal to this process only."""
+        """Send a signal to the process, if it is running."""
         if self.process is not None and self.process.poll() is None:
             self.process.send_signal(number)
 
     def wait(self, timeout_seconds: float) -> int | None:
-        """Return the exit code, or None if the process still runs after the time."""
+        """Return the exit code, or None if the process is still running after the timeout."""
         if self.process is None:
             return None
         try:
@@ -73,7 +73,7 @@
             return None
 
     def stop(self) -> int | None:
-        """Ask the process to stop, kill it if it does not, and return its exit code."""
+        """Terminate the process, kill it after a timeout, and return its exit code."""
         self.send_signal(signal.SIGCONT)
         self.send_signal(signal.SIGTERM)
         code = self.wait(STOP_TIMEOUT_SECONDS)
@@ -85,7 +85,7 @@
 
 @dataclass(slots=True)
 class EngineProcess:
-    """An engine and what its journal says."""
+    """The process of an engine, and the path of its journal."""
 
     managed: ManagedProcess
     engine_id: str
@@ -96,11 +96,14 @@
 
 @dataclass(slots=True)
 class Cluster:
-    """A running deployment.
+    """The processes of a deployment, which run inside the context manager.
 
     Attributes:
-        directory: logs and journals.
-        environment: constants that all processes get.
+        directory: directory of the logs and journals.
+        seed: seed from which the engines derive their own.
+        environment: environment variables added for all processes.
+        node_flags: additional command-line options of the nodes, by name.
+        machine_list_lag_seconds: delay before the platform lists a change of a machine.
     """
 
     deployment: Deployment
@@ -135,16 +138,20 @@
 
     @property
     def processes(self) -> list[ManagedProcess]:
-        """All processes."""
+        """All processes, in the order in which they are started."""
         return [self.platform, self.kept_store, *(e.managed for e in self.engines), *self.nodes]
 
     def operator(self, node_index: int = 0, name: str = "launcher") -> OperatorClient:
-        """Return a client of a node's operator API."""
+        """Return a client for the operator API of a node."""
         address = self.nodes[node_index].address
         return OperatorClient(self.session, address, OPERATOR_KEY, name)
 
     async def configure(self) -> int:
-        """Confirm the deployment's intent and wait until it is in force on every node."""
+        """Confirm the intent of the deployment and wait until every node is ready.
+
+        Returns:
+            The generation of the confirmed configuration.
+        """
         size = CLAIM_GROUP_SIZE if len(self.nodes) >= CLAIM_GROUP_SIZE else 1
         members = [node.name for node in self.nodes[:size]]
         generation = await self.operator().confirm_intent(intent_of(self.deployment, members))
@@ -153,7 +160,7 @@
         return generation
 
     async def wait_ready(self, node: ManagedProcess) -> None:
-        """Wait until a node says that it is ready."""
+        """Wait until the readiness check of a node succeeds."""
 
         async def ready() -> bool:
             async with self.session.get(f"http://{node.address}/ready") as response:
@@ -162,15 +169,15 @@
         await wait_until(ready, f"{node.name} is ready")
 
     async def engine_fault(self, engine: EngineProcess, **fault: object) -> None:
-        """Switch on a fault of an engine."""
+        """Inject a fault into an engine."""
         await self._post(f"http://{engine.managed.address}/admin/fault", fault)
 
     async def platform_fault(self, **fault: object) -> None:
-        """Switch on a fault of the platform."""
+        """Inject a fault into the platform."""
         await self._post(f"http://{self.platform.address}/admin/fault", fault)
 
     async def register_engine(self, engine: EngineProcess, leaving: bool = False) -> None:
-        """Add an engine to the machine list, or change its line."""
+        """Add an engine to the machine list, or update its entry."""
         row = {
             "ID": engine.engine_id,
             "Name": engine.pool,
@@ -182,12 +189,12 @@
             await response.read()
 
     def executions(self) -> list[dict[str, Any]]:
-        """Return the executions that all engines recorded, oldest first."""
+        """Return the executions in the journals of all engines, oldest first."""
         rows = [row for row in self._journal_rows() if "request_id" in row]
         return sorted(rows, key=lambda row: float(row["at"]))
 
     def reuses(self) -> list[dict[str, Any]]:
-        """Return the uses of cached blocks that all engines recorded."""
+        """Return the reuses of cached blocks in the journals of all engines."""
         return [row for row in self._journal_rows() if "reused_by" in row]
 
     def _journal_rows(self) -> list[dict[str, Any]]:
@@ -195,12 +202,12 @@
         for engine in self.engines:
             if engine.journal_path.exists():
                 lines = engine.journal_path.read_bytes().splitlines()
-                # A kill can cut the last line short.
+                # The last line is incomplete if the engine was killed while it wrote.
                 rows.extend(orjson.loads(line) for line in lines if line.endswith(b"}"))
         return rows
 
     def _stop_when_terminated(self) -> None:
-        """Let SIGTERM end the launcher as an error would, so that its processes end too."""
+        """Cancel the current task on SIGTERM, so that the child processes are stopped as well."""
         task = asyncio.current_task()
         assert task is not None
         asyncio.get_running_loop().add_signal_handler(signal.SIGTERM, task.cancel)
@@ -220,8 +227,8 @@
         ports = free_ports(
             2 + sum(p.engines for p in self.deployment.pools) + 2 * self.deployment.nodes
         )
-        take = iter(ports)
-        address = f"{HOST}:{next(take)}"
+        port_iterator = iter(ports)
+        address = f"{HOST}:{next(port_iterator)}"
         lag = f"--machine-list-lag-seconds={self.machine_list_lag_seconds}"
         self.platform = self._process(
             "platform",
@@ -231,13 +238,14 @@
         self.kept_store = self._process(
             self.deployment.kept_store,
             ["emulate", "kept-store", f"--capacity-blocks={self.deployment.kept_store_blocks}"],
-            f"{HOST}:{next(take)}",
+            f"{HOST}:{next(port_iterator)}",
         )
         for pool in self.deployment.pools:
             for number in range(pool.engines):
-                self.engines.append(self._engine(pool, number, f"{HOST}:{next(take)}"))
+                self.engines.append(self._engine(pool, number, f"{HOST}:{next(port_iterator)}"))
         addresses = [
-            (f"{HOST}:{next(take)}", f"{HOST}:{next(take)}") for _ in range(self.deployment.nodes)
+            (f"{HOST}:{next(port_iterator)}", f"{HOST}:{next(port_iterator)}")
+            for _ in range(self.deployment.nodes)
         ]
         peers = [peer for _, peer in addresses]
         for number, (listen, peer_listen) in enumerate(addresses):
@@ -291,30 +299,34 @@
         return self._process(name, command, listen)
 
     async def wait_listening(self, process: ManagedProcess) -> None:
-        """Wait until a process accepts connections."""
+        """Wait until a process accepts connections.
+
+        Raises:
+            LaunchError: the process ended, or does not listen within the timeout.
+        """
         host, _, port = process.address.rpartition(":")
 
         async def listening() -> bool:
             if process.process is not None and process.process.poll() is not None:
                 text = process.log_path.read_text()[-500:]
-                raise LaunchError(f"{process.name} ended at once: {text}")
+                raise LaunchError(f"{process.name} ended before it accepted connections: {text}")
             _, writer = await asyncio.open_connection(host, int(port))
             writer.close()
             return True
 
-        await wait_until(listening, f"{process.name} listens")
+        await wait_until(listening, f"{process.name} accepts connections")
 
     async def _post(self, url: str, content: object) -> None:
         async with self.session.post(url, data=orjson.dumps(content)) as response:
             if response.status != 200:
-                raise LaunchError(f"{url}: {response.status} {await response.text()}")
+                raise LaunchError(f"POST {url} returned {response.status}: {await response.text()}")
 
     async def _stop(self) -> None:
         await self.session.close()
-        started = [p for p in self._started() if p.process is not None]
+        started = [p for p in self._planned_processes() if p.process is not None]
         await asyncio.gather(*(asyncio.to_thread(process.stop) for process in started))
 
-    def _started(self) -> Iterator[ManagedProcess]:
+    def _planned_processes(self) -> Iterator[ManagedProcess]:
         try:
             yield from self.processes
         except AttributeError:
@@ -322,12 +334,12 @@
 
 
 async def wait_until(
-    condition: Callable[[], Any], what: str, timeout_seconds: float = START_TIMEOUT_SECONDS
+    condition: Callable[[], Any], description: str, timeout_seconds: float = START_TIMEOUT_SECONDS
 ) -> None:
-    """Wait until an asynchronous condition holds.
+    """Wait until an asynchronous condition holds; connection errors count as not held.
 
     Raises:
-        LaunchError: it did not hold within the time.
+        LaunchError: the condition does not hold within the timeout.
     """
     loop = asyncio.get_running_loop()
     deadline = loop.time() + timeout_seconds
@@ -337,15 +349,16 @@
                 return
         except (aiohttp.ClientError, OSError):
             pass
-        await asyncio.sleep(POLL_SECONDS)
-    raise LaunchError(f"not within {timeout_seconds:.0f} s: {what}")
+        await asyncio.sleep(POLL_INTERVAL_SECONDS)
+    raise LaunchError(f"condition not met within {timeout_seconds:.0f} s: {description}")
 
 
 def free_ports(count: int) -> list[int]:
-    """Return ports that nothing listens on now, for TCP and UDP.
+    """Return ports that are currently free for both TCP and UDP.
 
-    They lie below those that the system gives to outgoing connections, and in a part of
-    their own for each process that sets `PORTS_VARIABLE`: nobody takes them meanwhile.
+    The default range is below the ephemeral ports that the system assigns to outgoing
+    connections. Processes that run at the same time use separate ranges, set with
+    `PORTS_VARIABLE`. Both keep a port free until the launched process binds it.
     """
     first, _, last = os.environ.get(PORTS_VARIABLE, DEFAULT_PORT_RANGE).partition("-")
     candidates = list(range(int(first), int(last) + 1))
@@ -359,8 +372,8 @@
 
 
 def _is_free(port: int) -> bool:
-    for kind in (socket.SOCK_STREAM, socket.SOCK_DGRAM):
-        with socket.socket(socket.AF_INET, kind) as probe:
+    for socket_type in (socket.SOCK_STREAM, socket.SOCK_DGRAM):
+        with socket.socket(socket.AF_INET, socket_type) as probe:
             try:
                 probe.bind((HOST, port))
             except OSError:
--- a/liftrill/bench/workload.py
+++ b/liftrill/bench/workload.py
@@ -1,4 +1,4 @@
-"""Generates the prompts of a load, with shared prefixes that move."""
+"""Generates the requests of a load, whose prompts share prefixes that change over time."""
 
 import random
 from collections.abc import Callable, Iterator
@@ -12,11 +12,12 @@
 
 @dataclass(frozen=True, slots=True)
 class PlannedRequest:
-    """One request of a load.
+    """A request of a load.
 
     Attributes:
+        number: position in the load, from 0.
         send_at: seconds after the start of the load.
-        prefix_name: names the shared prefix, for reports.
+        prefix_name: name of the shared prefix, for reports.
     """
 
     number: int
@@ -28,7 +29,7 @@
 
 
 class WorkloadGenerator:
-    """Draws requests with Poisson arrivals. The same seed gives the same requests."""
+    """Draws requests with Poisson arrivals; equal seeds give equal requests."""
 
     def __init__(self, deployment: Deployment, seed: int) -> None:
         self._deployment = deployment
@@ -42,7 +43,7 @@
         ]
 
     def requests(self, requests_per_second: float, seconds: float) -> Iterator[PlannedRequest]:
-        """Yield the requests of a load at a constant mean rate."""
+        """Yield the requests of a load with a constant mean rate."""
         at = self._random.expovariate(requests_per_second)
         number = 0
         while at < seconds:
@@ -57,15 +58,15 @@
         seconds: float,
         prefix_epoch: Callable[[float], int],
     ) -> Iterator[PlannedRequest]:
-        """Yield the requests of a load whose rate and hot prefixes change.
+        """Yield the requests of a load whose arrival rate and hot prefixes change.
 
-        Arrivals are thinned from the highest rate (Lewis and Shedler, 1979).
+        Arrivals are drawn at the highest rate and thinned (Lewis and Shedler, 1979).
 
         Args:
-            rate_at: requests per second at a time.
-            highest_rate: an upper bound of it.
-            seconds: duration.
-            prefix_epoch: counts how often the hot prefixes have been replaced.
+            rate_at: returns the arrival rate at a time, in requests per second.
+            highest_rate: upper bound of the arrival rate.
+            seconds: duration of the load.
+            prefix_epoch: returns how often the hot prefixes have been replaced by a time.
         """
         at, number = 0.0, 0
         while True:
@@ -77,26 +78,26 @@
                 number += 1
 
     def request(self, number: int, send_at: float, prefix_epoch: int = 0) -> PlannedRequest:
-        """Return one request."""
+        """Return a request with a random workload, tenant and prompt."""
         workloads = self._deployment.workloads
         workload = self._random.choices(workloads, [w.share for w in workloads])[0]
         tenant = self._random.choices(self._tenants, self._tenant_weights)[0]
         prefix_name = self._prefix_name(tenant, workload, prefix_epoch)
         prefix = self.prefix_text(prefix_name, workload.prefix_tokens)
-        unique = self._unique_text(number, workload.unique_tokens)
-        return PlannedRequest(number, send_at, tenant, workload, prefix_name, prefix + unique)
+        unique_text = self._unique_text(number, workload.unique_tokens)
+        return PlannedRequest(number, send_at, tenant, workload, prefix_name, prefix + unique_text)
 
     def prefix_text(self, name: str, tokens: int) -> str:
-        """Return the text of a shared prefix."""
+        """Return the text of a shared prefix, which depends only on the seed and the name."""
         text = self._prefix_texts.get(name)
         if text is None:
-            source = random.Random(f"{self._seed}/{name}")
-            text = "".join(source.choices(ALPHABET, k=tokens * TOKEN_BYTES))
+            random_source = random.Random(f"{self._seed}/{name}")
+            text = "".join(random_source.choices(ALPHABET, k=tokens * TOKEN_BYTES))
             self._prefix_texts[name] = text
         return text
 
     def _prefix_name(self, tenant: str, workload: WorkloadSpecification, prefix_epoch: int) -> str:
-        # Popularity falls with the rank, as a few preambles are very hot.
+        # Popularity is inversely proportional to the rank: few prefixes get most of the requests.
         ranks = range(1, workload.hot_prefixes + 1)
         rank = self._random.choices(ranks, [1.0 / r for r in ranks])[0]
         owner = "all" if workload.same_for_all_tenants else tenant
