--- a/liftrill/bench/caller.py
+++ b/liftrill/bench/caller.py
@@ -75,7 +75,7 @@
             self._read_chunk(record, orjson.loads(content))
             if record.code:
                 return
-        record.problems.append(history.STREAM_ENDED_SILENTLY)
+        record.problems.append(history.STREAM_NOT_TERMINATED)
 
     def _read_chunk(self, record: CallRecord, chunk: dict[str, object]) -> None:
         error = chunk.get("error")
@@ -94,7 +94,7 @@
 
     def _check(self, record: CallRecord, planned: PlannedRequest) -> None:
         if record.status and not record.execution:
-            record.problems.append(history.NO_EXECUTION)
+            record.problems.append(history.EXECUTION_MISSING)
         if record.complete:
             tokens = planned.workload.output_tokens
             history.check_complete_answer(record, planned.prompt, tokens)
--- a/liftrill/bench/faults/checkers.py
+++ b/liftrill/bench/faults/checkers.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass
 
 from liftrill.bench.faults.observations import RunHistory
-from liftrill.bench.history import STREAM_ENDED_SILENTLY
+from liftrill.bench.history import STREAM_NOT_TERMINATED
 
 LEAVING_GRACE_SECONDS = 2.0
 RESTART_LIMIT_SECONDS = 10.0
@@ -48,7 +48,7 @@
         f"request {call.number}: {problem}"
         for call in history.calls
         for problem in call.problems
-        if problem == STREAM_ENDED_SILENTLY or "cut short" in problem or "beginning" in problem
+        if problem == STREAM_NOT_TERMINATED or "cut short" in problem or "beginning" in problem
     ]
     return Verdict("complete streams", sum(1 for c in history.calls if c.status), violations)
 
--- a/liftrill/bench/history.py
+++ b/liftrill/bench/history.py
@@ -4,8 +4,8 @@
 
 from liftrill.emulator.engine_model import expected_output
 
-STREAM_ENDED_SILENTLY = "stream ended without [DONE] or an error"
-NO_EXECUTION = "response does not state whether the request was executed"
+STREAM_NOT_TERMINATED = "stream ended without [DONE] or an error"
+EXECUTION_MISSING = "response does not state whether the request was executed"
 
 
 @dataclass(slots=True)
--- a/liftrill/bench/simulation/node.py
+++ b/liftrill/bench/simulation/node.py
@@ -119,7 +119,7 @@
         found = engine.events_after(stream.next_sequence - 1)
         stream.apply(engine.model.incarnation, found, self._clock.now())
 
-    def exchange(self, homes: dict[str, "SimulatedNode"]) -> None:
+    def exchange_prefix_reports(self, homes: dict[str, "SimulatedNode"]) -> None:
         """Report the prefixes in use to their homes and take in the answers."""
         reports = self.router.reporter.take_reports(sorted(homes), self._clock.now())
         for home_id, home_reports in reports.items():
--- a/liftrill/bench/simulation/simulator.py
+++ b/liftrill/bench/simulation/simulator.py
@@ -138,7 +138,7 @@
                 )
             self._repeat(
                 constants.HOME_EXCHANGE_SECONDS,
-                lambda n=node: n.exchange(self._nodes),  # type: ignore[misc]
+                lambda n=node: n.exchange_prefix_reports(self._nodes),  # type: ignore[misc]
             )
 
     def _poll_some(self, node: SimulatedNode) -> None:
