--- a/liftrill/bench/decision.py
+++ b/liftrill/bench/decision.py
@@ -1,4 +1,4 @@
-"""What one routing decision costs, with many engines and shared prefixes."""
+"""Measures the time of a routing decision with many engines and shared prefixes."""
 
 import random
 import time
@@ -24,7 +24,7 @@
 
 @dataclass(frozen=True, slots=True)
 class DecisionCost:
-    """Time of one decision, in microseconds, with block hashing apart."""
+    """Time of a routing decision in microseconds; block hashing is measured separately."""
 
     engines: int
     prefixes: int
@@ -38,40 +38,40 @@
 def measure_decisions(
     engines: int, prefixes: int, decisions: int, policy: str, seed: int
 ) -> DecisionCost:
-    """Return the cost of decisions over random prefixes, after each was seen a few times."""
-    source = random.Random(seed)
-    router = _router(engines, prefixes, policy, source)
-    names = [f"prefix-{number:08d}".encode() for number in range(prefixes)]
-    texts = [name.ljust(PROMPT_BYTES, b"x") for name in names]
-    order = [source.randrange(prefixes) for _ in range(prefixes * 2 + decisions)]
+    """Measure decisions for random prefixes, after a warm-up that requests each prefix twice."""
+    random_source = random.Random(seed)
+    router = _router(engines, prefixes, policy, random_source)
+    prefix_names = [f"prefix-{number:08d}".encode() for number in range(prefixes)]
+    prompts = [name.ljust(PROMPT_BYTES, b"x") for name in prefix_names]
+    order = [random_source.randrange(prefixes) for _ in range(prefixes * 2 + decisions)]
     order[: prefixes * 2] = [*range(prefixes), *range(prefixes)]
-    costs: list[float] = []
-    hashing: list[float] = []
+    decision_seconds: list[float] = []
+    hashing_seconds: list[float] = []
     for number, prefix in enumerate(order):
-        request = _request(number, texts[prefix])
+        request = _request(number, prompts[prefix])
         started_at = time.perf_counter()
-        _hash(router, request)
+        _hash_blocks(router, request)
         hashed_at = time.perf_counter()
         choice = router.choose(request, frozenset(), None)
         ended_at = time.perf_counter()
         assert isinstance(choice, EngineChoice)
         router.record_abandoned(request)
         if number >= prefixes * 2:
-            costs.append(ended_at - hashed_at)
-            hashing.append(hashed_at - started_at)
-    decided = percentiles(costs)
+            decision_seconds.append(ended_at - hashed_at)
+            hashing_seconds.append(hashed_at - started_at)
+    decision_percentiles = percentiles(decision_seconds)
     return DecisionCost(
         engines=engines,
         prefixes=prefixes,
         decisions=decisions,
-        p50_microseconds=decided[50.0] * 1000,
-        p99_microseconds=decided[99.0] * 1000,
-        hashing_p50_microseconds=percentiles(hashing)[50.0] * 1000,
+        p50_microseconds=decision_percentiles[50.0] * 1000,
+        p99_microseconds=decision_percentiles[99.0] * 1000,
+        hashing_p50_microseconds=percentiles(hashing_seconds)[50.0] * 1000,
         directory_markers=router.directory_size,
     )
 
 
-def _router(engines: int, prefixes: int, policy: str, source: random.Random) -> Router:
+def _router(engines: int, prefixes: int, policy: str, random_source: random.Random) -> Router:
     deployment = load_deployment("sahil")
     directory = PrefixDirectory(prefixes * 8, constants.DIRECTORY_CANDIDATES + prefixes * 8)
     table = EngineTable()
@@ -82,8 +82,8 @@
         state = table.get(engine_id)
         assert state is not None
         state.apply_identity(EngineIdentity(1, 0, pool.weight_version, False))
-    chosen = POLICIES[policy](directory, source)
-    router = Router(table, chosen, directory, AdmissionController(), SECRET, time.monotonic)
+    routing_policy = POLICIES[policy](directory, random_source)
+    router = Router(table, routing_policy, directory, AdmissionController(), SECRET, time.monotonic)
     router.view = view_of(configuration_of(deployment))
     return router
 
@@ -102,6 +102,6 @@
     )
 
 
-def _hash(router: Router, request: RoutedRequest) -> None:
+def _hash_blocks(router: Router, request: RoutedRequest) -> None:
     pool = router.view.pools.pools[0]
     router.block_names(request, pool)
--- a/liftrill/bench/deployment.py
+++ b/liftrill/bench/deployment.py
@@ -1,4 +1,4 @@
-"""Deployment files: what the launcher starts and what load it sends."""
+"""Deployment files, which describe the processes to launch and the load to send."""
 
 from pathlib import Path
 
@@ -10,7 +10,7 @@
 
 
 class EngineSpecification(StrictModel):
-    """Cost model of the engines; see docs/EMULATOR.md."""
+    """Cost model of the emulated engines of a pool; see docs/EMULATOR.md."""
 
     memory_blocks: int = Field(gt=0)
     prefill_tokens_per_second: float = Field(gt=0)
@@ -20,7 +20,7 @@
 
 
 class PoolSpecification(StrictModel):
-    """A pool of engines of one model."""
+    """A pool of engines that serve one model."""
 
     name: str
     model: str
@@ -30,16 +30,16 @@
 
 
 class WorkloadSpecification(StrictModel):
-    """One kind of request in the load.
+    """A kind of request in the load.
 
     Attributes:
-        share: part of all requests, relative to the other workloads.
-        hot_prefixes: shared prefixes in use at a time, for each tenant.
+        share: weight of the workload in the choice between all workloads.
+        hot_prefixes: number of shared prefixes in use at a time, for each tenant.
         prefix_tokens: length of a shared prefix.
-        unique_tokens: mean length of what follows the shared prefix.
-        prefix_group: workloads of one group use the same prefixes.
-        same_for_all_tenants: the text of the prefixes is the same for every tenant; their
-            cached blocks must not be.
+        unique_tokens: mean length of the prompt after the shared prefix.
+        prefix_group: group of workloads that use the same prefixes.
+        same_for_all_tenants: whether all tenants use the same prefix texts; their cached
+            blocks must still be separate.
     """
 
     name: str
@@ -58,18 +58,19 @@
 
 
 class LoadSpecification(StrictModel):
-    """The load of a demo."""
+    """The default load of `liftrill demo` and rate of the fault tests."""
 
     requests_per_second: float = Field(gt=0)
     seconds: float = Field(gt=0)
 
 
 class Deployment(StrictModel):
-    """A whole deployment.
+    """A deployment file.
 
     Attributes:
-        nodes: nodes, one beside each application process, spread over the zones.
-        large_tenants: tenants that get `large_tenant_weight` times the requests of others.
+        nodes: number of nodes, one for each application process, distributed over the zones.
+        large_tenants: number of tenants that send `large_tenant_weight` times as many
+            requests as the others.
     """
 
     name: str
@@ -90,10 +91,10 @@
 
 
 def load_deployment(name: str) -> Deployment:
-    """Return a deployment by its name under `deployments/`, or by the path of its file.
+    """Load a deployment by its name under `deployments/`, or by the path of its file.
 
     Raises:
-        SettingsError: there is no such file, or it is wrong.
+        SettingsError: the file does not exist or is invalid.
     """
     path = Path(name)
     if not path.suffix:
@@ -102,17 +103,17 @@
 
 
 def tenant_names(deployment: Deployment) -> list[str]:
-    """Return the names of the tenants, large ones first."""
+    """Return the names of the tenants; the large tenants are first."""
     return [f"tenant-{number}" for number in range(1, deployment.tenants + 1)]
 
 
 def api_key(tenant: str) -> str:
-    """Return the API key that the launcher gives a tenant."""
+    """Return the API key that the launcher configures for a tenant."""
     return f"key-of-{tenant}"
 
 
 def intent_of(deployment: Deployment, claim_members: list[str]) -> dict[str, object]:
-    """Return the intent that configures a deployment."""
+    """Return the operator intent that configures a deployment."""
     return {
         "tenants": [
             {"name": name, "api_keys": [api_key(name)]} for name in tenant_names(deployment)
--- a/liftrill/bench/live.py
+++ b/liftrill/bench/live.py
@@ -1,4 +1,4 @@
-"""The same load over separate processes, once for each policy."""
+"""Runs the load of a scenario on launched processes, to compare routing policies."""
 
 import asyncio
 from collections.abc import Callable
@@ -15,7 +15,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LiveMetrics:
-    """Figures of one policy over processes; times in milliseconds."""
+    """Metrics of one policy on launched processes; times are in milliseconds."""
 
     policy: str
     seed: int
@@ -30,7 +30,7 @@
 async def run_live(
     scenario: Scenario, policy: str, seed: int, seconds: float, directory: Path
 ) -> LiveMetrics:
-    """Run the first seconds of a scenario's load under a policy, and return its figures."""
+    """Run the first seconds of the load of a scenario under a policy, and return the metrics."""
     deployment = scenario.scaled_deployment()
     generator = WorkloadGenerator(deployment, seed)
     planned = list(
@@ -42,7 +42,7 @@
     async with cluster:
         await cluster.configure()
         records = await send_planned(cluster, planned)
-    return _figures(policy, seed, summarize(records))
+    return _live_metrics(policy, seed, summarize(records))
 
 
 async def send_planned(
@@ -50,9 +50,9 @@
     planned: list[PlannedRequest],
     on_done: Callable[[CallRecord], None] = lambda _: None,
 ) -> list[CallRecord]:
-    """Send requests at their times over all nodes; return what their callers saw."""
-    reference = UnlimitedCache()
-    reusable = {request.number: reference.reusable_tokens(request) for request in planned}
+    """Send requests at their times, distributed over all nodes, and return the call records."""
+    unlimited_cache = UnlimitedCache()
+    reusable = {request.number: unlimited_cache.reusable_tokens(request) for request in planned}
     caller = Caller(cluster.session, [pool.weight_version for pool in cluster.deployment.pools])
 
     async def send(request: PlannedRequest) -> CallRecord:
@@ -66,7 +66,7 @@
 
 
 def format_live(rows: list[LiveMetrics]) -> str:
-    """Return the figures for people, the best hit rate first."""
+    """Return a table of the metrics, ordered by hit rate, highest first."""
     lines = [f"{'policy':24} {'hit':>6} {'wasted':>9} {'p50':>7} {'p99':>7} {'problems':>9}"]
     for row in sorted(rows, key=lambda r: r.hit_rate, reverse=True):
         lines.append(
@@ -76,7 +76,7 @@
     return "\n".join(lines)
 
 
-def _figures(policy: str, seed: int, summary: LoadSummary) -> LiveMetrics:
+def _live_metrics(policy: str, seed: int, summary: LoadSummary) -> LiveMetrics:
     return LiveMetrics(
         policy=policy,
         seed=seed,
--- a/liftrill/bench/memory.py
+++ b/liftrill/bench/memory.py
@@ -1,4 +1,4 @@
-"""Bytes of memory that each kind of state costs, measured with tracemalloc."""
+"""Measures the memory of each kind of node state, with tracemalloc."""
 
 import random
 import tracemalloc
@@ -26,15 +26,15 @@
 
 @dataclass(frozen=True, slots=True)
 class MemoryCost:
-    """Bytes for one item of a kind."""
+    """Mean memory of one item of a kind of state, in bytes."""
 
     item: str
     bytes_each: float
 
 
 def measure_memory() -> list[MemoryCost]:
-    """Return the cost of each kind of state, averaged over many items."""
-    makers: dict[str, Callable[[], object]] = {
+    """Return the memory per item for each kind of state, averaged over `ITEMS` items."""
+    factories: dict[str, Callable[[], object]] = {
         "shared marker with two holders": _directory,
         "marker seen once": _candidates,
         "prefix at its home": _home,
@@ -43,26 +43,26 @@
         "tenant in force": _tenants,
         "claim": _claims,
     }
-    return [MemoryCost(item, _bytes_each(make)) for item, make in makers.items()]
+    return [MemoryCost(item, _bytes_each(factory)) for item, factory in factories.items()]
 
 
-def _bytes_each(make: Callable[[], object]) -> float:
+def _bytes_each(factory: Callable[[], object]) -> float:
     tracemalloc.start()
     before, _ = tracemalloc.get_traced_memory()
-    kept = make()
+    state = factory()
     after, _ = tracemalloc.get_traced_memory()
     tracemalloc.stop()
-    del kept
+    del state
     return (after - before) / ITEMS
 
 
-def _name(number: int) -> bytes:
+def _block_name(number: int) -> bytes:
     return number.to_bytes(16, "big")
 
 
 def _directory() -> PrefixDirectory:
     directory = PrefixDirectory(ITEMS, ITEMS)
-    names = [_name(number) for number in range(ITEMS)]
+    names = [_block_name(number) for number in range(ITEMS)]
     for name in names:
         directory.mark_shared([name], NOW)
     for holder in range(HOLDERS):
@@ -74,7 +74,7 @@
 def _candidates() -> PrefixDirectory:
     directory = PrefixDirectory(ITEMS, ITEMS)
     for number in range(ITEMS):
-        directory.observe([_name(number)], NOW)
+        directory.observe([_block_name(number)], NOW)
     return directory
 
 
@@ -82,7 +82,7 @@
     home = HomeDirectory(ITEMS)
     for number in range(ITEMS):
         holders = tuple(AgedHolder(f"engine-{n}", 1, 0.5) for n in range(HOLDERS))
-        report = PrefixReport(_name(number), 1.0, holders)
+        report = PrefixReport(_block_name(number), 1.0, holders)
         home.exchange("node-1", [report], NOW)
         home.exchange("node-2", [report], NOW)
     return home
@@ -127,9 +127,9 @@
 
 
 def _claims() -> ClaimMember:
-    source = random.Random(1)
+    random_source = random.Random(1)
     member = ClaimMember(ClaimParameters(600.0, 1.0, ITEMS, 1_000), NOW)
     for number in range(ITEMS):
-        key = uuid.UUID(new_key(source, NOW + 100.0)).bytes
-        member.propose(ClaimProposal(key, f"attempt-{number}", _name(number), 0), NOW + 100.0)
+        key = uuid.UUID(new_key(random_source, NOW + 100.0)).bytes
+        member.propose(ClaimProposal(key, f"attempt-{number}", _block_name(number), 0), NOW + 100.0)
     return member
--- a/liftrill/bench/overhead.py
+++ b/liftrill/bench/overhead.py
@@ -1,8 +1,8 @@
-"""What a node adds to an engine called directly, and how much one node carries.
+"""Measures the latency that a node adds to an engine, and the streaming capacity of a node.
 
-Latency is paired: each request goes to an engine and through the node, in random order,
-in one run. Streaming capacity is given per second of the node's processor time, so that
-it does not depend on how fast this process can read.
+Latencies are measured in pairs: each prompt is sent to an engine directly and through the node,
+in random order. Streaming capacity is measured per second of the processor time of the node, so
+that it does not depend on how fast this process reads.
 """
 
 import asyncio
@@ -21,15 +21,24 @@
 
 PROMPT_CHARACTERS = 4_000
 DIRECT_SALT = "00" * 32
-FAST_STEP_SECONDS = 0.001
-FAST_PREFILL_TOKENS_PER_SECOND = 2_000_000.0
+STEP_SECONDS = 0.001
+PREFILL_TOKENS_PER_SECOND = 2_000_000.0
 STREAM_TOKENS = 500
 TOKEN_MARK = b'"token_index"'
 
 
 @dataclass(frozen=True, slots=True)
 class OverheadResult:
-    """Latencies in milliseconds; `added` is the percentile of the paired differences."""
+    """The result of both measurements; latencies are in milliseconds.
+
+    Attributes:
+        added_p50: median of the latency difference within a pair, where negative differences count
+            as 0.
+        added_p99: 99th percentile of the same differences.
+        node_core_share: processor cores that the node used during the pairs.
+        streaming_core_share: processor cores that the node used during the streams.
+        idle_memory_megabytes: resident memory of the node before the load.
+    """
 
     seed: int
     requests_per_second: float
@@ -49,13 +58,13 @@
 
 
 def overhead_deployment() -> Deployment:
-    """Return one node before engines that are as fast as the stand-in can be."""
+    """Return a deployment of one node and engines with minimal latency."""
     deployment = load_deployment("sahil")
     pool = deployment.pools[0]
     engine = pool.engine.model_copy(
         update={
-            "step_base_seconds": FAST_STEP_SECONDS,
-            "prefill_tokens_per_second": FAST_PREFILL_TOKENS_PER_SECOND,
+            "step_base_seconds": STEP_SECONDS,
+            "prefill_tokens_per_second": PREFILL_TOKENS_PER_SECOND,
             "maximum_running": 64,
             "idle_eviction_seconds": 60.0,
         }
@@ -67,18 +76,18 @@
 async def measure_overhead(
     directory: Path, seed: int, requests_per_second: float, seconds: float, streams: int
 ) -> OverheadResult:
-    """Run both measurements."""
+    """Measure paired latencies, then streaming capacity."""
     async with Cluster(overhead_deployment(), directory, seed) as cluster:
         await cluster.configure()
-        node = psutil.Process(_pid(cluster.nodes[0]))
+        node = psutil.Process(_process_id(cluster.nodes[0]))
         idle_memory = node.memory_info().rss / 1e6
-        bench = _Bench(cluster, random.Random(seed))
-        await bench.pairs(requests_per_second, 1.0)  # warm-up, not counted
+        load = _OverheadLoad(cluster, random.Random(seed))
+        await load.pairs(requests_per_second, 1.0)  # warm-up, not measured
         processor_before, started_at = _processor_seconds(node), time.monotonic()
-        pairs = await bench.pairs(requests_per_second, seconds)
-        share = (_processor_seconds(node) - processor_before) / (time.monotonic() - started_at)
+        pairs = await load.pairs(requests_per_second, seconds)
+        core_share = (_processor_seconds(node) - processor_before) / (time.monotonic() - started_at)
         processor_before, started_at = _processor_seconds(node), time.monotonic()
-        tokens = await bench.streams(streams)
+        tokens = await load.streams(streams)
         elapsed = time.monotonic() - started_at
         processor = _processor_seconds(node) - processor_before
     direct = percentiles([pair[0] for pair in pairs])
@@ -94,7 +103,7 @@
         node_p99=through_node[99.0],
         added_p50=added[50.0],
         added_p99=added[99.0],
-        node_core_share=share,
+        node_core_share=core_share,
         streams=streams,
         streamed_tokens_per_second=tokens / elapsed,
         streaming_core_share=processor / elapsed,
@@ -104,21 +113,25 @@
 
 
 def format_overhead(result: OverheadResult) -> str:
-    """Return the figures for people."""
+    """Return the result as text, one line for each field."""
     return "\n".join(f"{key:28} {value}" for key, value in asdict(result).items())
 
 
-class _Bench:
-    """Sends the requests of both measurements."""
+class _OverheadLoad:
+    """Sends the requests of both measurements to a cluster."""
 
     def __init__(self, cluster: Cluster, random_source: random.Random) -> None:
         self._cluster = cluster
         self._random = random_source
-        self._count = 0
+        self._request_count = 0
         self._model = cluster.deployment.pools[0].model
 
     async def pairs(self, requests_per_second: float, seconds: float) -> list[tuple[float, float]]:
-        """Return (direct, through the node) latencies in seconds, at an open-loop rate."""
+        """Send pairs at a fixed open-loop rate.
+
+        Returns:
+            The latencies of each pair in seconds: direct, and through the node.
+        """
         tasks: list[asyncio.Task[tuple[float, float]]] = []
         started_at = time.monotonic()
         for number in range(int(requests_per_second * seconds)):
@@ -128,12 +141,12 @@
         return list(await asyncio.gather(*tasks))
 
     async def streams(self, count: int) -> int:
-        """Read streams through the node at once; return the tokens read."""
+        """Read streams through the node concurrently and return the number of tokens."""
         return sum(await asyncio.gather(*(self._stream() for _ in range(count))))
 
     async def _pair(self) -> tuple[float, float]:
-        self._count += 1
-        prompt = f"[{self._count}]".ljust(PROMPT_CHARACTERS, "x")
+        self._request_count += 1
+        prompt = f"[{self._request_count}]".ljust(PROMPT_CHARACTERS, "x")
         engine = self._random.choice(self._cluster.engines)
         if self._random.random() < 0.5:
             direct = await self._direct(engine, prompt)
@@ -147,16 +160,16 @@
             "prompt": prompt,
             "max_tokens": 1,
             "cache_salt": DIRECT_SALT,
-            "request_id": f"direct-{self._count}-{self._random.random()}",
-            "attempt_id": f"direct-{self._count}-{self._random.random()}",
+            "request_id": f"direct-{self._request_count}-{self._random.random()}",
+            "attempt_id": f"direct-{self._request_count}-{self._random.random()}",
         }
-        return await self._timed(f"http://{engine.managed.address}/v1/completions", body)
+        return await self._post_timed(f"http://{engine.managed.address}/v1/completions", body)
 
     async def _through_node(self, prompt: str) -> float:
         body = {"model": self._model, "prompt": prompt, "max_tokens": 1}
-        return await self._timed(self._node_url(), body)
+        return await self._post_timed(self._node_url(), body)
 
-    async def _timed(self, url: str, body: dict[str, object]) -> float:
+    async def _post_timed(self, url: str, body: dict[str, object]) -> float:
         started_at = time.perf_counter()
         headers = {"Authorization": f"Bearer {api_key('tenant-1')}"}
         async with self._cluster.session.post(
@@ -167,10 +180,10 @@
         return time.perf_counter() - started_at
 
     async def _stream(self) -> int:
-        self._count += 1
+        self._request_count += 1
         body = {
             "model": self._model,
-            "prompt": f"[{self._count}]".ljust(PROMPT_CHARACTERS, "x"),
+            "prompt": f"[{self._request_count}]".ljust(PROMPT_CHARACTERS, "x"),
             "max_tokens": STREAM_TOKENS,
             "stream": True,
         }
@@ -190,7 +203,7 @@
         return f"http://{self._cluster.nodes[0].address}/v1/completions"
 
 
-def _pid(process: ManagedProcess) -> int:
+def _process_id(process: ManagedProcess) -> int:
     assert process.process is not None
     return process.process.pid
 
--- a/liftrill/bench/restart.py
+++ b/liftrill/bench/restart.py
@@ -1,4 +1,4 @@
-"""From the start of a node's process to its first answer, with the store down."""
+"""Measures the time from a node restart to its first response, with the platform store down."""
 
 import asyncio
 import signal
@@ -19,16 +19,21 @@
 
 @dataclass(frozen=True, slots=True)
 class RestartResult:
-    """Seconds to the first answer, and processor seconds used until then, of each restart."""
+    """The result of each restart.
+
+    Attributes:
+        seconds: time from the start of the process to the first response.
+        processor_seconds: processor time of the node until then.
+    """
 
     seconds: tuple[float, ...]
     processor_seconds: tuple[float, ...]
 
 
 async def measure_restarts(deployment: str, restarts: int, directory: Path) -> RestartResult:
-    """Kill and start one node again and again while the platform is out."""
+    """Kill and restart one node after the other during an outage of the platform."""
     seconds: list[float] = []
-    processor: list[float] = []
+    processor_times: list[float] = []
     async with Cluster(load_deployment(deployment), directory) as cluster:
         await cluster.configure()
         await asyncio.sleep(GOSSIP_QUIET_SECONDS)
@@ -39,15 +44,15 @@
             await asyncio.to_thread(node.wait, KILL_WAIT_SECONDS)
             started_at = time.monotonic()
             node.start()
-            await wait_until(lambda n=node: _answers(cluster, n), f"{node.name} answers")  # type: ignore[misc]
+            await wait_until(lambda n=node: _is_serving(cluster, n), f"{node.name} is serving")  # type: ignore[misc]
             seconds.append(time.monotonic() - started_at)
             assert node.process is not None
             times = psutil.Process(node.process.pid).cpu_times()
-            processor.append(float(times.user + times.system))
-    return RestartResult(tuple(seconds), tuple(processor))
+            processor_times.append(float(times.user + times.system))
+    return RestartResult(tuple(seconds), tuple(processor_times))
 
 
-async def _answers(cluster: Cluster, node: ManagedProcess) -> bool:
+async def _is_serving(cluster: Cluster, node: ManagedProcess) -> bool:
     model = cluster.deployment.pools[0].model
     body = orjson.dumps({"model": model, "prompt": "first", "max_tokens": 1})
     headers = {"Authorization": f"Bearer {api_key('tenant-1')}"}
@@ -57,7 +62,7 @@
 
 
 def format_restarts(result: RestartResult) -> str:
-    """Return the figures for people."""
+    """Return the result as text, one line for each restart."""
     rows = zip(result.seconds, result.processor_seconds, strict=True)
-    lines = [f"{s:6.2f} s to the first answer, {p:5.2f} s of processor time" for s, p in rows]
+    lines = [f"{s:6.2f} s to the first response, {p:5.2f} s of processor time" for s, p in rows]
     return "\n".join(lines)
--- a/liftrill/bench/summary.py
+++ b/liftrill/bench/summary.py
@@ -1,4 +1,4 @@
-"""Figures over the records of a load."""
+"""Summaries of the call records of a load."""
 
 from collections import Counter
 from collections.abc import Sequence
@@ -19,15 +19,17 @@
 
 @dataclass(frozen=True, slots=True)
 class LoadSummary:
-    """Figures of one load.
+    """Metrics of one load.
 
     Attributes:
-        outcomes: requests by outcome.
-        hit_rate: prompt tokens served from cache, over all prompt tokens.
-        bound: the same with an unlimited cache.
-        wasted_tokens: prompt tokens computed again that an unlimited cache had.
-        first_token_milliseconds: by percentile.
-        problems: what was wrong with answers.
+        outcomes: number of requests by outcome.
+        codes: number of requests by result code, without successes.
+        hit_rate: share of the prompt tokens of completed requests that came from the cache.
+        bound: hit rate that an unlimited cache would have reached.
+        wasted_tokens: prompt tokens that were recomputed and that an unlimited cache would
+            have contained.
+        first_token_milliseconds: time to first token, by percentile.
+        problems: violations that the checks found in the responses.
     """
 
     requests: int
@@ -41,7 +43,7 @@
 
 
 def summarize(records: Sequence[CallRecord]) -> LoadSummary:
-    """Return the figures of a load."""
+    """Return the metrics of a load."""
     completed = [record for record in records if record.complete]
     prompt_tokens = sum(record.prompt_tokens for record in completed) or 1
     first_tokens = [r.first_token_at - r.sent_at for r in records if r.first_token_at is not None]
@@ -58,7 +60,7 @@
 
 
 def percentiles(seconds: Sequence[float]) -> dict[float, float]:
-    """Return percentiles in milliseconds."""
+    """Return `PERCENTILES` of durations given in seconds, in milliseconds."""
     histogram = HdrHistogram(1, HIGHEST_MICROSECONDS, SIGNIFICANT_DIGITS)
     for value in seconds:
         histogram.record_value(max(1, int(value * 1_000_000)))
@@ -66,27 +68,27 @@
 
 
 class UnlimitedCache:
-    """The reference: a cache that never evicts, per tenant."""
+    """A prefix cache for each tenant that never evicts, as the reference for hit rates."""
 
     def __init__(self) -> None:
-        self._seen: set[bytes] = set()
+        self._cached_names: set[bytes] = set()
         self._tokenizer = FixedWidthTokenizer()
         self._salts: dict[str, bytes] = {}
 
     def reusable_tokens(self, planned: PlannedRequest) -> int:
-        """Return the prompt tokens seen before, and remember this prompt."""
+        """Return the number of prompt tokens in the cache, and add the prompt to it."""
         salt = self._salts.get(planned.tenant)
         if salt is None:
             scope = CacheScope(planned.tenant, planned.workload.model, "", "")
             salt = self._salts[planned.tenant] = scope.salt(b"reference")
         names = block_names(planned.prompt.encode(), salt, self._tokenizer)
-        seen = sum(1 for name in names if name in self._seen)
-        self._seen.update(names)
-        return seen * BLOCK_TOKENS
+        cached_blocks = sum(1 for name in names if name in self._cached_names)
+        self._cached_names.update(names)
+        return cached_blocks * BLOCK_TOKENS
 
 
 def format_summary(summary: LoadSummary) -> str:
-    """Return a summary for people."""
+    """Return a summary as text."""
     latency = summary.first_token_milliseconds
     outcomes = ", ".join(f"{name} {count}" for name, count in sorted(summary.outcomes.items()))
     lines = [
@@ -94,7 +96,7 @@
         f"prefix hit rate       {summary.hit_rate:.3f} (unlimited cache: {summary.bound:.3f})",
         f"wasted recomputation  {summary.wasted_tokens} tokens",
         "time to first token   " + ", ".join(f"p{p:.0f} {latency[p]:.0f} ms" for p in PERCENTILES),
-        f"promises broken       {len(summary.problems)}",
+        f"response problems     {len(summary.problems)}",
         *(f"  {problem}" for problem in summary.problems[:10]),
     ]
     if summary.codes:
