--- a/liftrill/bench/report.py
+++ b/liftrill/bench/report.py
@@ -1,4 +1,4 @@
-"""A report of one scenario: figures by policy, and plots over time."""
+"""Writes a report of one scenario: metrics for each policy, and plots over time."""
 
 from collections.abc import Sequence
 from pathlib import Path
@@ -13,23 +13,26 @@
 from liftrill.bench.summary import percentiles
 
 BIN_SECONDS = 5.0
-FIGURE_INCHES = (10.0, 9.0)
+FIGURE_SIZE_INCHES = (10.0, 9.0)
 DOTS_PER_INCH = 110
 TAIL_PERCENTILE = 95.0
 
 
 def write_report(scenario: Scenario, policies: Sequence[str], seed: int, directory: Path) -> Path:
-    """Run a scenario under each policy and write `NAME.md` and `NAME.png`; return the page."""
+    """Run a scenario under each policy, write `NAME.md` and `NAME.png`, and return the page."""
     directory.mkdir(parents=True, exist_ok=True)
-    calls = {policy: Simulation(scenario, policy, seed).run() for policy in policies}
-    rows = [run_metrics(scenario.name, policy, seed, found) for policy, found in calls.items()]
-    _plot(scenario, calls, directory / f"{scenario.name}.png")
+    calls_by_policy = {policy: Simulation(scenario, policy, seed).run() for policy in policies}
+    rows = [
+        run_metrics(scenario.name, policy, seed, policy_calls)
+        for policy, policy_calls in calls_by_policy.items()
+    ]
+    _plot(scenario, calls_by_policy, directory / f"{scenario.name}.png")
     page = directory / f"{scenario.name}.md"
-    page.write_text(_page(scenario, seed, rows))
+    page.write_text(_markdown_page(scenario, seed, rows))
     return page
 
 
-def _page(scenario: Scenario, seed: int, rows: Sequence[RunMetrics]) -> str:
+def _markdown_page(scenario: Scenario, seed: int, rows: Sequence[RunMetrics]) -> str:
     lines = [
         f"# {scenario.name}",
         "",
@@ -51,15 +54,15 @@
     return "\n".join(lines)
 
 
-def _plot(scenario: Scenario, calls: dict[str, list[SimulatedCall]], path: Path) -> None:
+def _plot(scenario: Scenario, calls_by_policy: dict[str, list[SimulatedCall]], path: Path) -> None:
     matplotlib.use("Agg")
-    figure, axes = pyplot.subplots(3, 1, sharex=True, figsize=FIGURE_INCHES)
+    figure, axes = pyplot.subplots(3, 1, sharex=True, figsize=FIGURE_SIZE_INCHES)
     _plot_rate(axes[0], scenario)
-    for policy, found in calls.items():
-        bins = _bins(found)
+    for policy, policy_calls in calls_by_policy.items():
+        bins = _bins(policy_calls)
         times = [at for at, _ in bins]
         axes[1].plot(times, [_hit_rate(group) for _, group in bins], label=policy)
-        axes[2].plot(times, [_tail(group) for _, group in bins], label=policy)
+        axes[2].plot(times, [_tail_milliseconds(group) for _, group in bins], label=policy)
     axes[1].set_ylabel("prefix hit rate")
     axes[1].set_ylim(0.0, 1.0)
     axes[2].set_ylabel(f"time to first token, p{TAIL_PERCENTILE:.0f} (ms)")
@@ -93,6 +96,6 @@
     return sum(c.cached_tokens for c in calls) / sum(c.prompt_tokens for c in calls)
 
 
-def _tail(calls: Sequence[SimulatedCall]) -> float:
+def _tail_milliseconds(calls: Sequence[SimulatedCall]) -> float:
     seconds = [c.first_token_at - c.sent_at for c in calls if c.first_token_at is not None]
     return percentiles(seconds)[TAIL_PERCENTILE]
--- a/liftrill/bench/scale/__init__.py
+++ b/liftrill/bench/scale/__init__.py
@@ -1,1 +1,1 @@
-"""Hollow nodes: the real coordination code of hundreds of nodes in one process."""
+"""Scale tests: the coordination code of hundreds of nodes in one process, in virtual time."""
--- a/liftrill/bench/scale/hollow_node.py
+++ b/liftrill/bench/scale/hollow_node.py
@@ -1,4 +1,7 @@
-"""A node without callers: membership, configuration, engine records and watching."""
+"""A hollow node: a node with coordination code only, which serves no requests.
+
+It runs membership, configuration replication, engine records and engine watches.
+"""
 
 import random
 import time
@@ -35,7 +38,7 @@
 
 @dataclass(slots=True)
 class Traffic:
-    """Bytes of one node by kind, sent and received together."""
+    """Bytes that one node sent and received, by kind."""
 
     gossip: int = 0
     configuration: int = 0
@@ -43,13 +46,13 @@
 
     @property
     def total(self) -> int:
-        """All bytes."""
+        """The number of bytes of all kinds."""
         return self.gossip + self.configuration + self.reports
 
 
 @dataclass(slots=True)
 class HollowEngine:
-    """An engine that only has an identity."""
+    """An engine that has an identity and serves no requests."""
 
     engine_id: str
     identity: EngineIdentity
@@ -57,7 +60,14 @@
 
 @dataclass(slots=True)
 class Detections:
-    """When each node first knew of something."""
+    """Virtual times at which one node first learned of events.
+
+    Attributes:
+        generation_at: time of adoption, by configuration generation.
+        dead_at: time at which a member was declared dead, by node.
+        leaving_at: time at which an engine was known to leave, by engine.
+        suspicions: number of times a member was suspected.
+    """
 
     generation_at: dict[int, float] = field(default_factory=dict)
     dead_at: dict[str, float] = field(default_factory=dict)
@@ -66,7 +76,7 @@
 
 
 class HollowNode:
-    """One hollow node in virtual time. Processor time is real, of this process."""
+    """One hollow node in virtual time; its processor time is real and measured in this process."""
 
     def __init__(
         self,
@@ -97,27 +107,27 @@
         self.membership = Membership(own, seeds, parameters, self._random)
         self._peers: dict[str, HollowNode] = {}
         self._pulling = False
-        self._watched: list[str] = []
+        self._watched_engines: list[str] = []
         network.attach(self.address, location, self._receive)
 
     def start(self, peers: "dict[str, HollowNode]") -> None:
-        """Begin to tick and to watch engines."""
+        """Schedule the first gossip tick, engine watch and watch assignment at random times."""
         self._peers = peers
         self._clock.call_later(self._random.random() * 0.1, self._tick)
-        self._clock.call_later(self._random.random(), self._watch)
-        self._clock.call_later(self._random.random(), self._assign)
+        self._clock.call_later(self._random.random(), self._watch_engines)
+        self._clock.call_later(self._random.random(), self._assign_engines)
 
     def kill(self) -> None:
-        """Stop at once, without a word."""
+        """Stop the node without announcing its departure."""
         self.alive = False
         self._network.detach(self.address)
 
     def commit(self, head: Head, sections: dict[bytes, bytes]) -> None:
-        """Adopt a configuration as the node that confirmed it."""
+        """Adopt a configuration that was confirmed on this node, and announce its generation."""
         self.replica.offer_head(head)
         for digest, content in sections.items():
             self.replica.offer_section(digest, content)
-        self._on_adopted()
+        self._announce_generation()
 
     # Membership
 
@@ -125,7 +135,7 @@
         if not self.alive:
             return
         started_at = time.process_time()
-        self._carry_out(self.membership.handle(Ticked(), self._clock.now()))
+        self._execute(self.membership.handle(Ticked(), self._clock.now()))
         self.processor_seconds += time.process_time() - started_at
         self._clock.call_later(constants.GOSSIP_TICK_SECONDS, self._tick)
 
@@ -138,19 +148,19 @@
         if self.records.offer_listings(packet.listings):
             self.membership.request_announcement()
         for observation in packet.observations:
-            self._take_observation(observation)
+            self._apply_observation(observation)
         event = DatagramReceived(source, packet.datagram)
-        self._carry_out(self.membership.handle(event, self._clock.now()))
+        self._execute(self.membership.handle(event, self._clock.now()))
         self.processor_seconds += time.process_time() - started_at
 
-    def _carry_out(self, instructions: list[MembershipInstruction]) -> None:
+    def _execute(self, instructions: list[MembershipInstruction]) -> None:
         for instruction in instructions:
             if isinstance(instruction, SendDatagram):
                 self._send(instruction)
             elif isinstance(instruction, MemberChanged):
-                self._note_member(instruction.member)
+                self._record_member(instruction.member)
             elif isinstance(instruction, NewerGenerationHeard):
-                self._pull(instruction.address)
+                self._pull_configuration(instruction.address)
 
     def _send(self, instruction: SendDatagram) -> None:
         members = len(self.membership.members())
@@ -159,7 +169,7 @@
         self.traffic.gossip += len(data) + UDP_HEADER_BYTES
         self._network.send(self.address, instruction.address, data)
 
-    def _note_member(self, member: Member) -> None:
+    def _record_member(self, member: Member) -> None:
         if member.condition.name == "SUSPECT":
             self.detections.suspicions += 1
         if member.condition.name == "DEAD":
@@ -167,16 +177,16 @@
 
     # Configuration
 
-    def _pull(self, address: str) -> None:
-        """Fetch head and missing sections from a peer, as two calls."""
+    def _pull_configuration(self, address: str) -> None:
+        """Fetch the head and then the missing sections from a peer, in two calls."""
         if self._pulling or not self._network.is_reachable(self.address, address):
             return
         self._pulling = True
         peer = self._peers[address]
         delay = 2 * self._network.delay(self.address, address)
-        self._clock.call_later(delay, lambda: self._take_head(peer, delay))
+        self._clock.call_later(delay, lambda: self._receive_head(peer, delay))
 
-    def _take_head(self, peer: "HollowNode", delay: float) -> None:
+    def _receive_head(self, peer: "HollowNode", delay: float) -> None:
         if peer.replica.current is None:
             self._pulling = False
             return
@@ -184,11 +194,11 @@
         self._count_transfer(peer, head_bytes(head))
         adoption = self.replica.offer_head(head)
         if adoption is Adoption.INCOMPLETE:
-            self._clock.call_later(delay, lambda: self._take_sections(peer))
+            self._clock.call_later(delay, lambda: self._receive_sections(peer))
             return
         self._finish_pull()
 
-    def _take_sections(self, peer: "HollowNode") -> None:
+    def _receive_sections(self, peer: "HollowNode") -> None:
         for digest in self.replica.wanted_digests:
             content = peer.replica.section_by_digest(digest)
             if content is not None:
@@ -199,13 +209,13 @@
     def _finish_pull(self) -> None:
         self._pulling = False
         if self.replica.generation > self.membership.generation:
-            self._on_adopted()
+            self._announce_generation()
 
-    def _on_adopted(self) -> None:
+    def _announce_generation(self) -> None:
         generation = self.replica.generation
         self.membership.generation = generation
         self.detections.generation_at.setdefault(generation, self._clock.now())
-        self._carry_out(self.membership.announce())
+        self._execute(self.membership.announce())
 
     def _count_transfer(self, peer: "HollowNode", content_bytes: int) -> None:
         transferred = content_bytes + HTTP_OVERHEAD_BYTES
@@ -214,24 +224,24 @@
 
     # Engines
 
-    def _assign(self) -> None:
-        """Find the engines to watch again, as members come and go."""
+    def _assign_engines(self) -> None:
+        """Recompute the watched engines from the current members, periodically."""
         if not self.alive:
             return
         started_at = time.process_time()
         members = [m.node_id for m in self.membership.members() if m.region == self.location.region]
         engines = [e for e in self._engines if e.startswith(f"{self.location.region}/")]
-        self._watched = watched_engines(self.node_id, members, engines)
+        self._watched_engines = watched_engines(self.node_id, members, engines)
         self.processor_seconds += time.process_time() - started_at
-        self._clock.call_later(constants.WATCH_ASSIGNMENT_SECONDS, self._assign)
+        self._clock.call_later(constants.WATCH_ASSIGNMENT_SECONDS, self._assign_engines)
 
-    def _watch(self) -> None:
-        """Renew the blocking queries on the own engines; each costs a report."""
+    def _watch_engines(self) -> None:
+        """Count the reports of renewed blocking queries and of extra polls, periodically."""
         if not self.alive:
             return
-        self.traffic.reports += REPORT_BYTES * len(self._watched)
+        self.traffic.reports += REPORT_BYTES * len(self._watched_engines)
         self.traffic.reports += REPORT_BYTES * self._extra_reports_per_watch()
-        self._clock.call_later(constants.ENGINE_WATCH_SECONDS, self._watch)
+        self._clock.call_later(constants.ENGINE_WATCH_SECONDS, self._watch_engines)
 
     @staticmethod
     def _extra_reports_per_watch() -> int:
@@ -239,13 +249,13 @@
         return int(rate * constants.ENGINE_WATCH_SECONDS)
 
     def receive_engine_change(self, engine: HollowEngine) -> None:
-        """Get the answer of a blocking query, if this node watches the engine."""
-        if self.alive and engine.engine_id in self._watched:
+        """Receive the response to a blocking query, if this node watches the engine."""
+        if self.alive and engine.engine_id in self._watched_engines:
             self.traffic.reports += REPORT_BYTES
             observation = EngineObservation(engine.engine_id, engine.identity)
-            self._clock.call_later(0.001, lambda: self._take_observation(observation))
+            self._clock.call_later(0.001, lambda: self._apply_observation(observation))
 
-    def _take_observation(self, observation: EngineObservation) -> None:
+    def _apply_observation(self, observation: EngineObservation) -> None:
         if not self.records.offer_observation(observation):
             return
         self.membership.request_announcement()
@@ -254,7 +264,7 @@
 
 
 def head_bytes(head: Head) -> int:
-    """Return the size of a head as it is sent: digests, names and confirmations."""
+    """Return the approximate encoded size of a head: section names, digests and confirmations."""
     digests = sum(len(name) + len(digest) + 6 for name, digest in head.section_digests.items())
     confirmation = 40 + constants.CONFIRMATION_SUMMARY_CHARACTERS
     return digests + constants.CONFIRMATIONS_KEPT * confirmation
--- a/liftrill/bench/scale/network.py
+++ b/liftrill/bench/scale/network.py
@@ -1,4 +1,4 @@
-"""Regions, zones and links in virtual time, with latency, loss and cuts."""
+"""A network of regions and zones in virtual time, with latency, packet loss and partitions."""
 
 import random
 from collections.abc import Callable
@@ -9,7 +9,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Latencies:
-    """One-way delays, in seconds."""
+    """One-way delays between two nodes, in seconds."""
 
     same_zone: float = 0.0002
     same_region: float = 0.001
@@ -18,7 +18,7 @@
 
 @dataclass(slots=True)
 class Location:
-    """Where a node is."""
+    """The region and zone of a node."""
 
     region: str
     zone: str
@@ -29,8 +29,8 @@
     """Delivers datagrams between addresses.
 
     Attributes:
-        loss_share: share of datagrams that are lost.
-        partitioned_regions: regions that reach only themselves.
+        loss_share: share of the datagrams that are lost.
+        partitioned_regions: regions whose nodes reach only nodes of the same region.
     """
 
     clock: VirtualClock
@@ -38,38 +38,38 @@
     latencies: Latencies = field(default_factory=Latencies)
     loss_share: float = 0.0
     partitioned_regions: set[str] = field(default_factory=set)
-    _places: dict[str, Location] = field(default_factory=dict)
+    _locations: dict[str, Location] = field(default_factory=dict)
     _receivers: dict[str, Callable[[bytes, str], None]] = field(default_factory=dict)
 
     def attach(
         self, address: str, location: Location, receive: Callable[[bytes, str], None]
     ) -> None:
-        """Let an address receive."""
-        self._places[address] = location
+        """Register the location and the receive callback of an address."""
+        self._locations[address] = location
         self._receivers[address] = receive
 
     def detach(self, address: str) -> None:
-        """Let an address receive no more."""
+        """Remove the receive callback of an address, which becomes unreachable."""
         self._receivers.pop(address, None)
 
     def is_reachable(self, source: str, target: str) -> bool:
-        """Return whether a call from one address would reach another now."""
+        """Return whether the target address can currently be reached from the source address."""
         if target not in self._receivers:
             return False
-        regions = {self._places[source].region, self._places[target].region}
+        regions = {self._locations[source].region, self._locations[target].region}
         return len(regions) == 1 or not regions & self.partitioned_regions
 
     def delay(self, source: str, target: str) -> float:
         """Return the one-way delay between two addresses."""
-        from_place, to_place = self._places[source], self._places[target]
-        if from_place.region != to_place.region:
+        source_location, target_location = self._locations[source], self._locations[target]
+        if source_location.region != target_location.region:
             return self.latencies.between_regions
-        if from_place.zone != to_place.zone:
+        if source_location.zone != target_location.zone:
             return self.latencies.same_region
         return self.latencies.same_zone
 
     def send(self, source: str, target: str, data: bytes) -> None:
-        """Send a datagram, which may be lost."""
+        """Send a datagram; it is dropped if the target is unreachable, or at random."""
         if not self.is_reachable(source, target):
             return
         if self.random_source.random() < self.loss_share:
--- a/liftrill/bench/scale/run.py
+++ b/liftrill/bench/scale/run.py
@@ -1,4 +1,4 @@
-"""Runs hollow nodes in virtual time and measures what coordination costs each."""
+"""Runs hollow nodes in virtual time and measures the cost of coordination for each node."""
 
 import random
 from collections.abc import Iterable
@@ -21,24 +21,31 @@
 SETTLE_SECONDS = 40.0
 MEASURE_SECONDS = 120.0
 CHANGE_INTERVAL_SECONDS = 9.6
-CUT_SECONDS = 30.0
-SEEDS = 6
+PARTITION_SECONDS = 30.0
+SEED_NODES = 6
 TENANTS = 1_200
 
 
 @dataclass(frozen=True, slots=True)
 class ScaleResult:
-    """Costs per node (medians over nodes) and delays in seconds.
+    """Costs per node, as medians over the nodes, and delays in seconds.
 
     Attributes:
-        processor_share: of a core, as a fraction, on this machine.
-        memory_megabytes_per_node: growth of this process by node.
-        in_force_p50: from a confirmation to a node's adoption, over nodes and changes.
-        in_force_last: from a confirmation to the last node, the worst change.
-        in_force_after_cut: from the healing of a region's cut to its last node.
-        leaving_last: from an engine's mark to the last node that knows.
-        death_last: from a node's death to the last node that knows.
-        false_suspicions_per_hour: per node, at the loss given, with nobody dead.
+        processor_share: processor cores that a node uses on this machine, as a fraction.
+        memory_megabytes_per_node: memory growth of this process, divided by the nodes.
+        changes: number of configuration changes in the percentiles.
+        in_force_p50: median time from a confirmation to its adoption by a node.
+        in_force_p99: 99th percentile of the same time.
+        in_force_last: longest time from a confirmation to its adoption by the last node.
+        in_force_after_cut: time from the end of the partition of a region until the last
+            node adopted the configuration confirmed during the partition.
+        leaving_last: time from the leaving mark of an engine until the last node knew it.
+        death_last: time from the crash of a node until the last of the nodes that detected
+            it; see `unaware_of_death` for the others.
+        unaware_of_death: number of nodes that did not detect the crash.
+        false_suspicions_per_hour: mean number of suspicions per hour between one node and one
+            other, at the given loss and while all nodes are alive.
+        false_deaths: number of times that a live node was declared dead.
     """
 
     nodes: int
@@ -64,7 +71,7 @@
 
 
 class ScaleRun:
-    """One run."""
+    """One run of hollow nodes; the constructor runs them for `SETTLE_SECONDS`."""
 
     def __init__(self, nodes: int, engines: int, seed: int, loss_share: float) -> None:
         self._seed = seed
@@ -77,23 +84,23 @@
         self._tenants = _tenants(TENANTS)
         self._generation = 0
         self._confirmed_at: dict[int, float] = {}
-        self._cut_generations: set[int] = set()
+        self._partition_generations: set[int] = set()
         self._start()
         self._clock.run(SETTLE_SECONDS)
         memory = psutil.Process().memory_info().rss - memory_before
         self._memory_per_node = memory / 1e6 / nodes
 
     def run(self) -> ScaleResult:
-        """Measure quiet costs, then changes, a cut, a leaving engine and a death."""
+        """Measure costs during changes, then a partition, a leaving engine and a node crash."""
         suspicions_before = sum(node.detections.suspicions for node in self._nodes.values())
         traffic = self._measure_traffic()
         suspicions = sum(n.detections.suspicions for n in self._nodes.values()) - suspicions_before
         false_deaths = sum(len(node.detections.dead_at) for node in self._nodes.values())
-        after_cut = self._measure_cut()
-        leaving = self._measure_leaving()
-        death, unaware = self._measure_death()
+        after_partition = self._measure_partition()
+        leaving_delay = self._measure_leaving()
+        crash_delay, unaware_nodes = self._measure_crash()
         delays = self._in_force_delays()
-        figures = percentiles([delay for row in delays for delay in row])
+        delay_percentiles = percentiles([delay for row in delays for delay in row])
         return ScaleResult(
             nodes=len(self._nodes),
             engines=len(self._engines),
@@ -102,13 +109,13 @@
             **traffic,
             memory_megabytes_per_node=self._memory_per_node,
             changes=len(delays),
-            in_force_p50=figures[50.0] / 1000,
-            in_force_p99=figures[99.0] / 1000,
+            in_force_p50=delay_percentiles[50.0] / 1000,
+            in_force_p99=delay_percentiles[99.0] / 1000,
             in_force_last=max(max(row) for row in delays),
-            in_force_after_cut=after_cut,
-            leaving_last=leaving,
-            death_last=death,
-            unaware_of_death=unaware,
+            in_force_after_cut=after_partition,
+            leaving_last=leaving_delay,
+            death_last=crash_delay,
+            unaware_of_death=unaware_nodes,
             false_suspicions_per_hour=suspicions
             / len(self._nodes)
             / len(self._nodes)
@@ -117,7 +124,7 @@
             false_deaths=false_deaths,
         )
 
-    # Making
+    # Setup
 
     def _make_engines(self, count: int) -> dict[str, HollowEngine]:
         engines: dict[str, HollowEngine] = {}
@@ -129,7 +136,7 @@
     def _make_nodes(self, count: int) -> dict[str, HollowNode]:
         parameters = membership_parameters()
         ids = [f"node-{number}" for number in range(count)]
-        seeds = ids[:SEEDS]
+        seeds = ids[:SEED_NODES]
         return {
             node_id: HollowNode(
                 self._clock,
@@ -149,17 +156,17 @@
             EngineListing(e, f"10.0.0.1:{8000 + n}", "zone", f"pool-{n % 9}", False, 1)
             for n, e in enumerate(self._engines)
         ]
-        everyone = [node.membership.own for node in self._nodes.values()]
+        members = [node.membership.own for node in self._nodes.values()]
         for node in self._nodes.values():
             node.records.offer_listings(listings, spread=False)
-            node.membership.merge(everyone, 0.0)
+            node.membership.merge(members, 0.0)
             node.start(self._nodes)
         self._confirm()
 
-    # Measuring
+    # Measurements
 
     def _confirm(self) -> None:
-        """Change one tenant and confirm it on some node."""
+        """Change one tenant and confirm the change on a random live node."""
         self._generation += 1
         tenant = self._random.choice(self._tenants)
         tenant.weight = float(self._generation)
@@ -167,8 +174,8 @@
         digests = {name: content_digest(content) for name, content in sections.items()}
         head = Head(self._generation, digests)
         self._confirmed_at[self._generation] = self._clock.now()
-        confirming = self._random.choice([n for n in self._nodes.values() if n.alive])
-        confirming.commit(head, {digests[name]: content for name, content in sections.items()})
+        confirming_node = self._random.choice([n for n in self._nodes.values() if n.alive])
+        confirming_node.commit(head, {digests[name]: content for name, content in sections.items()})
 
     def _measure_traffic(self) -> dict[str, float]:
         for node in self._nodes.values():
@@ -189,8 +196,8 @@
         }
 
     def _in_force_delays(self) -> list[list[float]]:
-        """Return the delays of each change, but the first and that of the cut."""
-        measured = [g for g in self._confirmed_at if g > 1 and g not in self._cut_generations]
+        """Return the adoption delays of each change, except the first and that of the partition."""
+        measured = [g for g in self._confirmed_at if g > 1 and g not in self._partition_generations]
         return [
             [
                 node.detections.generation_at[g] - self._confirmed_at[g]
@@ -200,23 +207,23 @@
             for g in measured
         ]
 
-    def _measure_cut(self) -> float:
-        """Cut a region off, change the configuration, heal, and wait for the region."""
+    def _measure_partition(self) -> float:
+        """Confirm a change during a partition; return the time from its end to full adoption."""
         region = f"region-{REGIONS - 1}"
         self._network.partitioned_regions.add(region)
-        self._clock.run(self._clock.now() + CUT_SECONDS / 2)
-        before = self._generation
+        self._clock.run(self._clock.now() + PARTITION_SECONDS / 2)
+        generation_before = self._generation
         self._confirm()
-        self._cut_generations = {self._generation}
-        self._clock.run(self._clock.now() + CUT_SECONDS / 2)
+        self._partition_generations = {self._generation}
+        self._clock.run(self._clock.now() + PARTITION_SECONDS / 2)
         self._network.partitioned_regions.clear()
         healed_at = self._clock.now()
         self._clock.run(healed_at + 60.0)
-        late = [
-            node.detections.generation_at.get(before + 1, float("inf"))
+        adopted_at = [
+            node.detections.generation_at.get(generation_before + 1, float("inf"))
             for node in self._nodes.values()
         ]
-        return max(max(late) - healed_at, 0.0)
+        return max(max(adopted_at) - healed_at, 0.0)
 
     def _measure_leaving(self) -> float:
         engine = self._random.choice(list(self._engines.values()))
@@ -225,35 +232,35 @@
         for node in self._nodes.values():
             node.receive_engine_change(engine)
         self._clock.run(marked_at + 30.0)
-        known = [
+        detected_at = [
             node.detections.leaving_at.get(engine.engine_id, float("inf"))
             for node in self._nodes.values()
         ]
-        return max(known) - marked_at
+        return max(detected_at) - marked_at
 
-    def _measure_death(self) -> tuple[float, int]:
-        victim = self._random.choice(list(self._nodes.values()))
+    def _measure_crash(self) -> tuple[float, int]:
+        crashed_node = self._random.choice(list(self._nodes.values()))
         for node in self._nodes.values():
-            node.detections.dead_at.pop(victim.node_id, None)
-        victim.kill()
-        died_at = self._clock.now()
-        self._clock.run(died_at + 60.0)
-        others = [node for node in self._nodes.values() if node is not victim]
-        known = [
-            node.detections.dead_at[victim.node_id]
+            node.detections.dead_at.pop(crashed_node.node_id, None)
+        crashed_node.kill()
+        crashed_at = self._clock.now()
+        self._clock.run(crashed_at + 60.0)
+        others = [node for node in self._nodes.values() if node is not crashed_node]
+        detected_at = [
+            node.detections.dead_at[crashed_node.node_id]
             for node in others
-            if victim.node_id in node.detections.dead_at
+            if crashed_node.node_id in node.detections.dead_at
         ]
-        return max(known, default=float("inf")) - died_at, len(others) - len(known)
+        return max(detected_at, default=float("inf")) - crashed_at, len(others) - len(detected_at)
 
 
 def run_scale(nodes: int, engines: int, seed: int, loss_share: float) -> ScaleResult:
-    """Run hollow nodes and return what they cost."""
+    """Run hollow nodes and return their costs and delays."""
     return ScaleRun(nodes, engines, seed, loss_share).run()
 
 
 def format_scale(result: ScaleResult) -> str:
-    """Return the figures for people."""
+    """Return the result as text, one line for each field."""
     return "\n".join(f"{key:32} {value}" for key, value in asdict(result).items())
 
 
--- a/liftrill/bench/simulation/__init__.py
+++ b/liftrill/bench/simulation/__init__.py
@@ -1,1 +1,1 @@
-"""Policies side by side in virtual time, over the same arrivals."""
+"""Simulation of routing policies in virtual time, with the same arrivals for each policy."""
--- a/liftrill/bench/simulation/compare.py
+++ b/liftrill/bench/simulation/compare.py
@@ -1,4 +1,4 @@
-"""Compares policies over seeds: medians, and ratios to the best baseline."""
+"""Compares routing policies over several seeds: medians, and ratios to the best baseline."""
 
 import statistics
 from collections.abc import Iterable, Sequence
@@ -15,14 +15,15 @@
 
 @dataclass(frozen=True, slots=True)
 class RunMetrics:
-    """Figures of one run.
+    """Metrics of one run; latencies are in milliseconds.
 
     Attributes:
-        hit_rate: prompt tokens served from cache or kept-KV store, over all.
-        bound: the same with an unlimited cache.
-        wasted_tokens: prompt tokens computed again that an unlimited cache had.
-        urgent_p99: time to first token of the most urgent workload.
-        refused: share of requests without a whole answer.
+        hit_rate: share of the prompt tokens that came from a cache or the kept-KV store.
+        bound: hit rate that an unlimited cache would have reached.
+        wasted_tokens: prompt tokens that were recomputed and that an unlimited cache would
+            have contained.
+        urgent_p99: 99th percentile of the time to first token of workloads with priority 0.
+        refused: share of the requests without a complete response.
     """
 
     scenario: str
@@ -40,13 +41,13 @@
 
     @property
     def share_of_bound(self) -> float:
-        """Hit rate over that of an unlimited cache."""
+        """The hit rate divided by that of an unlimited cache."""
         return self.hit_rate / self.bound if self.bound else 1.0
 
 
 @dataclass(frozen=True, slots=True)
 class PolicyMetrics:
-    """Medians over the seeds; latencies in milliseconds."""
+    """Medians of the metrics of one policy over the seeds; latencies are in milliseconds."""
 
     policy: str
     hit_rate: float
@@ -61,7 +62,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Comparison:
-    """One scenario's figures; ratios are of the own policy to the best baseline."""
+    """The comparison of policies in one scenario.
+
+    Attributes:
+        waste_ratio: wasted tokens of `OWN_POLICY` divided by those of the best baseline.
+        first_token_p99_ratio: the same ratio for the 99th percentile of the time to first token.
+    """
 
     scenario: str
     seeds: tuple[int, ...]
@@ -70,43 +76,43 @@
     first_token_p99_ratio: float
 
     def as_json(self) -> dict[str, object]:
-        """Return the comparison for printing."""
+        """Return the comparison as a JSON object."""
         return asdict(self)
 
 
 def run_once(scenario: Scenario, policy: str, seed: int) -> RunMetrics:
-    """Run one simulation and return its figures."""
+    """Run one simulation and return its metrics."""
     return run_metrics(scenario.name, policy, seed, Simulation(scenario, policy, seed).run())
 
 
 def run_metrics(
     scenario: str, policy: str, seed: int, calls: Sequence[SimulatedCall]
 ) -> RunMetrics:
-    """Return the figures of a run's calls."""
-    done = [call for call in calls if call.complete]
-    prompt_tokens = sum(call.prompt_tokens for call in done) or 1
-    latency = percentiles(_first_token_seconds(done))
-    urgent = percentiles(_first_token_seconds(call for call in done if call.urgent))
+    """Return the metrics of the calls of a run."""
+    completed = [call for call in calls if call.complete]
+    prompt_tokens = sum(call.prompt_tokens for call in completed) or 1
+    latency = percentiles(_first_token_seconds(completed))
+    urgent = percentiles(_first_token_seconds(call for call in completed if call.urgent))
     return RunMetrics(
         scenario=scenario,
         policy=policy,
         seed=seed,
         requests=len(calls),
-        hit_rate=sum(call.cached_tokens for call in done) / prompt_tokens,
-        bound=sum(call.reusable_tokens for call in done) / prompt_tokens,
-        wasted_tokens=sum(max(0, c.reusable_tokens - c.cached_tokens) for c in done),
+        hit_rate=sum(call.cached_tokens for call in completed) / prompt_tokens,
+        bound=sum(call.reusable_tokens for call in completed) / prompt_tokens,
+        wasted_tokens=sum(max(0, c.reusable_tokens - c.cached_tokens) for c in completed),
         first_token_p50=latency[50.0],
         first_token_p95=latency[95.0],
         first_token_p99=latency[99.0],
         urgent_p99=urgent[99.0],
-        refused=1.0 - len(done) / len(calls) if calls else 0.0,
+        refused=1.0 - len(completed) / len(calls) if calls else 0.0,
     )
 
 
 def compare(
     scenario: Scenario, policies: Sequence[str], seeds: Sequence[int], workers: int
 ) -> Comparison:
-    """Run all policies over all seeds, several runs at a time, and compare them."""
+    """Run all policies with all seeds in parallel worker processes, and compare the medians."""
     jobs = [(scenario, policy, seed) for policy in policies for seed in seeds]
     with ProcessPoolExecutor(max_workers=workers) as pool:
         runs = list(pool.map(run_once, *zip(*jobs, strict=True)))
@@ -125,7 +131,7 @@
 
 
 def format_comparison(comparison: Comparison) -> str:
-    """Return a comparison for people."""
+    """Return a comparison as text."""
     seeds = f"{comparison.seeds[0]}..{comparison.seeds[-1]}"
     lines = [
         f"{comparison.scenario}, seeds {seeds}, medians",
@@ -139,7 +145,7 @@
             f"{row.first_token_p99:7.0f} {row.urgent_p99:7.0f} {row.refused:8.4f}"
         )
     lines.append(
-        f"liftrill to the best baseline: wasted {comparison.waste_ratio:.2f}, "
+        f"liftrill relative to the best baseline: wasted {comparison.waste_ratio:.2f}, "
         f"first token p99 {comparison.first_token_p99_ratio:.2f}"
     )
     return "\n".join(lines)
--- a/liftrill/bench/simulation/engine.py
+++ b/liftrill/bench/simulation/engine.py
@@ -1,4 +1,4 @@
-"""An engine model in virtual time."""
+"""A simulated engine: the engine model of the emulator on a virtual clock."""
 
 from collections.abc import Callable
 
@@ -20,7 +20,7 @@
 
 
 class SimulatedEngine:
-    """One engine; outputs go to the handlers of their attempts as steps end."""
+    """A simulated engine, which passes the outputs of each step to the handlers of the attempts."""
 
     def __init__(
         self,
@@ -42,20 +42,20 @@
     def submit(
         self, request: GenerationRequest, on_output: OutputHandler, on_lost: LostHandler
     ) -> RefusalReason | None:
-        """Take a request, or return why it was not run."""
+        """Accept a request, or return the reason for its refusal."""
         reason = self.model.submit(request, self._clock.now())
         if reason is None:
             self._handlers[request.attempt_id] = (on_output, on_lost)
-            self._schedule()
+            self._schedule_step()
         return reason
 
     def cancel(self, attempt_id: str) -> None:
-        """Stop a request."""
+        """Cancel an attempt."""
         self._handlers.pop(attempt_id, None)
         self.model.cancel(attempt_id)
 
     def crash(self) -> None:
-        """Lose everything and come back empty."""
+        """Lose all requests and cached blocks, and restart with the next incarnation."""
         self.model.crash(self.model.incarnation + 1)
         self._events.clear()
         handlers, self._handlers = self._handlers, {}
@@ -63,7 +63,7 @@
             on_lost()
 
     def report(self) -> EngineReport:
-        """Return the lagging report."""
+        """Return the load report of the engine, which is delayed by the report lag."""
         report = self.model.report(self._clock.now())
         identity = EngineIdentity(
             self.model.incarnation,
@@ -80,21 +80,21 @@
         )
 
     def events_after(self, sequence: int) -> list[BlockEvent]:
-        """Return the cache events after a sequence number that are due by now."""
+        """Return the cache events after a sequence number that have been published by now."""
         for event in self.model.take_events(self._clock.now()):
             stored = event.kind is CacheEventKind.STORED
             self._events.append(BlockEvent(event.sequence, stored, event.block_name))
         self._events = [event for event in self._events if event.sequence > sequence]
         return list(self._events)
 
-    def _schedule(self) -> None:
+    def _schedule_step(self) -> None:
         due = self.model.next_time()
         if due is None or due == self._scheduled_at:
             return
         self._scheduled_at = due
-        self._clock.call_at(due, lambda: self._advance(due))
+        self._clock.call_at(due, lambda: self._run_step(due))
 
-    def _advance(self, due: float) -> None:
+    def _run_step(self, due: float) -> None:
         if due != self._scheduled_at:
             return
         self._scheduled_at = None
@@ -102,4 +102,4 @@
             handler = self._handlers.get(output.attempt_id)
             if handler is not None:
                 handler[0](output)
-        self._schedule()
+        self._schedule_step()
--- a/liftrill/bench/simulation/kept_store.py
+++ b/liftrill/bench/simulation/kept_store.py
@@ -1,4 +1,4 @@
-"""The kept-KV store in virtual time."""
+"""A simulated kept-KV store."""
 
 from collections import OrderedDict
 from collections.abc import Sequence
@@ -11,7 +11,7 @@
 
 
 class SimulatedKeptStore:
-    """Named prefixes in limited memory, least recently used first out."""
+    """A store of prefixes with a limited number of blocks, which evicts the least recently used."""
 
     def __init__(self, capacity_blocks: int) -> None:
         self._capacity_blocks = capacity_blocks
@@ -19,7 +19,11 @@
         self.exported_blocks = 0
 
     def longest_stored_prefix(self, names: Sequence[bytes]) -> int:
-        """Return the length in blocks of the longest named prefix that is stored, or 0."""
+        """Return the length in blocks of the longest of the named prefixes that is stored, or 0.
+
+        Args:
+            names: names of prefixes, shortest first.
+        """
         for name in reversed(names):
             if name in self._prefixes:
                 self._prefixes.move_to_end(name)
@@ -27,7 +31,7 @@
         return 0
 
     def save(self, advice: KeepPrefix, engine: "SimulatedEngine") -> None:
-        """Take a prefix from an engine, if the engine still holds it."""
+        """Store a prefix from the cache of an engine, if the engine still holds it."""
         if advice.name not in engine.model.cache:
             return
         self._prefixes[advice.name] = advice.blocks
--- a/liftrill/bench/simulation/node.py
+++ b/liftrill/bench/simulation/node.py
@@ -1,4 +1,4 @@
-"""A node in virtual time: the daemon's router and request machines, without I/O."""
+"""A simulated node: the router and request machines of the node process, without I/O."""
 
 import random
 from collections.abc import Callable, Sequence
@@ -29,7 +29,7 @@
 from liftrill.routing.request import RoutedRequest
 from liftrill.routing.router import Router
 
-REFUSALS = {
+REFUSAL_KINDS = {
     RefusalReason.QUEUE_FULL: events.RefusalKind.OVERLOADED,
     RefusalReason.LEAVING: events.RefusalKind.LEAVING,
     RefusalReason.LOADING: events.RefusalKind.LEAVING,
@@ -43,8 +43,10 @@
     """A request that the node is serving.
 
     Attributes:
-        on_first_token: called with the time at which the node has the first token.
+        on_first_token: called with the time at which the node receives the first token.
         on_end: called with the outcome.
+        engine: the engine of the current attempt, or None.
+        pending_prefill: expected prefill tokens of the current attempt, until its first token.
     """
 
     machine: RequestMachine
@@ -57,7 +59,7 @@
 
 
 class SimulatedNode:
-    """One node. `restart` gives it an empty memory."""
+    """A simulated node."""
 
     def __init__(
         self,
@@ -87,7 +89,7 @@
         self.restart()
 
     def restart(self) -> None:
-        """Forget everything that was learnt; requests in flight go on."""
+        """Reset all learned state; requests in flight continue."""
         self.directory = PrefixDirectory(
             constants.DIRECTORY_MARKERS, constants.DIRECTORY_CANDIDATES
         )
@@ -104,28 +106,28 @@
         self.router.view = view_of(self._configuration)
         self._streams = {e: EventStream(e, self.directory) for e in self._engines}
         for engine in self._engines.values():
-            self._take_report(engine)
+            self._apply_report(engine)
 
-    # Background work of the daemon
+    # Background work
 
     def poll_report(self, engine: SimulatedEngine) -> None:
-        """Ask an engine for its report; the answer takes the way back."""
+        """Request the load report of an engine, which arrives after a round trip."""
         delay = 2 * self._latency(self.zone, engine.zone)
-        self._clock.call_later(delay, lambda: self._take_report(engine))
+        self._clock.call_later(delay, lambda: self._apply_report(engine))
 
     def read_events(self, engine: SimulatedEngine) -> None:
-        """Read an engine's cache events."""
+        """Read and apply the new cache events of an engine."""
         stream = self._streams[engine.engine_id]
-        found = engine.events_after(stream.next_sequence - 1)
-        stream.apply(engine.model.incarnation, found, self._clock.now())
+        cache_events = engine.events_after(stream.next_sequence - 1)
+        stream.apply(engine.model.incarnation, cache_events, self._clock.now())
 
     def exchange_prefix_reports(self, homes: dict[str, "SimulatedNode"]) -> None:
-        """Report the prefixes in use to their homes and take in the answers."""
+        """Report the used prefixes to their home nodes, and apply the answers."""
         reports = self.router.reporter.take_reports(sorted(homes), self._clock.now())
         for home_id, home_reports in reports.items():
-            self._exchange_with(homes[home_id], home_reports)
+            self._exchange_with_home(homes[home_id], home_reports)
 
-    def _exchange_with(self, home: "SimulatedNode", reports: list[PrefixReport]) -> None:
+    def _exchange_with_home(self, home: "SimulatedNode", reports: list[PrefixReport]) -> None:
         delay = self._latency(self.zone, home.zone)
 
         def deliver() -> None:
@@ -137,13 +139,13 @@
 
         self._clock.call_later(delay, deliver)
 
-    def _take_report(self, engine: SimulatedEngine) -> None:
+    def _apply_report(self, engine: SimulatedEngine) -> None:
         state = self.router.engines.get(engine.engine_id)
         if state is None:
             return
         state.refused_as_leaving = False
         state.apply_report(engine.report(), self._clock.now())
-        self._wake()
+        self._grant_turns()
 
     # Requests
 
@@ -153,57 +155,65 @@
         on_first_token: Callable[[float], None],
         on_end: Callable[[Outcome], None],
     ) -> None:
-        """Serve a request."""
+        """Start serving a request, which ends by its deadline.
+
+        Args:
+            request: the request.
+            on_first_token: called with the time at which the node receives the first token.
+            on_end: called with the outcome.
+        """
         machine = RequestMachine(request, self.router)
-        opened = OpenRequest(machine, on_first_token, on_end)
-        self._clock.call_at(request.deadline, lambda: self._on_deadline(opened))
-        self._feed(opened, events.Started())
+        open_request = OpenRequest(machine, on_first_token, on_end)
+        self._clock.call_at(request.deadline, lambda: self._on_deadline(open_request))
+        self._handle_event(open_request, events.Started())
 
-    def _on_deadline(self, opened: OpenRequest) -> None:
-        if not opened.ended:
-            self._feed(opened, events.DeadlinePassed())
+    def _on_deadline(self, open_request: OpenRequest) -> None:
+        if not open_request.ended:
+            self._handle_event(open_request, events.DeadlinePassed())
 
-    def _feed(self, opened: OpenRequest, event: events.RequestEvent) -> None:
-        for instruction in opened.machine.handle(event):
-            self._carry_out(opened, instruction)
+    def _handle_event(self, open_request: OpenRequest, event: events.RequestEvent) -> None:
+        for instruction in open_request.machine.handle(event):
+            self._execute(open_request, instruction)
 
-    def _carry_out(self, opened: OpenRequest, instruction: events.RequestInstruction) -> None:
+    def _execute(self, open_request: OpenRequest, instruction: events.RequestInstruction) -> None:
         if isinstance(instruction, events.StartAttempt):
-            self._start(opened, instruction)
+            self._start_attempt(open_request, instruction)
         elif isinstance(instruction, events.DeliverToken):
             if instruction.index == 0:
-                opened.on_first_token(self._clock.now())
-            self._note_prefilled(opened)
+                open_request.on_first_token(self._clock.now())
+            self._record_prefilled(open_request)
         elif isinstance(instruction, events.WaitForEngine):
-            self._wait(opened)
+            self._enqueue(open_request)
         elif isinstance(instruction, events.CancelAttempt):
             self._engines[instruction.engine_id].cancel(instruction.attempt_id)
-            self._close(opened)
+            self._end_attempt(open_request)
         elif isinstance(instruction, events.ResumeAttempt):
-            self._feed(opened, events.ResumeRefused(instruction.attempt_id))
+            self._handle_event(open_request, events.ResumeRefused(instruction.attempt_id))
         elif isinstance(instruction, events.EndRequest):
-            self._end(opened, instruction.outcome)
+            self._end_request(open_request, instruction.outcome)
 
-    def _start(self, opened: OpenRequest, instruction: events.StartAttempt) -> None:
-        self._close(opened)
+    def _start_attempt(self, open_request: OpenRequest, instruction: events.StartAttempt) -> None:
+        self._end_attempt(open_request)
         self.decisions += 1
         state = self.router.engines.get(instruction.engine_id)
         assert state is not None
         state.record_start(self._clock.now(), instruction.expected_prefill_tokens)
-        opened.engine = state
-        opened.pending_prefill = instruction.expected_prefill_tokens
+        open_request.engine = state
+        open_request.pending_prefill = instruction.expected_prefill_tokens
         engine = self._engines[instruction.engine_id]
         delay = self._latency(self.zone, engine.zone)
-        self._clock.call_later(delay, lambda: self._arrive(opened, engine, instruction, delay))
+        self._clock.call_later(
+            delay, lambda: self._submit_attempt(open_request, engine, instruction, delay)
+        )
 
-    def _arrive(
+    def _submit_attempt(
         self,
-        opened: OpenRequest,
+        open_request: OpenRequest,
         engine: SimulatedEngine,
         instruction: events.StartAttempt,
         delay: float,
     ) -> None:
-        request = opened.machine.request
+        request = open_request.machine.request
         scope = request.scope(instruction.adapter, instruction.weight_version)
         generation = GenerationRequest(
             request_id=request.request_id,
@@ -221,20 +231,22 @@
         attempt_id = instruction.attempt_id
 
         def on_output(output: EngineOutput) -> None:
-            self._clock.call_later(delay, lambda: self._take_output(opened, output))
+            self._clock.call_later(delay, lambda: self._handle_output(open_request, output))
 
         def on_lost() -> None:
             event = events.AttemptBroken(attempt_id)
-            self._clock.call_later(delay, lambda: self._feed(opened, event))
+            self._clock.call_later(delay, lambda: self._handle_event(open_request, event))
 
         reason = engine.submit(generation, on_output, on_lost)
         if reason is None:
-            self._clock.call_later(delay, lambda: self._take_load(engine))
+            self._clock.call_later(delay, lambda: self._apply_load(engine))
         else:
-            self._clock.call_later(delay, lambda: self._refuse(opened, attempt_id, reason, engine))
+            self._clock.call_later(
+                delay, lambda: self._handle_refusal(open_request, attempt_id, reason, engine)
+            )
 
-    def _take_load(self, engine: SimulatedEngine) -> None:
-        """Take in the load that an engine tells with its answer."""
+    def _apply_load(self, engine: SimulatedEngine) -> None:
+        """Apply the load that an engine reports in its response."""
         state = self.router.engines.get(engine.engine_id)
         report = engine.report()
         if state is not None:
@@ -245,27 +257,27 @@
                 self._clock.now(),
             )
 
-    def _refuse(
+    def _handle_refusal(
         self,
-        opened: OpenRequest,
+        open_request: OpenRequest,
         attempt_id: str,
         reason: RefusalReason,
         engine: SimulatedEngine,
     ) -> None:
-        kind = REFUSALS.get(reason, events.RefusalKind.REJECTED)
-        state = opened.engine
+        kind = REFUSAL_KINDS.get(reason, events.RefusalKind.REJECTED)
+        state = open_request.engine
         if state is not None and kind is events.RefusalKind.OVERLOADED:
             state.record_overload()
         if state is not None and kind is events.RefusalKind.MISMATCH:
             state.apply_identity(engine.report().identity)
-        self._close(opened)
-        self._feed(opened, events.AttemptRefused(attempt_id, kind))
+        self._end_attempt(open_request)
+        self._handle_event(open_request, events.AttemptRefused(attempt_id, kind))
 
-    def _take_output(self, opened: OpenRequest, output: EngineOutput) -> None:
-        request_id = opened.machine.request.request_id
+    def _handle_output(self, open_request: OpenRequest, output: EngineOutput) -> None:
+        request_id = open_request.machine.request.request_id
         if isinstance(output, TokenProduced):
             token = events.TokenReceived(request_id, output.attempt_id, output.index, output.text)
-            self._feed(opened, token)
+            self._handle_event(open_request, token)
             return
         usage = output.usage
         finished = events.AttemptFinished(
@@ -276,57 +288,57 @@
             usage.cached_tokens,
             usage.completion_tokens,
         )
-        self._feed(opened, finished)
+        self._handle_event(open_request, finished)
 
-    def _end(self, opened: OpenRequest, outcome: Outcome) -> None:
-        opened.ended = True
-        request = opened.machine.request
+    def _end_request(self, open_request: OpenRequest, outcome: Outcome) -> None:
+        open_request.ended = True
+        request = open_request.machine.request
         self._queued.pop(request.request_id, None)
-        if isinstance(outcome, Completed) and opened.engine is not None:
-            opened.engine.record_success()
+        if isinstance(outcome, Completed) and open_request.engine is not None:
+            open_request.engine.record_success()
             advice = self.router.record_answer(request, outcome.engine_id, outcome.cached_tokens)
             if advice is not None:
                 self._kept_store.save(advice, self._engines[advice.engine_id])
         self.router.record_abandoned(request)
-        self._close(opened)
-        opened.on_end(outcome)
+        self._end_attempt(open_request)
+        open_request.on_end(outcome)
 
-    def _close(self, opened: OpenRequest) -> None:
-        if opened.engine is None:
+    def _end_attempt(self, open_request: OpenRequest) -> None:
+        if open_request.engine is None:
             return
-        self._note_prefilled(opened)
-        opened.engine.record_end()
-        opened.engine = None
-        self._clock.call_later(0.0, self._wake)
+        self._record_prefilled(open_request)
+        open_request.engine.record_end()
+        open_request.engine = None
+        self._clock.call_later(0.0, self._grant_turns)
 
-    def _note_prefilled(self, opened: OpenRequest) -> None:
-        if opened.engine is not None and opened.pending_prefill is not None:
-            opened.engine.record_prefilled(opened.pending_prefill)
-        opened.pending_prefill = None
+    def _record_prefilled(self, open_request: OpenRequest) -> None:
+        if open_request.engine is not None and open_request.pending_prefill is not None:
+            open_request.engine.record_prefilled(open_request.pending_prefill)
+        open_request.pending_prefill = None
 
     # Waiting
 
-    def _wait(self, opened: OpenRequest) -> None:
-        request = opened.machine.request
+    def _enqueue(self, open_request: OpenRequest) -> None:
+        request = open_request.machine.request
         wait = self.router.expected_wait(request)
         if self._clock.now() + wait > request.deadline:
             code = ResultCode.DEADLINE_UNREACHABLE
-            self._feed(opened, events.TurnRefused(code, wait))
+            self._handle_event(open_request, events.TurnRefused(code, wait))
             return
         item = self.router.enqueue(request)
         if item is None:
-            self._feed(opened, events.TurnRefused(ResultCode.QUEUE_FULL, wait))
+            self._handle_event(open_request, events.TurnRefused(ResultCode.QUEUE_FULL, wait))
             return
-        self._queued[request.request_id] = opened
-        self._clock.call_later(0.0, self._wake)
+        self._queued[request.request_id] = open_request
+        self._clock.call_later(0.0, self._grant_turns)
 
-    def _wake(self) -> None:
+    def _grant_turns(self) -> None:
         for request in self.router.grant_turns():
-            opened = self._queued.pop(request.request_id, None)
-            if opened is None or opened.ended:
+            open_request = self._queued.pop(request.request_id, None)
+            if open_request is None or open_request.ended:
                 self.router.abandon_turn(request)
             else:
-                self._feed(opened, events.Started())
+                self._handle_event(open_request, events.Started())
 
     def _admission(self) -> AdmissionController:
         admission = AdmissionController()
--- a/liftrill/bench/simulation/scenario.py
+++ b/liftrill/bench/simulation/scenario.py
@@ -1,4 +1,4 @@
-"""Scenario files: what happens to a deployment over time. Unknown keys are refused."""
+"""Scenario files, which describe load and faults of a simulated deployment over time."""
 
 import itertools
 from pathlib import Path
@@ -12,33 +12,37 @@
 
 
 class RatePoint(StrictModel):
-    """The arrival rate at a time; between points it is interpolated linearly."""
+    """The arrival rate at a time; rates between two points are interpolated linearly."""
 
     at_seconds: float = Field(ge=0)
     requests_per_second: float = Field(ge=0)
 
 
 class EngineCrash(StrictModel):
-    """An engine loses everything and comes back empty at once."""
+    """A crash of an engine, which restarts at once with an empty cache.
+
+    Attributes:
+        engine: index of the engine, modulo the number of engines.
+    """
 
     at_seconds: float = Field(ge=0)
     engine: int = Field(ge=0)
 
 
 class Scenario(StrictModel):
-    """A scenario.
+    """A scenario file; unknown keys are refused.
 
     Attributes:
-        deployment: name of a file under deployments/.
+        deployment: name or path of a deployment file; see `load_deployment`.
         seconds: duration of the arrivals.
-        warm_up_seconds: requests that arrive earlier are not counted.
-        rate: arrival rate over time.
-        scale: multiplies nodes, engines, tenants and rates.
-        prefix_shift_seconds: times at which all hot prefixes are replaced by new ones.
-        engine_crashes: engines that crash.
-        event_loss_share: share of cache events that are lost.
-        node_restart_seconds: times at which every node restarts and knows nothing.
-        report_lag_seconds: age of the engines' load reports.
+        warm_up_seconds: time before which arriving requests are excluded from the metrics.
+        rate: points of the arrival rate over time.
+        scale: factor for the numbers of nodes, engines and tenants and for the rates.
+        prefix_shift_seconds: times at which all hot prefixes are replaced.
+        engine_crashes: crashes of engines.
+        event_loss_share: share of the cache events that are lost.
+        node_restart_seconds: times at which all nodes restart with empty state.
+        report_lag_seconds: age of the load reports of the engines.
     """
 
     name: str
@@ -58,7 +62,7 @@
     def _check_order(self) -> "Scenario":
         times = [point.at_seconds for point in self.rate]
         if times != sorted(times):
-            raise ValueError("rate points must be in order of time")
+            raise ValueError("rate points must be ordered by at_seconds")
         return self
 
     def rate_at(self, seconds: float) -> float:
@@ -68,22 +72,22 @@
             return points[0].requests_per_second * self.scale
         for before, after in itertools.pairwise(points):
             if seconds <= after.at_seconds:
-                part = (seconds - before.at_seconds) / (after.at_seconds - before.at_seconds)
-                rise = after.requests_per_second - before.requests_per_second
-                return (before.requests_per_second + part * rise) * self.scale
+                fraction = (seconds - before.at_seconds) / (after.at_seconds - before.at_seconds)
+                increase = after.requests_per_second - before.requests_per_second
+                return (before.requests_per_second + fraction * increase) * self.scale
         return points[-1].requests_per_second * self.scale
 
     @property
     def highest_rate(self) -> float:
-        """The highest arrival rate."""
+        """The highest arrival rate, in requests per second."""
         return max(point.requests_per_second for point in self.rate) * self.scale
 
     def prefix_epoch(self, seconds: float) -> int:
-        """Return how often the hot prefixes have been replaced by a time."""
+        """Return the number of times the hot prefixes have been replaced up to a time."""
         return sum(1 for shift in self.prefix_shift_seconds if shift <= seconds)
 
     def scaled_deployment(self) -> Deployment:
-        """Return the deployment at the scenario's scale."""
+        """Load the deployment and multiply its sizes by the scale of the scenario."""
         deployment = load_deployment(self.deployment)
         if self.scale == 1:
             return deployment
@@ -102,10 +106,10 @@
 
 
 def load_scenario(name: str) -> Scenario:
-    """Return a scenario by its name under `scenarios/`, or by the path of its file.
+    """Load a scenario by its name under `scenarios/`, or by the path of its file.
 
     Raises:
-        SettingsError: there is no such file, or it is wrong.
+        SettingsError: the file does not exist or is invalid.
     """
     path = Path(name)
     if not path.suffix:
--- a/liftrill/bench/simulation/simulator.py
+++ b/liftrill/bench/simulation/simulator.py
@@ -1,4 +1,4 @@
-"""Runs one scenario under one policy in virtual time. Deterministic for a seed."""
+"""Runs one scenario under one policy in virtual time; equal seeds give equal runs."""
 
 import random
 from collections.abc import Callable
@@ -23,13 +23,19 @@
 from liftrill.routing.request import RoutedRequest
 from liftrill.routing.watch_assignment import watched_engines
 
-SAME_ZONE_SECONDS = 0.0001
+SAME_ZONE_LATENCY_SECONDS = 0.0001
 DRAIN_SECONDS = 60.0
 
 
 @dataclass(slots=True)
 class SimulatedCall:
-    """One request as its caller saw it, in virtual seconds."""
+    """A request as its caller observed it; times are virtual, in seconds.
+
+    Attributes:
+        urgent: whether the workload has priority 0.
+        reusable_tokens: prompt tokens that an unlimited cache would have contained.
+        refused: whether the request ended without a complete response.
+    """
 
     sent_at: float
     urgent: bool
@@ -42,7 +48,7 @@
 
 
 class Simulation:
-    """One scenario under one policy."""
+    """A simulation of one scenario under one policy."""
 
     def __init__(self, scenario: Scenario, policy: str, seed: int) -> None:
         self._scenario = scenario
@@ -58,8 +64,8 @@
         self._calls: list[SimulatedCall] = []
 
     def run(self) -> list[SimulatedCall]:
-        """Run to the end and return the calls after the warm-up."""
-        self._schedule_background()
+        """Run the scenario and return the calls that were sent after the warm-up."""
+        self._schedule_background_work()
         self._schedule_faults()
         self._schedule_arrivals()
         self._clock.run(self._scenario.seconds + DRAIN_SECONDS)
@@ -67,10 +73,10 @@
 
     @property
     def exported_blocks(self) -> int:
-        """Blocks given to the kept-KV store."""
+        """The number of blocks exported to the kept-KV store."""
         return self._kept_store.exported_blocks
 
-    # Making
+    # Setup
 
     def _make_engines(self) -> list[SimulatedEngine]:
         engines: list[SimulatedEngine] = []
@@ -114,50 +120,52 @@
             )
         return nodes
 
-    def _latency(self, zone: str, other: str) -> float:
-        if zone == other:
-            return SAME_ZONE_SECONDS
+    def _latency(self, zone: str, other_zone: str) -> float:
+        if zone == other_zone:
+            return SAME_ZONE_LATENCY_SECONDS
         return self._deployment.one_way_milliseconds_between_zones / 1000
 
     # Scheduling
 
-    def _schedule_background(self) -> None:
+    def _schedule_background_work(self) -> None:
         engine_ids = [engine.engine_id for engine in self._engines]
-        by_id = {engine.engine_id: engine for engine in self._engines}
+        engines_by_id = {engine.engine_id: engine for engine in self._engines}
         for node in self._nodes.values():
-            watched = watched_engines(node.node_id, self._nodes, engine_ids)
-            own = [by_id[engine_id] for engine_id in watched]
-            self._repeat(
+            watched_ids = watched_engines(node.node_id, self._nodes, engine_ids)
+            watched_by_node = [engines_by_id[engine_id] for engine_id in watched_ids]
+            self._schedule_repeatedly(
                 constants.ENGINE_REPORT_INTERVAL_SECONDS,
-                lambda n=node: self._poll_some(n),  # type: ignore[misc]
+                lambda n=node: self._poll_random_engines(n),  # type: ignore[misc]
             )
             if constants.EVENT_READ_SECONDS > 0:
-                self._repeat(
+                self._schedule_repeatedly(
                     constants.EVENT_READ_SECONDS,
-                    lambda n=node, w=own: self._read_events(n, w),  # type: ignore[misc]
+                    lambda n=node, w=watched_by_node: self._read_events(n, w),  # type: ignore[misc]
                 )
-            self._repeat(
+            self._schedule_repeatedly(
                 constants.HOME_EXCHANGE_SECONDS,
                 lambda n=node: n.exchange_prefix_reports(self._nodes),  # type: ignore[misc]
             )
 
-    def _poll_some(self, node: SimulatedNode) -> None:
-        extra = min(constants.ENGINE_EXTRA_REPORTS, len(self._engines))
-        for engine in self._random.sample(self._engines, extra):
+    def _poll_random_engines(self, node: SimulatedNode) -> None:
+        sample_size = min(constants.ENGINE_EXTRA_REPORTS, len(self._engines))
+        for engine in self._random.sample(self._engines, sample_size):
             node.poll_report(engine)
 
     @staticmethod
-    def _read_events(node: SimulatedNode, own: list[SimulatedEngine]) -> None:
-        for engine in own:
+    def _read_events(node: SimulatedNode, watched: list[SimulatedEngine]) -> None:
+        for engine in watched:
             node.read_events(engine)
 
-    def _repeat(self, interval: float, callback: Callable[[], None]) -> None:
-        def again() -> None:
+    def _schedule_repeatedly(self, interval: float, callback: Callable[[], None]) -> None:
+        def run_and_reschedule() -> None:
             callback()
             if self._clock.now() < self._scenario.seconds + DRAIN_SECONDS:
-                self._clock.call_later(interval * self._random.uniform(0.8, 1.2), again)
+                self._clock.call_later(
+                    interval * self._random.uniform(0.8, 1.2), run_and_reschedule
+                )
 
-        self._clock.call_later(interval * self._random.random(), again)
+        self._clock.call_later(interval * self._random.random(), run_and_reschedule)
 
     def _schedule_faults(self) -> None:
         for crash in self._scenario.engine_crashes:
@@ -169,7 +177,7 @@
 
     def _schedule_arrivals(self) -> None:
         generator = WorkloadGenerator(self._deployment, self._seed)
-        reference = UnlimitedCache()
+        unlimited_cache = UnlimitedCache()
         scenario = self._scenario
         for planned in generator.varying_requests(
             scenario.rate_at, scenario.highest_rate, scenario.seconds, scenario.prefix_epoch
@@ -178,7 +186,7 @@
                 sent_at=planned.send_at,
                 urgent=planned.workload.priority == 0,
                 prompt_tokens=self._tokenizer.count(planned.prompt.encode()),
-                reusable_tokens=reference.reusable_tokens(planned),
+                reusable_tokens=unlimited_cache.reusable_tokens(planned),
             )
             self._calls.append(call)
             self._clock.call_at(
@@ -190,7 +198,7 @@
         delay = self._deployment.one_way_milliseconds_to_clients / 1000
         nodes = list(self._nodes.values())
         node = nodes[planned.number % len(nodes)]
-        request = self._routed(planned, delay)
+        request = self._routed_request(planned, delay)
 
         def on_first_token(at: float) -> None:
             call.first_token_at = at + delay
@@ -203,7 +211,7 @@
 
         self._clock.call_later(delay, lambda: node.serve(request, on_first_token, on_end))
 
-    def _routed(self, planned: PlannedRequest, delay: float) -> RoutedRequest:
+    def _routed_request(self, planned: PlannedRequest, delay: float) -> RoutedRequest:
         prompt = planned.prompt.encode()
         workload = planned.workload
         return RoutedRequest(
@@ -220,7 +228,7 @@
 
 
 def configuration_of(deployment: Deployment) -> Configuration:
-    """Return the configuration that a deployment's intent gives."""
+    """Return the configuration that results from the intent of a deployment."""
     intent = Intent.model_validate(intent_of(deployment, [f"{deployment.application}-0"]))
     plan = make_plan("simulation", intent, ConfigurationView(), {})
     digests = {name: content_digest(content) for name, content in plan.sections.items()}
