--- a/liftrill/bench/faults/checkers.py
+++ b/liftrill/bench/faults/checkers.py
@@ -1,4 +1,7 @@
-"""One checker for each guarantee. A checker reads only the recorded history of a run."""
+"""One checker for each guarantee.
+
+A checker reads only the recorded history of a run and does not rely on a node's own assessment.
+"""
 
 from collections import Counter
 from collections.abc import Callable
--- a/liftrill/bench/faults/inject.py
+++ b/liftrill/bench/faults/inject.py
@@ -199,7 +199,7 @@
             return response.status == 200
 
     async def _reserve_node(self, target: int) -> ManagedProcess:
-        """Reserve a node once no other is at fault, so that the claim group keeps its majority."""
+        """Reserve a node once no node is under a fault, so that claims keep their majority."""
         nodes = self._cluster.nodes
         async with self._node_released:
             await self._node_released.wait_for(
--- a/liftrill/bench/faults/run.py
+++ b/liftrill/bench/faults/run.py
@@ -142,7 +142,7 @@
         return replace(planned, workload=workload)
 
     async def _submit(self, planned: PlannedRequest) -> CallRecord:
-        """Submit a request until it completes, to the next node each time, within a limit."""
+        """Submit a request to one node after another, as an application does, until it completes."""
         key = "" if planned.workload.repeatable else new_key(self._random)
         record: CallRecord | None = None
         for attempt in range(MAXIMUM_SUBMISSIONS):
--- a/liftrill/bench/overhead.py
+++ b/liftrill/bench/overhead.py
@@ -58,7 +58,7 @@
 
 
 def overhead_deployment() -> Deployment:
-    """Return a deployment of one node and engines with minimal latency."""
+    """Return a deployment of one node and engines with the lowest latency of the emulator."""
     deployment = load_deployment("sahil")
     pool = deployment.pools[0]
     engine = pool.engine.model_copy(
--- a/liftrill/bench/workload.py
+++ b/liftrill/bench/workload.py
@@ -88,7 +88,7 @@
         return PlannedRequest(number, send_at, tenant, workload, prefix_name, prefix + unique_text)
 
     def prefix_text(self, name: str, tokens: int) -> str:
-        """Return the text of a shared prefix, which depends only on the seed and the name."""
+        """Return the text of a shared prefix, which is derived from the seed and the name."""
         text = self._prefix_texts.get(name)
         if text is None:
             random_source = random.Random(f"{self._seed}/{name}")
@@ -97,7 +97,7 @@
         return text
 
     def _prefix_name(self, tenant: str, workload: WorkloadSpecification, prefix_epoch: int) -> str:
-        # Popularity is inversely proportional to the rank: few prefixes get most of the requests.
+        # Popularity is inversely proportional to the rank, because a few preambles are very hot.
         ranks = range(1, workload.hot_prefixes + 1)
         rank = self._random.choices(ranks, [1.0 / r for r in ranks])[0]
         owner = "all" if workload.same_for_all_tenants else tenant
