--- a/liftrill/bench/faults/run.py
+++ b/liftrill/bench/faults/run.py
@@ -142,7 +142,7 @@
         return replace(planned, workload=workload)
 
     async def _submit(self, planned: PlannedRequest) -> CallRecord:
-        """Submit a request to one node after another, as an application does, until it completes."""
+        """Submit a request to nodes in turn, as an application does, until it completes."""
         key = "" if planned.workload.repeatable else new_key(self._random)
         record: CallRecord | None = None
         for attempt in range(MAXIMUM_SUBMISSIONS):
