--- a/features/steps/gateway_relay_steps.py
+++ b/features/steps/gateway_relay_steps.py
@@ -410,7 +410,7 @@
         self.mirror.add_page(RangePage(update.batch.changes, update.batch.position, update.more))
 
     def reader_timeout_s(self):
-        return constants.RELAY_SILENCE_SECONDS
+        return constants.RELAY_SILENCE_TIMEOUT_SECONDS
 
     def relay_confirmed(self, answer, asked_at):
         self.answers.append(answer)
--- a/features/steps/store_copy_steps.py
+++ b/features/steps/store_copy_steps.py
@@ -176,7 +176,7 @@
     assert first.followings and second.followings
     lost_at = context.lost_at
     # The second asks the first every so often, and leaves at its next answer.
-    bounds_s = {first.name: seconds, second.name: seconds + constants.RELAY_QUESTION_SECONDS}
+    bounds_s = {first.name: seconds, second.name: seconds + constants.RELAY_QUERY_INTERVAL_SECONDS}
     for node in context.nodes:
         lasted = [following.lasted_s(lost_at) for following in node.followings]
         assert max(lasted) <= bounds_s[node.name], (node.name, lasted)
--- a/liftrill/bench/simulation/simulator.py
+++ b/liftrill/bench/simulation/simulator.py
@@ -131,13 +131,13 @@
                 constants.ENGINE_REPORT_INTERVAL_SECONDS,
                 lambda n=node: self._poll_some(n),  # type: ignore[misc]
             )
-            if constants.EVENT_READ_SECONDS > 0:
+            if constants.EVENT_READ_INTERVAL_SECONDS > 0:
                 self._repeat(
-                    constants.EVENT_READ_SECONDS,
+                    constants.EVENT_READ_INTERVAL_SECONDS,
                     lambda n=node, w=own: self._read_events(n, w),  # type: ignore[misc]
                 )
             self._repeat(
-                constants.HOME_EXCHANGE_SECONDS,
+                constants.HOME_EXCHANGE_INTERVAL_SECONDS,
                 lambda n=node: n.exchange(self._nodes),  # type: ignore[misc]
             )
 
--- a/liftrill/emulator/engine_messages.py
+++ b/liftrill/emulator/engine_messages.py
@@ -157,7 +157,7 @@
     block_names: list[bytes]
     hasher: xxhash.xxh3_64
     cached_tokens: int = 0
-    prefill_left: int = -1
+    prefill_tokens_left: int = -1
     texts: list[str] = field(default_factory=list)
     finished: GenerationFinished | None = None
     detached_at: float | None = None
@@ -166,4 +166,4 @@
     @property
     def started(self) -> bool:
         """Whether the engine has begun to process the prompt."""
-        return self.prefill_left >= 0
+        return self.prefill_tokens_left >= 0
--- a/liftrill/emulator/engine_model.py
+++ b/liftrill/emulator/engine_model.py
@@ -161,7 +161,7 @@
 
     # Orders
 
-    def order_assign(
+    def apply_assign_order(
         self,
         assignment: Assignment,
         authority: str,
@@ -187,12 +187,12 @@
         self.loading_until = ready_at
         self.revision += 1
 
-    def weights_arrived(self, now: float) -> None:
+    def mark_weights_fetched(self, now: float) -> None:
         """Note that what is being loaded is here."""
         if self._loading is not None:
             self.loading_until = now
 
-    def order_leave(self, authority: str, fence: int) -> RefusalReason | None:
+    def apply_leave_order(self, authority: str, fence: int) -> RefusalReason | None:
         """Refuse new work from now on."""
         if fence < self._highest_fences.get(authority, 0):
             return RefusalReason.STALE_FENCE
@@ -308,7 +308,7 @@
         if not self._running:
             return
         self._step_prefill = self._share_prefill()
-        self._step_decode = [g for g in self._running if g.prefill_left == 0]
+        self._step_decode = [g for g in self._running if g.prefill_tokens_left == 0]
         prefilled = sum(tokens for _, tokens in self._step_prefill)
         duration = self.parameters.step_base_seconds
         duration += len(self._running) * self.parameters.step_seconds_per_sequence
@@ -326,8 +326,8 @@
         hits = self.cache.cached_prefix(generation.block_names)
         imported = max(0, min(generation.request.kept_blocks, len(generation.block_names)) - hits)
         generation.cached_tokens = (hits + imported) * self.parameters.block_tokens
-        generation.prefill_left = generation.prompt_tokens - generation.cached_tokens
-        generation.prefill_left += self._import_cost_in_prefill_tokens(imported)
+        generation.prefill_tokens_left = generation.prompt_tokens - generation.cached_tokens
+        generation.prefill_tokens_left += self._import_cost_in_prefill_tokens(imported)
         self.cache.pin(generation.block_names)
         reused = generation.block_names[:hits]
         generation.reused_origins = self.cache.origins(reused)
@@ -345,7 +345,7 @@
         budget = self.parameters.prefill_chunk_tokens
         shares: list[tuple[Generation, int]] = []
         for generation in sorted(self._running, key=lambda g: (g.request.priority, g.order)):
-            tokens = min(budget, generation.prefill_left)
+            tokens = min(budget, generation.prefill_tokens_left)
             if tokens > 0:
                 shares.append((generation, tokens))
                 budget -= tokens
@@ -354,8 +354,8 @@
     def _end_step(self, now: float) -> list[EngineOutput]:
         outputs: list[EngineOutput] = []
         for generation, tokens in self._step_prefill:
-            generation.prefill_left -= tokens
-            if generation.prefill_left == 0 and self._is_running(generation):
+            generation.prefill_tokens_left -= tokens
+            if generation.prefill_tokens_left == 0 and self._is_running(generation):
                 self.cache.store(generation.block_names, self._origin(generation), now)
                 outputs.extend(self._produce(generation, now))
         for generation in self._step_decode:
--- a/liftrill/emulator/engine_server.py
+++ b/liftrill/emulator/engine_server.py
@@ -203,9 +203,9 @@
         except ValidationError as error:
             return _json({"error": {"code": "invalid", "message": str(error)}}, 400)
         if order.action == "leave":
-            reason = self._model.order_leave(order.authority, order.fence)
+            reason = self._model.apply_leave_order(order.authority, order.fence)
         else:
-            reason = self._model.order_assign(
+            reason = self._model.apply_assign_order(
                 Assignment(order.pool, order.model, order.weight_version),
                 order.authority,
                 order.fence,
@@ -237,7 +237,7 @@
                 fetched = False
             if not fetched:
                 await asyncio.sleep(IDLE_TICK_SECONDS)
-        self._model.weights_arrived(time.monotonic())
+        self._model.mark_weights_fetched(time.monotonic())
         self._wake.set()
 
     async def _status(self, request: web.Request) -> web.Response:
--- a/liftrill/gateway/admission/overload.py
+++ b/liftrill/gateway/admission/overload.py
@@ -32,8 +32,8 @@
         relieved_s: for how long it must be gone to count as relieved.
     """
 
-    standing_s: float = constants.STANDING_QUEUE_S
-    relieved_s: float = constants.RELIEVED_QUEUE_S
+    standing_s: float = constants.STANDING_QUEUE_ENTER_S
+    relieved_s: float = constants.STANDING_QUEUE_EXIT_S
     stands: bool = False
     _since: float | None = None
 
@@ -87,7 +87,7 @@
         turned: whom to tell when a service enters or leaves overload.
     """
 
-    good_share: float = constants.GOOD_WAIT_TARGET_SHARE
+    good_share: float = constants.TIMELY_WAIT_TARGET_SHARE
     urgent_factor: float = URGENT_WAIT_FACTOR
     longest_wait_s: float = constants.LONGEST_ENGINE_WAIT_S
     longest_targets: float = constants.LONGEST_ENGINE_WAIT_TARGETS
--- a/liftrill/gateway/engines/cache_retention.py
+++ b/liftrill/gateway/engines/cache_retention.py
@@ -20,8 +20,8 @@
         longest_s: what is relied on at most.
     """
 
-    first_s: float = constants.KEPT_HOLDER_S
-    longest_s: float = constants.KEPT_LONGEST_S
+    first_s: float = constants.INITIAL_CACHE_RETENTION_S
+    longest_s: float = constants.MAX_CACHE_RETENTION_S
     _tokens: DecayingRate = field(default_factory=lambda: DecayingRate(AVERAGE_S))
 
     def record(self, tokens: int, now: float) -> None:
--- a/liftrill/gateway/engines/engine_selector.py
+++ b/liftrill/gateway/engines/engine_selector.py
@@ -157,7 +157,7 @@
         chosen = self._prompt_policy.choose(request, candidates, self._zone)
         behind_reading = chosen.shared.reader == chosen.view.number
         # Among many engines, peers tell of a reading too late to wait for its end.
-        few_engines = len(roomy) < constants.MANY_ENGINES
+        few_engines = len(roomy) < constants.FRESH_LOAD_MAX_ENGINES
         if behind_reading and few_engines and now < self._hold_until(request):
             return Unavailable.NONE_READY
         choice = self._prompt_choice(chosen, prompt, now)
@@ -199,7 +199,7 @@
 
     def _hold_until(self, request: OpaqueRequest) -> float:
         """Return until when a request waits for a part that another one is having read."""
-        share = constants.READING_WAIT_TARGET_SHARE
+        share = constants.PREFILL_WAIT_TARGET_SHARE
         return request.received_at + share * request.route.target_seconds
 
     def continue_at_backup(
@@ -264,7 +264,7 @@
         """Return whether a run could not go on elsewhere without a copy of it."""
         if not request.is_stream or request.may_run_again or request.prompt is None:
             return False
-        if request.prompt.output_tokens < constants.BACKUP_OUTPUT_TOKENS:
+        if request.prompt.output_tokens < constants.BACKUP_MIN_OUTPUT_TOKENS:
             return False
         return self.parts.profile(request.service).backups
 
--- a/liftrill/gateway/engines/part_keeping.py
+++ b/liftrill/gateway/engines/part_keeping.py
@@ -67,7 +67,9 @@
         self._record_traffic(choice, request, prompt, now)
         for part in prompt.shared_parts:
             number = part_number(choice.cache_salt, part.part_id)
-            if part.tokens >= constants.KEPT_NEWS_TOKENS and not self._is_known(number, now):
+            if part.tokens >= constants.ANNOUNCED_PREFIX_MIN_TOKENS and not self._is_known(
+                number, now
+            ):
                 self.directory.record_reading(number, choice.number, now)
 
     def _record_traffic(
@@ -110,7 +112,7 @@
                 choice.number,
                 now,
                 saved=bool(choice.save_to),
-                worth_telling=part.tokens >= constants.KEPT_NEWS_TOKENS,
+                worth_telling=part.tokens >= constants.ANNOUNCED_PREFIX_MIN_TOKENS,
             )
 
     def _home_store(self, prompt: PromptShape) -> str:
--- a/liftrill/gateway/engines/placement.py
+++ b/liftrill/gateway/engines/placement.py
@@ -76,7 +76,7 @@
     """
 
     nodes: Callable[[], int] = lambda: 1
-    many_nodes: int = constants.MANY_CHOOSING_NODES
+    many_nodes: int = constants.FRESH_LOAD_MAX_NODES
 
     def choose(self, request: OpaqueRequest, candidates: list[Candidate], zone: str) -> Candidate:
         """Return the engine with the least expected completion."""
@@ -131,17 +131,17 @@
     speeds: SpeedBoard
     least_move_s: float = 0.015
     engines_per_beginning: int = 5
-    reread_factor: float = constants.REREAD_FACTOR
-    rare_factor: float = constants.RARE_REREAD_FACTOR
+    reread_factor: float = constants.RECOMPUTE_COST_FACTOR
+    rare_factor: float = constants.RARE_RECOMPUTE_COST_FACTOR
     long_prompt_s: float = constants.LONG_PROMPT_S
     pause_share: float = constants.LONG_PROMPT_PAUSE_SHARE
-    replaced_wait_s: float = constants.REPLACED_WEIGHTS_S
+    replaced_wait_s: float = constants.REPLACED_WEIGHTS_WAIT_S
     replaced_grace_s: float = constants.REPLACED_WEIGHTS_GRACE_S
     memory_share: float = 0.6
-    many_engines: int = constants.MANY_ENGINES
-    few_choices: int = constants.FEW_CHOICES
-    far_s: float = constants.FAR_S
-    far_share: float = constants.FAR_TARGET_SHARE
+    many_engines: int = constants.FRESH_LOAD_MAX_ENGINES
+    few_choices: int = constants.CHOICES_PER_PROMPT
+    far_s: float = constants.CHOICE_WAIT_S
+    far_share: float = constants.CHOICE_WAIT_TARGET_SHARE
     services: Mapping[str, ServiceProfile] = field(default_factory=dict)
 
     def choose(self, request: OpaqueRequest, candidates: list[Candidate], zone: str) -> Candidate:
--- a/liftrill/gateway/engines/prefix_directory.py
+++ b/liftrill/gateway/engines/prefix_directory.py
@@ -95,9 +95,9 @@
 
     capacity: int = 4_096
     lifetime_s: float = 20.0
-    settle_s: float = constants.KEPT_SETTLE_S
-    reading_s: float = constants.READING_S
-    held_s: float = constants.KEPT_HOLDER_S
+    settle_s: float = constants.PREFIX_SAVE_SETTLE_S
+    reading_s: float = constants.ASSUMED_PREFILL_S
+    held_s: float = constants.INITIAL_CACHE_RETENTION_S
     _entries: OrderedDict[int, _Entry] = field(default_factory=OrderedDict)
     _news: deque[_News] = field(default_factory=lambda: deque(maxlen=MOST_NEWS))
 
--- a/liftrill/gateway/engines/service_speeds.py
+++ b/liftrill/gateway/engines/service_speeds.py
@@ -75,7 +75,7 @@
         pauses: the prompt tokens that could be read within long pauses of streams lately.
     """
 
-    reading_s: float = 1.0 / constants.FIRST_READING_TOKENS_PER_S
+    reading_s: float = 1.0 / constants.INITIAL_PREFILL_TOKENS_PER_S
     knows_reading: bool = False
     event_s: float = 0.0
     answer_s: float = 0.0
--- a/liftrill/gateway/engines/slot_times.py
+++ b/liftrill/gateway/engines/slot_times.py
@@ -16,7 +16,7 @@
         first_s: what is assumed of a service before anything was observed.
     """
 
-    first_s: float = constants.FIRST_SLOT_S
+    first_s: float = constants.INITIAL_SLOT_HOLD_S
     _times_s: dict[str, float] = field(default_factory=dict)
 
     def record(self, service: str, held_s: float) -> None:
--- a/liftrill/gateway/forwarder.py
+++ b/liftrill/gateway/forwarder.py
@@ -275,7 +275,7 @@
             view.breaker.record_start(now)
             view.standing.note_sent(now)
             reading_s = start.choice.expected_prefill_tokens * self._ports.speeds.reading_s(view)
-            if reading_s >= constants.TOLD_READING_LEAST_S:
+            if reading_s >= constants.BROADCAST_PREFILL_MIN_S:
                 self.prefill_started(view, start.choice.expected_prefill_tokens)
         self._ports.record_sent(start.choice, request, first)
         attempt = self._transport.attempt(request, start)
--- a/liftrill/gateway/gateway.py
+++ b/liftrill/gateway/gateway.py
@@ -119,7 +119,7 @@
         engines = EngineTable()
         grace = bounds.version_grace_seconds - constants.WEIGHT_GRACE_MARGIN_SECONDS
         targets = WeightTargets(
-            grace, bounds.version_grace_seconds - constants.WEIGHT_BEGIN_MARGIN_SECONDS
+            grace, bounds.version_grace_seconds - constants.WEIGHT_START_MARGIN_SECONDS
         )
         split = WeightedSplit()
         selector = EngineSelector(engines, targets, settings.zone)
@@ -263,7 +263,7 @@
             return AdmissionRefusal(ResultCode.NODE_BUSY, come_back_s, why)
         admitted = self.admission.admit(incoming, clock.now_s())
         if isinstance(admitted, AdmissionRefusal) and admitted.code is ResultCode.KEY_NOT_PROVEN:
-            await self._currency.wait_for_proof(constants.PROOF_WAIT_S)
+            await self._currency.wait_for_proof(constants.MAX_KEY_PROOF_WAIT_S)
             admitted = self.admission.admit(incoming, clock.now_s())
         if isinstance(admitted, AdmissionRefusal):
             return admitted
@@ -515,7 +515,7 @@
         self._gossip.apply_update(update)
 
     def _on_notice(self, notice: EngineNotice) -> None:
-        until = clock.now_s() + constants.LOADING_BELIEF_SECONDS
+        until = clock.now_s() + constants.LOADING_NOTICE_LIFETIME_SECONDS
         self._engines.apply_notice(notice, until)
         if not notice.loading:
             self.forwarder.queues.changed()
--- a/liftrill/gateway/opaque_request.py
+++ b/liftrill/gateway/opaque_request.py
@@ -93,7 +93,7 @@
 
     def max_retry_wait_s(self, now: float) -> float:
         """Return the longest time that the caller would wait before a retry if refused now."""
-        return constants.PATIENCE_SHARE * max(0.0, self.deadline - now)
+        return constants.RETRY_WAIT_DEADLINE_SHARE * max(0.0, self.deadline - now)
 
     @property
     def wait_deadline(self) -> float:
--- a/liftrill/gateway/peers/load_table.py
+++ b/liftrill/gateway/peers/load_table.py
@@ -55,7 +55,7 @@
 
     engines: EngineTable
     lifetime_seconds: float = 1.0
-    prefill_lifetime_s: float = constants.TOLD_READING_S
+    prefill_lifetime_s: float = constants.BROADCAST_PREFILL_LIFETIME_S
     _reports: dict[_Source, _Report] = field(default_factory=dict)
     _peer_prefills: deque[_Prefill] = field(default_factory=deque)
     _own_prefills: deque[_Prefill] = field(default_factory=deque)
--- a/liftrill/gateway/peers/node_selection.py
+++ b/liftrill/gateway/peers/node_selection.py
@@ -92,7 +92,7 @@
 
     def select(self, candidates: Sequence[Candidate]) -> NodeSelection:
         """Return the first candidates, up to the maximum number of addresses in an answer."""
-        return _FixedSelection([c.node_id for c in candidates[: constants.RESOLVE_ADDRESSES]])
+        return _FixedSelection([c.node_id for c in candidates[: constants.RESOLVE_MAX_ADDRESSES]])
 
 
 class WeightedSelection(NodeSelectionPolicy):
@@ -187,7 +187,7 @@
 def sample_size(weights: Sequence[float]) -> int:
     """Return the largest answer size that gives the largest node its full share, within bounds."""
     proportional = math.floor(sum(weights) / max(weights) + 1e-9)
-    return min(len(weights), constants.RESOLVE_ADDRESSES, max(MIN_SELECTED_NODES, proportional))
+    return min(len(weights), constants.RESOLVE_MAX_ADDRESSES, max(MIN_SELECTED_NODES, proportional))
 
 
 def weighted_candidates(
--- a/liftrill/gateway/relay_client.py
+++ b/liftrill/gateway/relay_client.py
@@ -32,8 +32,8 @@
 
 def max_mirror_age_s(propagation_s: float) -> float:
     """Return the maximum age of a followed reader's mirror for a propagation bound."""
-    remaining_s = propagation_s - constants.RELAY_QUESTION_SECONDS - SWITCH_MARGIN_S
-    return min(constants.RELAY_PROOF_AGE_SECONDS, remaining_s)
+    remaining_s = propagation_s - constants.RELAY_QUERY_INTERVAL_SECONDS - SWITCH_MARGIN_S
+    return min(constants.RELAY_MAX_PROOF_AGE_SECONDS, remaining_s)
 
 
 class RelayLostError(LiftrillError):
@@ -71,7 +71,7 @@
     @property
     def max_copy_age_s(self) -> float:
         """The maximum age of the follower's own mirror, which grows until the next answer."""
-        return self.max_mirror_age_s + constants.RELAY_QUESTION_SECONDS
+        return self.max_mirror_age_s + constants.RELAY_QUERY_INTERVAL_SECONDS
 
     def check(self, answer: RelayAnswer) -> None:
         """Check a reader's answer against the limits.
@@ -79,7 +79,7 @@
         Raises:
             RelayLostError: the reader must not be followed, with the reason.
         """
-        if answer.proof_age_s > constants.RELAY_PROOF_AGE_SECONDS:
+        if answer.proof_age_s > constants.RELAY_MAX_PROOF_AGE_SECONDS:
             raise RelayLostError(f"the reader's proof is {answer.proof_age_s:.1f} s old")
         if answer.mirror_age_s > self.max_mirror_age_s:
             raise RelayLostError(f"the reader's mirror is {answer.mirror_age_s:.1f} s old")
@@ -137,7 +137,7 @@
                 nonce = next(_nonces)
                 self._asked_at[nonce] = clock.now_s()
                 await socket.send_bytes(encode_question(nonce))
-                await ticks.pause(constants.RELAY_QUESTION_SECONDS)
+                await ticks.pause(constants.RELAY_QUERY_INTERVAL_SECONDS)
 
     def _handle_message(self, data: bytes) -> None:
         message = decode_message(data)
--- a/liftrill/gateway/store_follower.py
+++ b/liftrill/gateway/store_follower.py
@@ -226,9 +226,9 @@
         store is unreachable there is no better source, and the full timeout applies.
         """
         if self._outage.unreachable:
-            return constants.RELAY_SILENCE_SECONDS
+            return constants.RELAY_SILENCE_TIMEOUT_SECONDS
         left_s = self._limits.max_copy_age_s - self.freshness.age_s(clock.now_s())
-        return min(constants.RELAY_SILENCE_SECONDS, max(0.0, left_s))
+        return min(constants.RELAY_SILENCE_TIMEOUT_SECONDS, max(0.0, left_s))
 
     async def _follow(self, reader: Member) -> None:
         self.followed = reader
--- a/liftrill/gateway/weight_rollout.py
+++ b/liftrill/gateway/weight_rollout.py
@@ -39,7 +39,7 @@
     load_estimate: float = constants.WEIGHT_LOAD_ESTIMATE_SECONDS
     finish_margin: float = 2.0
     min_concurrent_loads: int = 2
-    concurrent_load_share: float = constants.WEIGHT_LOADS_SHARE
+    concurrent_load_share: float = constants.CONCURRENT_WEIGHT_LOADS_SHARE
     queue_drain: float = 0.4
     max_queue_drain: float = 1.6
     max_run_drain: float = constants.WEIGHT_RUN_DRAIN_SECONDS
--- a/liftrill/node/prefix_exchange.py
+++ b/liftrill/node/prefix_exchange.py
@@ -41,13 +41,13 @@
         """Report prefixes to their homes for as long as the node runs."""
         while True:
             await self._exchange()
-            await asyncio.sleep(constants.HOME_EXCHANGE_SECONDS * self._jitter())
+            await asyncio.sleep(constants.HOME_EXCHANGE_INTERVAL_SECONDS * self._jitter())
 
     async def follow_events(self) -> None:
         """Read the cache events of the own engines for as long as the node runs."""
-        while constants.EVENT_READ_SECONDS > 0:
+        while constants.EVENT_READ_INTERVAL_SECONDS > 0:
             await self._read_events()
-            await asyncio.sleep(constants.EVENT_READ_SECONDS * self._jitter())
+            await asyncio.sleep(constants.EVENT_READ_INTERVAL_SECONDS * self._jitter())
 
     def _jitter(self) -> float:
         return self._random.uniform(0.8, 1.2)
--- a/liftrill/routing/policies.py
+++ b/liftrill/routing/policies.py
@@ -229,14 +229,14 @@
         spreading = 0.0
         if depth < shared_depth:
             missing = marker_tokens(shared_depth - depth)
-            price = missing / constants.PREFILL_TOKENS_PER_SECOND * constants.SPREAD_PRICE_SHARE
+            price = missing / constants.PREFILL_TOKENS_PER_SECOND * constants.SPREAD_COST_SHARE
             spreading = price * (ranks.get(engine.engine_id, len(ranks)) + 1)
         return CostTerms(self._waiting_seconds(engine, query.now), computing, spreading)
 
     @staticmethod
     def _waiting_seconds(engine: EngineState, now: float) -> float:
         prefill = engine.pending_prefill_tokens(now) / constants.PREFILL_TOKENS_PER_SECOND
-        return prefill + engine.load(now) * constants.RUNNING_PRICE_SECONDS
+        return prefill + engine.load(now) * constants.RUNNING_REQUEST_COST_SECONDS
 
     @staticmethod
     def _computing_seconds(query: RoutingQuery, depth: int, kept_depth: int) -> float:
--- a/liftrill/routing/router.py
+++ b/liftrill/routing/router.py
@@ -320,9 +320,9 @@
         if not held or not self._policy.uses_kept_store:
             return None
         marker = self._directory.get(held[-1])
-        if marker is None or marker.total_rate(now) < constants.KEEP_RATE_PER_SECOND:
+        if marker is None or marker.total_rate(now) < constants.EXPORT_MIN_RATE_PER_SECOND:
             return None
-        if marker.kept_at is not None and now - marker.kept_at < constants.KEEP_REFRESH_SECONDS:
+        if marker.kept_at is not None and now - marker.kept_at < constants.EXPORT_REFRESH_SECONDS:
             return None
         marker.kept_at = now
         return KeepPrefix(engine_id, held[-1], len(held) * constants.MARKER_STRIDE_BLOCKS)
