--- a/liftrill/clock.py
+++ b/liftrill/clock.py
@@ -1,81 +1,82 @@
-"""The time that passes, also while the machine is suspended.
+"""A monotonic clock that also advances while the machine is suspended.
 
-The steady clock stands while a machine is suspended. An age, a lease or a proof that is taken
-from it would be as good after the sleep as before, so that what the rest of the fleet and the
-store did meanwhile would go unnoticed.
+`time.monotonic` stops while a machine is suspended. An age, a lease or a proof of freshness
+measured with it would look as fresh after a suspension as before, although the store and the
+other nodes have changed state meanwhile.
 """
 
 import time
 from collections.abc import Callable
 from functools import partial
 
-# How far the time may seem to go back between two readings by two clocks (own choice).
-TOLERATED_S = 0.001
+# Largest backward step that is ignored: readings of two clocks may be out of order by this much.
+MAX_BACKWARD_STEP_S = 0.001
 
-Reading = Callable[[], float]
+ClockReader = Callable[[], float]
 
 
-def _system_clock() -> Reading | None:
-    """Return the clock that counts suspension, or None where the system has none."""
+def _system_clock() -> ClockReader | None:
+    """Return the clock that includes suspension, or None if the system has none."""
     if not hasattr(time, "CLOCK_BOOTTIME"):
         return None
-    reading = partial(time.clock_gettime, time.CLOCK_BOOTTIME)
+    reader = partial(time.clock_gettime, time.CLOCK_BOOTTIME)
     try:
-        reading()
+        reader()
     except OSError:
         return None
-    return reading
+    return reader
 
 
 class ElapsedClock:
-    """Counts on from the steady clock, suspension included.
+    """Monotonic seconds that include the time of suspension.
 
     Attributes:
-        counts_sleep: False where the system has no clock that does, or one that went back.
+        counts_sleep: whether suspension is included; False if the system has no clock that
+            includes it, or if that clock went backwards.
     """
 
-    def __init__(self, steady: Reading, counting: Reading | None) -> None:
-        self._steady = steady
-        self._counting = counting or steady
-        self.counts_sleep = counting is not None
-        # Both begin alike, so that times of either can be compared until the first sleep.
-        self._offset_s = self._counting() - steady()
-        self._latest_s = steady()
+    def __init__(self, monotonic: ClockReader, suspend_aware: ClockReader | None) -> None:
+        self._monotonic = monotonic
+        self._source = suspend_aware or monotonic
+        self.counts_sleep = suspend_aware is not None
+        # Both clocks agree until the first suspension, so their times can be compared until then.
+        self._offset_s = self._source() - monotonic()
+        self._latest_s = monotonic()
 
     def now_s(self) -> float:
-        """Return seconds since some moment; never less than before."""
-        now_s = self._counting() - self._offset_s
+        """Return monotonic seconds since an arbitrary origin, including suspension."""
+        now_s = self._source() - self._offset_s
         if now_s < self._latest_s:
-            return self._went_back(now_s)
+            return self._handle_backward_step(now_s)
         self._latest_s = now_s
         return now_s
 
     def slept_s(self) -> float:
-        """Return for how long the machine has been suspended since the process began."""
-        return max(0.0, self.now_s() - self._steady())
+        """Return the total seconds of suspension since the process started."""
+        return max(0.0, self.now_s() - self._monotonic())
 
-    def _went_back(self, now_s: float) -> float:
-        """Return the latest time again, and go on with the steady clock if it is far off."""
-        if now_s < self._latest_s - TOLERATED_S:
+    def _handle_backward_step(self, now_s: float) -> float:
+        """Return the latest time; after a large step back, fall back to the monotonic clock."""
+        if now_s < self._latest_s - MAX_BACKWARD_STEP_S:
             self.counts_sleep = False
-            self._counting = self._steady
-            self._offset_s = self._steady() - self._latest_s
+            self._source = self._monotonic
+            self._offset_s = self._monotonic() - self._latest_s
         return self._latest_s
 
 
 _clock = ElapsedClock(time.monotonic, _system_clock())
 
 
-# Seconds since some moment, those included in which the machine was suspended. A bound method,
-# since it is read some dozens of times for each request.
+# Monotonic seconds since an arbitrary origin, including suspension. A bound method, because it is
+# called some dozens of times per request.
 now_s = _clock.now_s
 
 
 def slept_s() -> float:
-    """Return for how long the machine has been suspended since the process began."""
+    """Return the total seconds of suspension since the process started."""
     return _clock.slept_s()
 
 
 def counts_sleep() -> bool:
-    """Return whether a suspension shows in `now_s`."""
+    """Return whether `now_s` includes the time of suspension."""
     return _clock.counts_sleep
--- a/liftrill/constants.py
+++ b/liftrill/constants.py
@@ -1,20 +1,20 @@
-"""Constants that can be tuned, with their units in their names and environment variables.
+"""Tunable constants, each with its unit in its name and its environment variable.
 
-A constant can be overridden by the environment variable named beside it. Values that
-operators set per node are in `liftrill.node.settings` instead. Those that are not to be
-tuned stand in the modules that use them.
+The environment variable named beside a constant overrides it. Values that operators set per
+node are in `liftrill.node.settings`; constants that are not tunable are in the modules that
+use them.
 """
 
 import os
 
 
 def _number(environment_name: str, default: float) -> float:
-    """Return the number in an environment variable, or the default."""
+    """Return the value of an environment variable as a number, or the default if it is unset."""
     return float(os.environ.get(environment_name, default))
 
 
 def _count(environment_name: str, default: int) -> int:
-    """Return the whole number in an environment variable, or the default."""
+    """Return the value of an environment variable as an integer, or the default if it is unset."""
     return int(os.environ.get(environment_name, default))
 
 
@@ -120,7 +120,7 @@
 SURVIVAL_INCREASE = _number("LIFTRILL_SURVIVAL_INCREASE", 1.1)
 HOME_ENTRIES = _count("LIFTRILL_HOME_ENTRIES", 50_000)
 HOME_EXCHANGE_INTERVAL_SECONDS = _number("LIFTRILL_HOME_EXCHANGE_SECONDS", 3.0)
-# 0 reads no cache events: they earned nothing, see docs/design/routing.md.
+# 0 disables reading cache events: they did not improve routing, see docs/design/routing.md.
 EVENT_READ_INTERVAL_SECONDS = _number("LIFTRILL_EVENT_READ_SECONDS", 0.0)
 HOME_REPORTS_PER_EXCHANGE = _count("LIFTRILL_HOME_REPORTS_PER_EXCHANGE", 64)
 HOME_REPORT_LIFETIME_SECONDS = _number("LIFTRILL_HOME_REPORT_LIFETIME_SECONDS", 10.0)
@@ -150,57 +150,57 @@
 STANDING_QUEUE_EXIT_S = _number("LIFTRILL_RELIEVED_QUEUE_S", 0.5)
 TIMELY_WAIT_TARGET_SHARE = _number("LIFTRILL_GOOD_WAIT_TARGET_SHARE", 0.5)
 LONGEST_ENGINE_WAIT_S = _number("LIFTRILL_LONGEST_ENGINE_WAIT_S", 1.5)
-# What comes later than so many targets is of little use to callers, so they are rather told to
-# come back. 1.5 s with a target of 0.6 s.
+# Maximum wait in multiples of the request's target: a later answer is of little use to callers,
+# so they are told to retry instead. 1.5 s for a target of 0.6 s.
 LONGEST_ENGINE_WAIT_TARGETS = _number("LIFTRILL_LONGEST_ENGINE_WAIT_TARGETS", 2.5)
-# Until the first answers ended: between those of short and of long answers (guess).
+# Assumed until the first answers have ended: between the slot times of short and long answers.
 INITIAL_SLOT_HOLD_S = _number("LIFTRILL_FIRST_SLOT_S", 0.5)
 ENGINE_MEMORY_SHARE = _number("LIFTRILL_ENGINE_MEMORY_SHARE", 1.2)
-# Less urgent requests leave a sixth of that to more urgent ones (guess).
+# Less urgent requests leave a sixth of ENGINE_MEMORY_SHARE to more urgent ones.
 LESS_URGENT_MEMORY_SHARE = _number("LIFTRILL_LESS_URGENT_MEMORY_SHARE", 1.0)
 BACKUP_MIN_OUTPUT_TOKENS = _count("LIFTRILL_BACKUP_OUTPUT_TOKENS", 1_024)
 PREFIX_SAVE_SETTLE_S = _number("LIFTRILL_KEPT_SETTLE_S", 0.5)
-# Until the first prompts were read: of the order of an engine of one accelerator (guess).
+# Assumed until the first prompts were prefilled: the order of an engine with one accelerator.
 INITIAL_PREFILL_TOKENS_PER_S = _number("LIFTRILL_FIRST_READING_TOKENS_PER_S", 40_000.0)
-# Peers are told at once of prompts that take an engine longer: others that are sent behind one
-# come late by as much.
+# A prefill expected to take at least this long is broadcast to peers at once: a request that is
+# queued behind it is delayed by as much.
 BROADCAST_PREFILL_MIN_S = _number("LIFTRILL_TOLD_READING_LEAST_S", 0.05)
-# Reading 9,000 tokens takes 0.24 s, and twice that behind another such prompt.
+# Prefilling 9,000 tokens takes 0.24 s, and twice that behind another such prompt.
 BROADCAST_PREFILL_LIFETIME_S = _number("LIFTRILL_TOLD_READING_S", 0.4)
-# Longer than the reading of all but the longest prompts (0.25 s for 10,000 tokens).
+# Longer than the prefill of all but the longest prompts (0.25 s for 10,000 tokens).
 ASSUMED_PREFILL_S = _number("LIFTRILL_READING_S", 1.0)
-# Bounds of the time for which an engine is taken to hold what it used. One that no longer
-# does answers within a millisecond, but the part is then read again.
+# Initial and maximum time for which an engine is assumed to cache a prefix it used. An engine
+# that no longer holds it answers within a millisecond, but the prefix is then prefilled again.
 INITIAL_CACHE_RETENTION_S = _number("LIFTRILL_KEPT_HOLDER_S", 1.0)
 MAX_CACHE_RETENTION_S = _number("LIFTRILL_KEPT_LONGEST_S", 4.0)
 ANNOUNCED_PREFIX_MIN_TOKENS = _count("LIFTRILL_KEPT_NEWS_TOKENS", 512)
 RECOMPUTE_COST_FACTOR = _number("LIFTRILL_REREAD_FACTOR", 3.0)
-# Among 1,138 sessions and 100 requests a second, one in twenty comes before peers know that
-# its session is being read (0.6 s): 0.05 x 3, and more for sessions that are asked for often.
+# With 1,138 sessions and 100 requests per second, one request in twenty arrives before peers know
+# that its session is being prefilled (0.6 s): 0.05 x 3, and more for frequently used sessions.
 RARE_RECOMPUTE_COST_FACTOR = _number("LIFTRILL_RARE_REREAD_FACTOR", 0.3)
-# With more engines there are so many nodes that what one knows of the others' loads is older
-# than a reading takes: 0.1 s with 8 nodes, 0.2 to 0.8 s with 195, where reading takes 0.24 s.
+# With more engines there are so many nodes that a node's view of the load that its peers send is
+# older than a prefill takes: 0.1 s with 8 nodes, 0.2 to 0.8 s with 195; a prefill takes 0.24 s.
 FRESH_LOAD_MAX_ENGINES = _count("LIFTRILL_MANY_ENGINES", 16)
-# With more nodes each of them chooses by reports that tell of sums, later than from peer to peer.
+# With more nodes, each routes by aggregated load reports, which arrive later than direct ones.
 FRESH_LOAD_MAX_NODES = _count("LIFTRILL_MANY_CHOOSING_NODES", 12)
-# Two choices already avoid most of a queue, and a third one in four engines being silent
-# (guess); worth 0.764 on a third of the large site, and 0.757 with all engines.
+# Two choices already avoid most of the queueing; the third allows for one silent engine in four.
+# Served 0.764 of the requests' value on a third of the large site, and 0.757 with all engines.
 CHOICES_PER_PROMPT = _count("LIFTRILL_FEW_CHOICES", 3)
-# For how long a request waits rather than go beyond the few choices of its prompt: about what
-# one long prompt in front of it costs its caller (guess).
+# How long a request waits for one of its prompt's choices before any other engine is better:
+# about the delay caused by one long prompt ahead of it.
 CHOICE_WAIT_S = _number("LIFTRILL_FAR_S", 0.2)
-# A request with a tight target must not lose most of it so: two thirds are left for the reading.
+# Upper bound of CHOICE_WAIT_S for tight targets: it leaves two thirds of the target for prefill.
 CHOICE_WAIT_TARGET_SHARE = _number("LIFTRILL_FAR_TARGET_SHARE", 0.33)
-# For how long a request waits rather than be answered by weights that were replaced: less than
-# callers notice, so that a release costs no answer its time.
+# How long a request waits rather than run on replaced weights: less than callers notice, so that
+# a weight release makes no answer late.
 REPLACED_WEIGHTS_WAIT_S = _number("LIFTRILL_REPLACED_WEIGHTS_S", 0.075)
 REPLACED_WEIGHTS_GRACE_S = _number("LIFTRILL_REPLACED_WEIGHTS_GRACE_S", 1.2)
-# A prompt that takes longer to read makes streams beside it pause, as their callers notice,
-# where the route declares no pause.
+# A longer prefill pauses the other streams of its engine for noticeably long. Used where the
+# route declares no maximum pause.
 LONG_PROMPT_S = _number("LIFTRILL_LONG_PROMPT_S", 0.4)
 LONG_PROMPT_PAUSE_SHARE = _number("LIFTRILL_LONG_PROMPT_PAUSE_SHARE", 0.1)
 PREFILL_WAIT_TARGET_SHARE = _number("LIFTRILL_READING_WAIT_TARGET_SHARE", 0.18)
-# Callers wait as they are told for up to this share of the time that they have left.
+# Callers honour a Retry-After of up to this share of the time left until their deadline.
 RETRY_WAIT_DEADLINE_SHARE = _number("LIFTRILL_PATIENCE_SHARE", 1.0 / 3.0)
 ENGINE_WAIT_TARGET_SHARE = _number("LIFTRILL_ENGINE_WAIT_TARGET_SHARE", 0.2)
 CONNECT_TIMEOUT_SECONDS = _number("LIFTRILL_CONNECT_TIMEOUT_SECONDS", 0.4)
--- a/liftrill/errors.py
+++ b/liftrill/errors.py
@@ -2,7 +2,7 @@
 
 Every answer to a caller that is not a success carries one `ResultCode` and one
 `Execution`. The code says what went wrong; the execution says whether an engine can
-have begun to run the request. docs/ERRORS.md is generated from this module.
+have begun to run the request. `make errors` generates docs/ERRORS.md from this module.
 """
 
 from dataclasses import dataclass
@@ -10,7 +10,7 @@
 
 
 class Execution(Enum):
-    """Whether a request was run, as told to its caller."""
+    """Whether an engine ran a request, as reported to its caller."""
 
     NOT_RUN = "not-run"
     RAN = "ran"
@@ -19,7 +19,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CodeDetails:
-    """Number, HTTP status and meaning of one result code."""
+    """Number, HTTP status, meaning and recommended action of one result code."""
 
     number: int
     http_status: int
@@ -89,7 +89,7 @@
         2008, 503, "Too many retries of this workload lately.", "Try again after Retry-After."
     )
     CLAIM_CONTENDED = CodeDetails(
-        2009, 409, "Another submission of the key was claimed at once.", "Try again."
+        2009, 409, "Another submission of the key was claimed at the same time.", "Try again."
     )
     KEY_NOT_PROVEN = CodeDetails(
         2010,
@@ -112,25 +112,25 @@
     REQUEST_QUARANTINED = CodeDetails(
         2013,
         503,
-        "Engines ended under this request: it is sent to none for some time.",
+        "Engines crashed while running this request: it is sent to none for some time.",
         "Change the request, or try again after Retry-After. An operator can release it.",
     )
     MEMORY_SPENT = CodeDetails(
         2014,
         503,
-        "The node holds as many bytes for its callers as its memory bears.",
+        "The node has no memory left for the bodies of requests.",
         "Send to another node, or try again after Retry-After.",
     )
     NODE_BUSY = CodeDetails(
         2016,
         503,
-        "The node has more to do than it can bear; others have less.",
+        "The node is overloaded; others are less loaded.",
         "Send to another node, or try again after Retry-After.",
     )
     ENGINES_AT_REST = CodeDetails(
         2017,
         503,
-        "Every engine has asked this node for rest, or gets as many requests as it takes.",
+        "Every engine has asked this node to pause, or is at its limit of requests.",
         "Try again after Retry-After, which is when the first one takes a request again.",
     )
     ENGINE_LOST = CodeDetails(
@@ -162,7 +162,7 @@
         3007, 409, "The key is older than claims are kept.", "Check before using a new key."
     )
     INTERNAL_ERROR = CodeDetails(
-        3999, 500, "The node failed in a way it did not foresee.", "Report it with the request id."
+        3999, 500, "The node failed with an unexpected error.", "Report it with the request id."
     )
     INVALID_INTENT = CodeDetails(4001, 422, "The intent is not valid.", "Correct the named field.")
     PLAN_NOT_FOUND = CodeDetails(
@@ -199,45 +199,46 @@
 
     @property
     def number(self) -> int:
-        """The code's number."""
+        """The number of the code."""
         return self.value.number
 
     @property
     def http_status(self) -> int:
-        """The HTTP status of an answer with this code."""
+        """The HTTP status of a response with this code."""
         return self.value.http_status
 
 
 class LiftrillError(Exception):
-    """Base of every error this project raises."""
+    """Base class of all errors that this project raises."""
 
 
 class SettingsError(LiftrillError):
-    """A settings file or flag is wrong. The message names file, key, value and expectation."""
+    """A settings file or flag is invalid; the message names its source, key, value and fault."""
 
 
 class StoreError(LiftrillError):
-    """Base of the errors of the platform's key-value service."""
+    """Base class of the errors of the platform's key-value store."""
 
 
 class StoreUnavailableError(StoreError):
-    """The store refused or could not be reached: the operation had no effect."""
+    """The store refused the operation or was unreachable: the operation had no effect."""
 
 
 class StoreAnswerLostError(StoreError):
-    """The store's answer was lost: the operation may have had its effect."""
+    """The store's response was lost: the operation may have taken effect."""
 
 
 class ConfigurationError(LiftrillError):
-    """A configuration record is inconsistent: a digest or a generation does not match."""
+    """A configuration record is inconsistent: its digest or generation does not match."""
 
 
 class CodedError(LiftrillError):
-    """An error that is told to a caller or operator by number.
+    """An error that is reported to a caller or operator with a result code.
 
     Attributes:
-        code: what went wrong.
-        retry_after_seconds: when to come back, or None where waiting does not help.
+        code: the result code.
+        detail: what failed, or empty for the meaning of the code.
+        retry_after_seconds: delay before a retry, or None if waiting does not help.
     """
 
     def __init__(
@@ -250,22 +251,22 @@
 
 
 class RequestError(CodedError):
-    """Base of the errors that end a caller's request."""
+    """Base class of the errors that end a caller's request."""
 
     execution = Execution.UNKNOWN
 
 
 class InvalidRequestError(RequestError):
-    """The request was refused on reading it, before anything was done for it."""
+    """The request was refused by validation, before any attempt was made."""
 
     execution = Execution.NOT_RUN
 
 
 class UnknownOutcomeError(RequestError):
-    """An attempt may have begun and its end cannot be learnt."""
+    """An attempt may have begun and its outcome is unknown."""
 
     execution = Execution.UNKNOWN
 
 
 class OperatorError(CodedError):
-    """An operator's command was refused."""
+    """An operator's call was refused."""
--- a/liftrill/mechanisms.py
+++ b/liftrill/mechanisms.py
@@ -1,8 +1,8 @@
-"""Switches that turn single safety mechanisms off, for the fault bench only.
+"""Switches that disable individual safety mechanisms, for the fault benchmark only.
 
-The bench shows that its checkers find a violation without each mechanism. The
-environment variable LIFTRILL_DISABLED_MECHANISMS names the ones to turn off, separated
-by commas; a node logs a warning when it is set.
+The fault benchmark shows that its checkers detect a violation when a mechanism is disabled.
+The environment variable LIFTRILL_DISABLED_MECHANISMS lists the mechanisms to disable,
+separated by commas; a node logs a warning when it is set.
 """
 
 import os
@@ -12,7 +12,7 @@
 
 
 class Mechanism(Enum):
-    """A mechanism that a promise rests on."""
+    """A mechanism that one of the delivery guarantees depends on."""
 
     CLAIMS = "claims"
     RESTART_ABSTENTION = "restart_abstention"
@@ -36,5 +36,5 @@
 
 
 def is_enabled(mechanism: Mechanism) -> bool:
-    """Return whether a mechanism is in use, as all are outside the fault bench."""
+    """Return whether a mechanism is enabled, as all are outside the fault benchmark."""
     return mechanism not in DISABLED
--- a/liftrill/settings_file.py
+++ b/liftrill/settings_file.py
@@ -1,4 +1,4 @@
-"""Checked TOML files: one clear line for whatever is wrong in them."""
+"""Validated TOML settings files, with a one-line error for the first invalid key."""
 
 import tomllib
 from collections.abc import Mapping
@@ -13,7 +13,7 @@
 
 
 class StrictModel(BaseModel):
-    """A schema that refuses unknown keys."""
+    """A schema that rejects unknown keys."""
 
     model_config = ConfigDict(extra="forbid")
 
@@ -21,15 +21,15 @@
 def load_settings(
     schema: type[Schema], path: Path | None, overrides: Mapping[str, object] | None = None
 ) -> Schema:
-    """Return checked settings from a file and from flags, which go first.
+    """Return validated settings from a file and from flags, which override the file.
 
     Args:
-        schema: the pydantic model to check against.
+        schema: the pydantic model to validate against.
         path: a TOML file, or None to use flags alone.
-        overrides: values of flags by key; None means that the flag was not given.
+        overrides: flag values by key; None if a flag was not given.
 
     Raises:
-        SettingsError: one line that names source, key, value and what was expected.
+        SettingsError: a value is invalid; one line names its source, key, value and fault.
     """
     values = read_toml(path) if path else {}
     given = {key: value for key, value in (overrides or {}).items() if value is not None}
@@ -44,7 +44,7 @@
     """Return the content of a TOML file.
 
     Raises:
-        SettingsError: it cannot be read or is not TOML.
+        SettingsError: the file cannot be read or is not valid TOML.
     """
     try:
         return tomllib.loads(path.read_text())
