--- a/liftrill/cli/__init__.py
+++ b/liftrill/cli/__init__.py
@@ -1,1 +1,1 @@
-"""The `liftrill` command."""
+"""The `liftrill` command and its subcommands."""
--- a/liftrill/cli/bench.py
+++ b/liftrill/cli/bench.py
@@ -1,4 +1,4 @@
-"""`liftrill bench`: measurements."""
+"""`liftrill bench`: benchmarks and simulations."""
 
 import tempfile
 from dataclasses import asdict
@@ -27,12 +27,12 @@
     streams: int = 48,
     json: bool = False,
 ) -> None:
-    """Measure what a node adds to an engine called directly, paired in one run.
+    """Measure the latency a node adds to direct calls of an engine, and its streaming capacity.
 
-    :param seed: seed of the order within pairs
-    :param requests_per_second: rate of the pairs
-    :param seconds: duration of the pairs
-    :param streams: streams read at once for the streaming capacity
+    :param seed: seed of the order of the two requests of each pair
+    :param requests_per_second: pairs sent per second
+    :param seconds: duration of sending pairs
+    :param streams: concurrent streams when measuring the streaming capacity
     :param json: print JSON
     """
     with tempfile.TemporaryDirectory(prefix="liftrill-overhead-") as directory:
@@ -51,15 +51,15 @@
     without: str = "",
     json: bool = False,
 ) -> int:
-    """Send load under a seeded schedule of faults and check every promise.
+    """Send load under a seeded schedule of faults and check every delivery guarantee.
 
-    Exits with 1 if a promise was broken.
+    Exits with 1 if a guarantee was violated.
 
     :param deployment: name of a file under deployments/, or a path
     :param seed: first seed of load and faults
-    :param seeds: how many seeds to run, one after the other
+    :param seeds: number of seeds to run, one after the other
     :param seconds: duration of the load for each seed
-    :param without: safety mechanisms to turn off, separated by commas
+    :param without: safety mechanisms to disable, separated by commas
     :param json: print JSON, one line for each seed
     """
     violations = 0
@@ -81,12 +81,12 @@
     workers: int = 4,
     json: bool = False,
 ) -> None:
-    """Compare routing policies in virtual time, over one arrival trace for each seed.
+    """Compare routing policies in virtual time, on the same arrival trace for each seed.
 
     :param scenario: name of a file under scenarios/, or a path
     :param policies: names, separated by commas
     :param seeds: first and last seed, as A..B
-    :param workers: runs at a time
+    :param workers: number of concurrent runs
     :param json: print JSON
     """
     first, _, last = seeds.partition("..")
@@ -103,11 +103,11 @@
     loss: float = 0.05,
     json: bool = False,
 ) -> None:
-    """Run hollow nodes in virtual time and measure what coordination costs each.
+    """Simulate nodes without traffic in virtual time and measure the coordination cost of each.
 
-    :param nodes: hollow nodes, over 6 regions and 22 zones
-    :param engines: engines that they watch
-    :param seed: seed of everything random
+    :param nodes: simulated nodes, over 6 regions and 22 zones
+    :param engines: engines that the nodes watch
+    :param seed: seed of all random choices
     :param loss: share of gossip datagrams that are lost
     :param json: print JSON
     """
@@ -123,12 +123,12 @@
     seconds: float = 30.0,
     json: bool = False,
 ) -> None:
-    """Run the same load over separate processes, once for each policy.
+    """Run the same load on a deployment of separate processes, once for each policy.
 
     :param scenario: name of a file under scenarios/, or a path; only its load is used
     :param policies: names, separated by commas
     :param seed: seed of the load
-    :param seconds: how much of the load is sent
+    :param seconds: duration of the load
     :param json: print JSON
     """
     loaded = load_scenario(scenario)
@@ -146,24 +146,24 @@
     seed: int = 1,
     directory: Path = Path("reports"),
 ) -> None:
-    """Write a page with figures and plots over time for a scenario, in virtual time.
+    """Simulate a scenario in virtual time and write a page with its results and plots over time.
 
     :param scenario: name of a file under scenarios/, or a path
     :param policies: names, separated by commas
     :param seed: seed of the load
-    :param directory: where the page and its picture are written
+    :param directory: directory of the page and its plot
     """
-    # Only this command needs the plotting library, which the extra `report` installs.
+    # Imported here, since only this command needs the plotting library of the extra `report`.
     from liftrill.bench.report import write_report
 
     print(write_report(load_scenario(scenario), policies.split(","), seed, directory))
 
 
 def restart(*, deployment: str = "sahil", restarts: int = 6, json: bool = False) -> None:
-    """Measure how long a restarted node takes to its first answer, with the store down.
+    """Measure the time from a node's restart to its first answer while the store is down.
 
     :param deployment: name of a file under deployments/, or a path
-    :param restarts: how often a node is killed and started
+    :param restarts: number of times a node is killed and restarted
     :param json: print JSON
     """
     with tempfile.TemporaryDirectory(prefix="liftrill-restart-") as directory:
@@ -172,7 +172,7 @@
 
 
 def memory(*, json: bool = False) -> None:
-    """Measure the memory that each kind of state costs.
+    """Measure the memory per item of each kind of state.
 
     :param json: print JSON
     """
@@ -190,12 +190,12 @@
     seed: int = 1,
     json: bool = False,
 ) -> None:
-    """Measure the time of one routing decision.
+    """Measure the duration of a routing decision.
 
     :param engines: eligible engines
     :param prefixes: shared prefixes in the directory
     :param decisions: decisions to time
-    :param policy: routing policy by name
+    :param policy: name of the routing policy
     :param seed: seed of the requests
     :param json: print JSON
     """
--- a/liftrill/cli/demo.py
+++ b/liftrill/cli/demo.py
@@ -1,4 +1,4 @@
-"""`liftrill demo`: a whole deployment as processes on this machine."""
+"""`liftrill demo`: a complete deployment of local processes under load."""
 
 import asyncio
 import sys
@@ -16,13 +16,13 @@
 from liftrill.bench.workload import WorkloadGenerator
 
 PROGRESS_SECONDS = 1.0
-PROMISE_BROKEN_EXIT_CODE = 1
+GUARANTEE_VIOLATED_EXIT_CODE = 1
 
 
 def demo(*, deployment: str = "sahil", seed: int = 1, seconds: float | None = None) -> int:
-    """Start a deployment, send it load, print a summary and stop it.
+    """Start a deployment on this machine, send it load, print a summary and stop it.
 
-    Exits with 1 if an answer broke a promise or a request had no outcome.
+    Exits with 1 if an answer violated a guarantee or a request got no answer.
 
     :param deployment: name of a file under deployments/, or a path
     :param seed: seed of the load
@@ -44,25 +44,25 @@
     summary = summarize(records)
     print(format_summary(summary))
     unanswered = sum(1 for record in records if record.outcome == "no answer")
-    return PROMISE_BROKEN_EXIT_CODE if summary.problems or unanswered else 0
+    return GUARANTEE_VIOLATED_EXIT_CODE if summary.problems or unanswered else 0
 
 
 async def _send_load(cluster: Cluster, seed: int, seconds: float) -> list[CallRecord]:
     deployment = cluster.deployment
     generator = WorkloadGenerator(deployment, seed)
     planned = list(generator.requests(deployment.load.requests_per_second, seconds))
-    done: list[CallRecord] = []
-    progress = asyncio.create_task(_show_progress(done, len(planned)))
-    records = await send_planned(cluster, planned, done.append)
+    answered: list[CallRecord] = []
+    progress = asyncio.create_task(_show_progress(answered, len(planned)))
+    records = await send_planned(cluster, planned, answered.append)
     progress.cancel()
     sys.stderr.write("\n")
     return records
 
 
-async def _show_progress(done: list[CallRecord], total: int) -> None:
+async def _show_progress(answered: list[CallRecord], total: int) -> None:
     started_at = time.monotonic()
     while True:
         elapsed = time.monotonic() - started_at
-        sys.stderr.write(f"\r{elapsed:5.1f} s  {len(done)} of {total} requests answered")
+        sys.stderr.write(f"\r{elapsed:5.1f} s  {len(answered)} of {total} requests answered")
         sys.stderr.flush()
         await asyncio.sleep(PROGRESS_SECONDS)
--- a/liftrill/cli/emulate.py
+++ b/liftrill/cli/emulate.py
@@ -1,4 +1,4 @@
-"""`liftrill emulate`: stand-ins for engines, platform and kept-KV store."""
+"""`liftrill emulate`: emulators of a model engine, the platform and the kept-KV store."""
 
 import asyncio
 import signal
@@ -34,23 +34,23 @@
     weight_store: str = "",
     kept_store: str = "",
 ) -> None:
-    """Run a model engine.
+    """Run an emulated model engine.
 
-    :param engine_id: name of the engine
+    :param engine_id: unique name of the engine
     :param listen: HOST:PORT
-    :param pool: pool that it serves
-    :param model: name of the model it serves
-    :param weight_version: weights loaded at the start
-    :param seed: seed of its random choices
-    :param journal: file that gets a JSON line for each execution
+    :param pool: pool that the engine belongs to
+    :param model: name of the model that the engine serves
+    :param weight_version: version of the weights loaded at the start
+    :param seed: seed of the random choices
+    :param journal: file to which a JSON line is appended for each execution
     :param memory_blocks: prefix cache size in blocks
     :param prefill_tokens_per_second: prompt tokens computed per second
-    :param step_base_seconds: least duration of a decoding step
-    :param maximum_running: largest batch
-    :param maximum_waiting: requests that may wait
-    :param idle_eviction_seconds: blocks unused for this long are dropped
+    :param step_base_seconds: minimum duration of a decoding step
+    :param maximum_running: maximum batch size
+    :param maximum_waiting: maximum queue length
+    :param idle_eviction_seconds: cached blocks unused for this long are evicted
     :param event_loss_share: share of cache events that are lost
-    :param weight_store: HOST:PORT of the platform, for weights; empty loads them at once
+    :param weight_store: HOST:PORT of the platform's weight store; empty loads weights at once
     :param kept_store: HOST:PORT of the kept-KV store, or empty for none
     """
     parameters = EngineParameters(
@@ -81,22 +81,22 @@
     machine_list_lag_seconds: float = 0.5,
     weight_load_seconds: float = 1.0,
 ) -> None:
-    """Run the platform: key-value service, machine list and weight store.
+    """Run the emulated platform: key-value store, machine list and weight store.
 
     :param listen: HOST:PORT
     :param requests_per_second: rate limit over all callers
-    :param machine_list_lag_seconds: age of the machine list that is served
-    :param weight_load_seconds: time that sending weights to one engine takes
+    :param machine_list_lag_seconds: staleness of the served machine list
+    :param weight_load_seconds: duration of sending weights to one engine
     """
     server = PlatformServer(requests_per_second, machine_list_lag_seconds, weight_load_seconds)
     uvloop.run(_serve(server.application(), listen))
 
 
 def kept_store(*, listen: str, capacity_blocks: int = 100_000) -> None:
-    """Run the kept-KV store.
+    """Run the emulated kept-KV store.
 
     :param listen: HOST:PORT
-    :param capacity_blocks: blocks it holds
+    :param capacity_blocks: capacity in blocks
     """
     uvloop.run(_serve(KeptStoreServer(capacity_blocks).application(), listen))
 
@@ -104,8 +104,8 @@
 async def _serve(application: web.Application, listen: str) -> None:
     stop = asyncio.Event()
     loop = asyncio.get_running_loop()
-    for number in (signal.SIGTERM, signal.SIGINT):
-        loop.add_signal_handler(number, stop.set)
+    for signal_number in (signal.SIGTERM, signal.SIGINT):
+        loop.add_signal_handler(signal_number, stop.set)
     host, _, port = listen.rpartition(":")
     runner = web.AppRunner(
         application, handler_cancellation=True, access_log=None, shutdown_timeout=1.0
--- a/liftrill/cli/errors.py
+++ b/liftrill/cli/errors.py
@@ -1,4 +1,4 @@
-"""`liftrill errors`: the table of result codes, as docs/ERRORS.md has it."""
+"""`liftrill errors`: the table of result codes in docs/ERRORS.md."""
 
 from liftrill.errors import ResultCode
 
@@ -24,7 +24,7 @@
 
 
 def error_table() -> str:
-    """Return docs/ERRORS.md."""
+    """Return the content of docs/ERRORS.md."""
     rows = [
         f"| {code.number} | {code.name.lower()} | {code.http_status} "
         f"| {code.value.meaning} | {code.value.action} |"
--- a/liftrill/cli/logs.py
+++ b/liftrill/cli/logs.py
@@ -1,4 +1,4 @@
-"""`liftrill logs`: what the logs of gateways tell afterwards."""
+"""`liftrill logs`: explanations and summaries from the logs of gateways."""
 
 import sys
 from collections.abc import Iterator
@@ -9,29 +9,29 @@
 
 
 class LogFileError(LiftrillError):
-    """A log that was named cannot be read."""
+    """A given log file cannot be read."""
 
 
 def explain(request: str, *files: Path) -> None:
-    """Tell the story of one request over the logs of all processes.
+    """Explain what happened to one request, from the logs of all processes.
 
-    :param request: the id that the caller sent.
-    :param files: logs of all processes; standard input without any.
+    :param request: id of the request, as sent by the caller
+    :param files: logs of all processes; standard input if none is given
     """
-    lines = log_reader.read_lines(_texts(files))
+    lines = log_reader.read_lines(_read_texts(files))
     print("\n".join(log_reader.explain(lines, request)))
 
 
 def summary(*files: Path) -> None:
-    """Count how requests ended.
+    """Count requests by outcome.
 
-    :param files: logs of all processes; standard input without any.
+    :param files: logs of all processes; standard input if none is given
     """
-    lines = log_reader.read_lines(_texts(files))
+    lines = log_reader.read_lines(_read_texts(files))
     print("\n".join(log_reader.summarize(lines)))
 
 
-def _texts(files: tuple[Path, ...]) -> Iterator[str]:
+def _read_texts(files: tuple[Path, ...]) -> Iterator[str]:
     if not files:
         yield from sys.stdin
     for path in files:
@@ -39,4 +39,4 @@
             with path.open(errors="replace") as file:
                 yield from file
         except OSError as error:
-            raise LogFileError(f"{path}: {error.strerror}") from error
+            raise LogFileError(f"{path}: cannot be read: {error.strerror}") from error
--- a/liftrill/cli/main.py
+++ b/liftrill/cli/main.py
@@ -1,4 +1,4 @@
-"""The `liftrill` command and its sub-commands."""
+"""Entry point and subcommands of the `liftrill` command."""
 
 import sys
 from typing import Literal
@@ -45,15 +45,15 @@
 }
 
 
-def _options(arguments: list[str]) -> Literal["all", "kwonly"]:
-    """Return which parameters are flags: the files of `logs` are not, nor is the id."""
+def _flag_options(arguments: list[str]) -> Literal["all", "kwonly"]:
+    """Return which parameters become flags: for `logs`, id and files are positional."""
     return "kwonly" if arguments[:1] == ["logs"] else "all"
 
 
 def main() -> None:
-    """Run the command line; exit code 2 means wrong usage or settings, 1 a failure."""
+    """Run the command line; exit with 2 on invalid usage or settings, 1 on a failure."""
     try:
-        result = defopt.run(COMMANDS, cli_options=_options(sys.argv[1:]), show_defaults=True)
+        result = defopt.run(COMMANDS, cli_options=_flag_options(sys.argv[1:]), show_defaults=True)
     except SettingsError as error:
         print(f"liftrill: {error}", file=sys.stderr)
         sys.exit(USAGE_EXIT_CODE)
--- a/liftrill/cli/node.py
+++ b/liftrill/cli/node.py
@@ -1,4 +1,4 @@
-"""`liftrill node`."""
+"""`liftrill node`: runs a node."""
 
 from pathlib import Path
 
@@ -9,7 +9,7 @@
 from liftrill.node.settings import NodeSettings
 from liftrill.settings_file import load_settings
 
-REQUESTS_CUT_OFF_EXIT_CODE = 3
+REQUESTS_INTERRUPTED_EXIT_CODE = 3
 
 
 def node(
@@ -30,24 +30,24 @@
 ) -> int:
     """Run a node until SIGTERM or SIGINT.
 
-    Exits with 0 after a stop that cut off no request, 3 otherwise, 2 for wrong settings.
+    Exits with 0 if the stop interrupted no request, 3 if it did, and 2 for invalid settings.
 
-    :param settings: TOML file with any of the keys below; flags go first
-    :param node_id: name of this node, unique among nodes
+    :param settings: TOML file with any of the keys below; flags override it
+    :param node_id: unique name of this node
     :param region: region of this machine
     :param zone: zone of this machine
     :param listen: HOST:PORT for callers and operators
     :param peer_listen: HOST:PORT for other nodes, TCP and UDP
-    :param peers: peer addresses of nodes to join through
-    :param platform: URL of the platform's key-value service
+    :param peers: peer addresses of nodes through which this node joins
+    :param platform: URL of the platform's key-value store
     :param operator_key: bearer token of operators
-    :param shared_keys: keys between nodes; the first signs, all are accepted
-    :param cache_secret: key of the cache salts, the same on every node
-    :param policy: routing policy by name
-    :param drain_grace_seconds: how long a stop waits for requests in flight
+    :param shared_keys: keys that authenticate nodes; the first signs, all are accepted
+    :param cache_secret: secret from which cache salts are derived, the same on every node
+    :param policy: name of the routing policy
+    :param drain_grace_seconds: maximum time that a stop waits for requests in flight
     """
     flags = {key: value for key, value in locals().items() if key != "settings"}
-    checked = load_settings(NodeSettings, settings, flags)
+    checked_settings = load_settings(NodeSettings, settings, flags)
     start_logging()
-    clean = uvloop.run(NodeDaemon(checked).run())
-    return 0 if clean else REQUESTS_CUT_OFF_EXIT_CODE
+    clean = uvloop.run(NodeDaemon(checked_settings).run())
+    return 0 if clean else REQUESTS_INTERRUPTED_EXIT_CODE
--- a/liftrill/cli/operator.py
+++ b/liftrill/cli/operator.py
@@ -1,4 +1,4 @@
-"""`liftrill intent`, `plan`, `status` and `explain`: the operators' commands."""
+"""`liftrill intent`, `plan`, `status` and `explain`: commands for operators."""
 
 import getpass
 import os
@@ -18,7 +18,7 @@
 
 
 def intent(file: Path, *, node: str = DEFAULT_NODE, operator_key: str | None = None) -> None:
-    """State an intent and print the plan; nothing changes until the plan is confirmed.
+    """Submit an intent and print its plan; nothing changes until the plan is confirmed.
 
     :param file: TOML file with the intent
     :param node: HOST:PORT of a node
@@ -29,7 +29,7 @@
 
 
 def plan_list(*, node: str = DEFAULT_NODE, operator_key: str | None = None) -> None:
-    """List the plans that wait for confirmation on a node.
+    """List the unconfirmed plans of a node.
 
     :param node: HOST:PORT of a node
     :param operator_key: operator key; by default from LIFTRILL_OPERATOR_KEY
@@ -42,7 +42,7 @@
 def plan_show(plan_id: str, *, node: str = DEFAULT_NODE, operator_key: str | None = None) -> None:
     """Show a plan.
 
-    :param plan_id: the plan
+    :param plan_id: id of the plan
     :param node: HOST:PORT of the node that made it
     :param operator_key: operator key; by default from LIFTRILL_OPERATOR_KEY
     """
@@ -52,9 +52,9 @@
 def plan_confirm(
     plan_id: str, *, node: str = DEFAULT_NODE, operator_key: str | None = None
 ) -> None:
-    """Confirm a plan; it is confirmed at most once, so repeating the command is safe.
+    """Confirm a plan; a plan is confirmed at most once, so repeating the command is safe.
 
-    :param plan_id: the plan
+    :param plan_id: id of the plan
     :param node: HOST:PORT of the node that made it
     :param operator_key: operator key; by default from LIFTRILL_OPERATOR_KEY
     """
@@ -68,7 +68,7 @@
 ) -> None:
     """Discard a plan.
 
-    :param plan_id: the plan
+    :param plan_id: id of the plan
     :param node: HOST:PORT of the node that made it
     :param operator_key: operator key; by default from LIFTRILL_OPERATOR_KEY
     """
@@ -77,7 +77,7 @@
 
 
 def plan_history(*, node: str = DEFAULT_NODE, operator_key: str | None = None) -> None:
-    """List who confirmed what.
+    """List the confirmed plans and the operators who confirmed them.
 
     :param node: HOST:PORT of a node
     :param operator_key: operator key; by default from LIFTRILL_OPERATOR_KEY
@@ -88,7 +88,7 @@
 
 
 def status(*, node: str = DEFAULT_NODE, operator_key: str | None = None) -> None:
-    """Show a node, the generation each member has in force, and the engines.
+    """Show a node, the configuration generation in force at each member, and the engines.
 
     :param node: HOST:PORT of a node
     :param operator_key: operator key; by default from LIFTRILL_OPERATOR_KEY
@@ -107,7 +107,7 @@
 
 
 def explain(request_id: str, *, node: str = DEFAULT_NODE, operator_key: str | None = None) -> None:
-    """Tell why a request went to its engines.
+    """Explain why each attempt of a request was sent to its engine.
 
     :param request_id: value of the answer's Liftrill-Request-Id header
     :param node: HOST:PORT of the node that served it
@@ -122,7 +122,7 @@
         )
         costs = dict(attempt["costs"])
         for name, load in attempt["loads"]:
-            print(f"  {name}: load {load}{_cost_text(costs.get(name))}")
+            print(f"  {name}: load {load}{_format_costs(costs.get(name))}")
         if attempt["excluded"]:
             print(f"  not asked again: {', '.join(attempt['excluded'])}")
 
@@ -145,7 +145,7 @@
     return uvloop.run(run())
 
 
-def _cost_text(terms: dict[str, float] | None) -> str:
+def _format_costs(terms: dict[str, float] | None) -> str:
     if terms is None:
         return ""
     shown = ", ".join(f"{name} {1000 * seconds:.1f} ms" for name, seconds in terms.items())
--- a/liftrill/cli/operator_client.py
+++ b/liftrill/cli/operator_client.py
@@ -1,4 +1,4 @@
-"""Calls of a node's operator API."""
+"""Client of a node's operator API."""
 
 from typing import Any
 
@@ -11,7 +11,11 @@
 
 
 class OperatorCallError(LiftrillError):
-    """A node refused an operator's call or did not answer."""
+    """A node refused an operator's call or did not answer.
+
+    Attributes:
+        code: number of the result code, or 0 without an answer.
+    """
 
     def __init__(self, message: str, code: int = 0) -> None:
         self.code = code
@@ -19,18 +23,18 @@
 
 
 class OperatorClient:
-    """Talks to one node."""
+    """Calls the operator API of one node as one operator."""
 
-    def __init__(self, session: aiohttp.ClientSession, node: str, key: str, name: str) -> None:
+    def __init__(self, session: aiohttp.ClientSession, node: str, key: str, operator: str) -> None:
         self._session = session
         self._base_url = f"http://{node}/operator"
-        self._headers = {"Authorization": f"Bearer {key}", "Liftrill-Operator": name}
+        self._headers = {"Authorization": f"Bearer {key}", "Liftrill-Operator": operator}
 
     async def call(self, method: str, path: str, content: object = None) -> dict[str, Any]:
-        """Return the JSON answer of a call.
+        """Return the JSON response to a call.
 
         Raises:
-            OperatorCallError: the node refused, with its message, or did not answer.
+            OperatorCallError: the node refused the call, or did not answer.
         """
         body = None if content is None else orjson.dumps(content)
         try:
@@ -52,7 +56,7 @@
         return answer
 
     async def confirm_intent(self, intent: dict[str, Any]) -> int:
-        """State an intent and confirm its plan at once; return the generation."""
+        """Submit an intent, confirm its plan and return the new generation."""
         plan = await self.call("POST", "/intents", intent)
         answer = await self.call("POST", f"/plans/{plan['plan_id']}/confirm")
         return int(answer["generation"])
--- a/liftrill/cli/quarantine.py
+++ b/liftrill/cli/quarantine.py
@@ -1,4 +1,4 @@
-"""The command that lists the requests that are kept from engines, and lets one go.
+"""Lists the requests in quarantine and releases one of them.
 
 python3 platform/quarantine.py show 10.200.1.7:8784
 python3 platform/quarantine.py release 10.200.1.7:8784 FINGERPRINT
@@ -25,53 +25,53 @@
 
 FAILED_EXIT_CODE = 1
 
-OpenStore = Callable[[aiohttp.ClientSession, str, Callable[[str], None]], RangeStore]
-Work = Callable[[RangeStore], Awaitable[None]]
+StoreFactory = Callable[[aiohttp.ClientSession, str, Callable[[str], None]], RangeStore]
+StoreAction = Callable[[RangeStore], Awaitable[None]]
 
 
 class QuarantineCommand:
-    """The command, for one kind of store."""
+    """Subcommands that run on the store that `open_store` connects to."""
 
-    def __init__(self, open_store: OpenStore) -> None:
+    def __init__(self, open_store: StoreFactory) -> None:
         self._open_store = open_store
 
     def show(self, store: str) -> None:
-        """List the requests that are kept from engines, and those that were.
+        """List the requests that are or were in quarantine.
 
         :param store: address of the platform's store, IP:PORT.
         """
         self._run(store, _show)
 
     def release(self, store: str, fingerprint: str) -> None:
-        """Let a request go: nodes send it to engines again.
+        """Release a request from quarantine: nodes send it to engines again.
 
         :param store: address of the platform's store, IP:PORT.
-        :param fingerprint: of the request, as listed and as in the nodes' logs.
+        :param fingerprint: fingerprint of the request, as in the list and in the nodes' logs.
         """
         if fingerprint_of(QUARANTINE_KEY_PREFIX + fingerprint) is None:
-            raise SettingsError(f"{fingerprint!r} is no fingerprint: 32 hexadecimal digits")
+            raise SettingsError(f"{fingerprint!r} is not a fingerprint of 32 hexadecimal digits")
 
         async def remove(opened: RangeStore) -> None:
             await _release(opened, fingerprint)
 
         self._run(store, remove)
 
-    def _run(self, address: str, work: Work) -> None:
+    def _run(self, address: str, action: StoreAction) -> None:
         host, _, port = address.rpartition(":")
         if not host or not port.isdigit():
-            raise SettingsError(f"{address!r} is no address: IP:PORT")
-        asyncio.run(self._work_on(address, work))
+            raise SettingsError(f"{address!r} is not an address: expected IP:PORT")
+        asyncio.run(self._run_on_store(address, action))
 
-    async def _work_on(self, address: str, work: Work) -> None:
+    async def _run_on_store(self, address: str, action: StoreAction) -> None:
         session = new_store_session()
         try:
-            await work(self._open_store(session, address, _count_nothing))
+            await action(self._open_store(session, address, _ignore_call))
         finally:
             await session.close()
 
 
-def main(open_store: OpenStore) -> int:
-    """Run one command and return the exit code."""
+def main(open_store: StoreFactory) -> int:
+    """Run one subcommand and return the exit code."""
     command = QuarantineCommand(open_store)
     try:
         defopt.run([command.show, command.release])
@@ -81,15 +81,15 @@
     return 0
 
 
-def _count_nothing(call: str) -> None:
-    """Leave a call uncounted."""
+def _ignore_call(call: str) -> None:
+    """Ignore a call of the store, which this command does not count."""
 
 
 async def _release(store: RangeStore, fingerprint: str) -> None:
     key = key_of(bytes.fromhex(fingerprint))
     item = (await store.read(key)).item
     if item is None:
-        raise SettingsError(f"no request {fingerprint} is kept from engines")
+        raise SettingsError(f"request {fingerprint} is not in quarantine")
     await store.transact((Expectation(key, item.revision),), (), (key,))
     print(f"released {fingerprint}")
 
@@ -99,23 +99,23 @@
     while True:
         page = await store.read_range(QUARANTINE_KEY_PREFIX, after)
         for item in page.items:
-            print(_line(item))
+            print(_format_item(item))
         if not page.more or not page.items:
             return
         after = page.items[-1].key
 
 
-def _line(item: StoredItem) -> str:
-    """Return what a record tells."""
+def _format_item(item: StoredItem) -> str:
+    """Return a line that describes a stored quarantine record."""
     try:
         entry = entry_of(item)
     except DecodeError as error:
         return f"{item.key}: {error!r}"
     if entry is None:
-        return f"{item.key}: no fingerprint"
-    left_s = max(0.0, entry.until_unix_s - time.time())
+        return f"{item.key}: the key has no valid fingerprint"
+    remaining_s = max(0.0, entry.until_unix_s - time.time())
     engines = ", ".join(entry.engines)
     return (
-        f"{entry.fingerprint.hex()} {left_s:.0f} s left, {entry.quarantine_count} times, "
+        f"{entry.fingerprint.hex()} {remaining_s:.0f} s left, {entry.quarantine_count} times, "
         f"route {entry.route or '-'}, tenant {entry.tenant or '-'}, ended: {engines}"
     )
