--- a/liftrill/emulator/__init__.py
+++ b/liftrill/emulator/__init__.py
@@ -1,4 +1,4 @@
-"""Small stand-ins for what liftrill meets: model engines, kept-KV store and platform.
+"""Emulators of the systems around liftrill: model engines, the kept-KV store and the platform.
 
-The models are sans-IO and serve both the HTTP stand-ins and virtual time.
+The models are sans-IO, and both the HTTP emulators and simulations in virtual time use them.
 """
--- a/liftrill/emulator/engine_faults.py
+++ b/liftrill/emulator/engine_faults.py
@@ -1,4 +1,4 @@
-"""Faults that a test can switch on in the engine stand-in."""
+"""Faults that tests can inject into the engine emulator."""
 
 from typing import Literal
 
@@ -22,13 +22,14 @@
     """Body of `POST /admin/fault`.
 
     Attributes:
-        kind: crash (forget everything, cut all connections, new incarnation), freeze (no
-            progress for `seconds`), cut_streams (cut all connections, keep working),
-            foreign_answers (for `seconds`, precede each stream with a chunk that belongs
-            to another request), repeated_chunks (for `seconds`, send each chunk twice),
-            event_loss (lose `share` of cache events), leave (say so and refuse new work),
-            accept_while_leaving (say so and go on), load (change to `weight_version`
-            after `seconds`), none (end all).
+        kind: crash (lose all state, close all streams, start a new incarnation), freeze (no
+            progress for `seconds`), cut_streams (close all streams, continue to run their
+            requests), foreign_answers (for `seconds`, begin each stream with a chunk of
+            another request), repeated_chunks (for `seconds`, send each chunk twice),
+            event_loss (lose `share` of the cache events), leave (report as leaving and refuse
+            new requests), accept_while_leaving (report as leaving but accept requests), load
+            (switch to `weight_version` after `seconds`), none (end freeze, foreign_answers,
+            repeated_chunks, leave and accept_while_leaving).
     """
 
     model_config = ConfigDict(extra="forbid")
--- a/liftrill/emulator/engine_journal.py
+++ b/liftrill/emulator/engine_journal.py
@@ -1,4 +1,4 @@
-"""The engine stand-in's journal: a JSON line for each event, flushed to survive a kill."""
+"""The engine emulator's journal: a JSON line per event, flushed so that it survives SIGKILL."""
 
 import time
 from pathlib import Path
@@ -11,19 +11,19 @@
 
 
 class EngineJournal:
-    """Writes what checkers read; without a path it writes nothing."""
+    """Writes the events that the checkers read; without a path it writes nothing."""
 
     def __init__(self, engine_id: str, path: Path | None) -> None:
         self._engine_id = engine_id
         self._file: TextIO | None = path.open("a") if path else None
 
     def close(self) -> None:
-        """Close the file."""
+        """Close the journal file."""
         if self._file is not None:
             self._file.close()
 
     def record_execution(self, body: CompletionBody, incarnation: int, weight_version: str) -> None:
-        """Record that a request was accepted."""
+        """Record an accepted attempt, with the incarnation that it expects."""
         self._write(
             {
                 "at": time.time(),
@@ -40,7 +40,7 @@
         )
 
     def record_reuse(self, generation: Generation, weight_version: str) -> None:
-        """Record whose cached blocks an attempt was computed from."""
+        """Record the origins of the cached blocks that an attempt reused."""
         self._write(
             {
                 "reused_by": generation.request.user,
--- a/liftrill/emulator/engine_messages.py
+++ b/liftrill/emulator/engine_messages.py
@@ -1,4 +1,4 @@
-"""Messages into and out of the engine model."""
+"""Input and output messages of the engine model, and its parameters."""
 
 from dataclasses import dataclass, field
 from enum import Enum
@@ -7,7 +7,7 @@
 
 
 class RefusalReason(Enum):
-    """Why an engine definitely did not run a request."""
+    """Why an engine refused an attempt; a refused attempt was definitely not run."""
 
     INCARNATION_MISMATCH = "incarnation_mismatch"
     WEIGHT_VERSION_MISMATCH = "weight_version_mismatch"
@@ -24,17 +24,17 @@
 
 @dataclass(frozen=True, slots=True)
 class GenerationRequest:
-    """One attempt to generate.
+    """One attempt to generate the output of a request.
 
     Attributes:
-        prompt: UTF-8 text, including any output that an earlier attempt delivered.
-        start_index: index of the first token this attempt generates.
+        prompt: UTF-8 text, including the output that earlier attempts delivered.
+        start_index: index in the whole output of the first token that this attempt generates.
         incarnation: the engine incarnation the sender expects, or None for any.
         weight_version: the weight version the sender expects, or None for any.
-        salt: key of the block hashes; never empty.
+        salt: key of the block hashes; attempts with an empty one are refused.
         model: the model the sender expects, or empty for any.
         kept_blocks: leading blocks that can be imported from the kept-KV store.
-        user: whom the request is for, as told for the audit of the cache.
+        user: the user of the request, recorded to audit the reuse of cached blocks.
     """
 
     request_id: str
@@ -53,7 +53,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Assignment:
-    """What an engine serves."""
+    """The pool, model and weight version that an engine serves."""
 
     pool: str
     model: str
@@ -62,7 +62,7 @@
 
 @dataclass(frozen=True, slots=True)
 class BlockOrigin:
-    """Who had a cached block computed, and under which weights."""
+    """The user whose request computed a cached block, and the weight version used."""
 
     user: str
     weight_version: str
@@ -79,7 +79,7 @@
 
 @dataclass(frozen=True, slots=True)
 class TokenProduced:
-    """One generated token."""
+    """One generated token and its index in the whole output."""
 
     attempt_id: str
     index: int
@@ -88,7 +88,7 @@
 
 @dataclass(frozen=True, slots=True)
 class GenerationFinished:
-    """The end of an attempt."""
+    """The end of an attempt, with its finish reason and token counts."""
 
     attempt_id: str
     finish_reason: str
@@ -99,7 +99,7 @@
 
 
 class CacheEventKind(Enum):
-    """What happened to a block."""
+    """The kind of change of a cached block."""
 
     STORED = "stored"
     REMOVED = "removed"
@@ -107,7 +107,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CacheEvent:
-    """One change of the prefix cache; sequence numbers have no gaps when made."""
+    """One change of the prefix cache; a gap in the sequence numbers shows lost events."""
 
     sequence: int
     kind: CacheEventKind
@@ -116,7 +116,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LoadReport:
-    """What an engine reports about itself, some time late."""
+    """The load of an engine, as measured at a past time."""
 
     measured_at: float
     running: int
@@ -128,7 +128,7 @@
 
 @dataclass(frozen=True, slots=True)
 class EngineParameters:
-    """The cost model of an engine, documented in docs/EMULATOR.md."""
+    """The parameters of an engine's cost model, documented in docs/EMULATOR.md."""
 
     block_tokens: int = 64
     memory_blocks: int = 2_000
@@ -148,7 +148,18 @@
 
 @dataclass(slots=True)
 class Generation:
-    """A request inside the engine."""
+    """The state of an attempt that the engine holds.
+
+    Attributes:
+        order: position in the order of arrival.
+        hasher: state from which the next token is drawn.
+        prefill_tokens_left: remaining prefill in tokens, in which the cost of imported blocks is
+            included, or -1 while the attempt waits.
+        finished: the final output, or None while the attempt waits or runs.
+        detached_at: when the output lost its reader or ended, or None before that; the attempt is
+            dropped when the resume window has passed since.
+        reused_origins: origins of the cached blocks that were reused.
+    """
 
     request: GenerationRequest
     arrived_at: float
--- a/liftrill/emulator/engine_model.py
+++ b/liftrill/emulator/engine_model.py
@@ -1,13 +1,13 @@
-"""A model engine with continuous batching and a prefix cache, sans-IO.
+"""Sans-IO model of an engine with continuous batching and a prefix cache.
 
-Work is done in steps. A step decodes one token for each running request and spends a
+The engine works in steps. A step decodes one token for each running request and spends a
 bounded number of prompt tokens on prefill; its duration is
 
     step_base + running x step_per_sequence + prefilled tokens / prefill rate
 
 and its effects appear when it ends. Output is a function of the weight version and of
-all text so far, so a continuation on another engine of the same version gives the same
-tokens, and a checker can tell from an answer which weights made it.
+all text so far, so a continuation on another engine of the same version generates the same
+tokens, and a checker can tell from the output which weights generated it.
 """
 
 import random
@@ -35,24 +35,24 @@
 
 TOKEN_TEXT_CHARACTERS = 4
 _TOKEN_TEXT_MASK = 0xFFFF
-ATTEMPTS_REMEMBERED = 10_000
+MAX_REMEMBERED_ATTEMPTS = 10_000
 
 
 def output_hasher(weight_version: str, text: bytes) -> xxhash.xxh3_64:
-    """Return the state from which the next token of a text is drawn."""
+    """Return the hash state from which the token that follows a text is drawn."""
     seed = xxhash.xxh32_intdigest(weight_version.encode())
     return xxhash.xxh3_64(text, seed=seed)
 
 
 def next_token_text(hasher: xxhash.xxh3_64) -> str:
-    """Return the next token (four characters) and advance the state past it."""
+    """Return the text of the next token (four characters) and advance the hash state past it."""
     text = f"{hasher.intdigest() & _TOKEN_TEXT_MASK:04x}"
     hasher.update(text.encode())
     return text
 
 
 def expected_output(weight_version: str, prompt: bytes, token_count: int) -> str:
-    """Return the whole output for a prompt, for callers that check what they received."""
+    """Return the correct output for a prompt, for callers that verify what they received."""
     hasher = output_hasher(weight_version, prompt)
     return "".join(next_token_text(hasher) for _ in range(token_count))
 
@@ -61,9 +61,11 @@
     """One engine. Times are seconds on any monotonic clock.
 
     Attributes:
-        incarnation: changes whenever the engine starts empty.
-        assignment: pool, model and weights that are served.
-        revision: grows when weights or `leaving` change.
+        assignment: pool, model and weight version that are served.
+        incarnation: identifies the engine's life; each crash begins a new one.
+        revision: increases when the assignment, its loading or `leaving` changes.
+        accepts_while_leaving: accept requests although `leaving` is reported, as a fault.
+        loading_until: when the next assignment is loaded, or None unless one is being loaded.
     """
 
     def __init__(
@@ -80,7 +82,7 @@
         self._leaving = False
         self.accepts_while_leaving = False
         self.loading_until: float | None = None
-        self._loading: Assignment | None = None
+        self._next_assignment: Assignment | None = None
         self._highest_fences: dict[str, int] = {}
         self._tokenizer = FixedWidthTokenizer()
         self.cache = PrefixCache(parameters, random.Random(seed))
@@ -88,7 +90,7 @@
         self._running: list[Generation] = []
         self._by_attempt: dict[str, Generation] = {}
         self._seen_attempts: dict[str, None] = {}
-        self._order = 0
+        self._last_order = 0
         self._step_ends_at: float | None = None
         self._step_prefill: list[tuple[Generation, int]] = []
         self._step_decode: list[Generation] = []
@@ -96,34 +98,34 @@
 
     @property
     def weight_version(self) -> str:
-        """The weights that are loaded."""
+        """The version of the loaded weights."""
         return self.assignment.weight_version
 
     @property
     def leaving(self) -> bool:
-        """Whether new work is refused."""
+        """Whether the engine reports that it is leaving."""
         return self._leaving
 
     def set_leaving(self, leaving: bool) -> None:
-        """Refuse new work, or accept it again."""
+        """Report the engine as leaving and refuse new requests, or undo this."""
         self._leaving = leaving
         self.revision += 1
 
     # Requests
 
     def submit(self, request: GenerationRequest, now: float) -> RefusalReason | None:
-        """Accept a request, or return why it was not run."""
-        reason = self._refusal(request)
+        """Accept an attempt, or return why it is refused."""
+        reason = self._refusal_reason(request)
         if reason is not None:
             return reason
         names = block_names(
             request.prompt, request.salt, self._tokenizer, self.parameters.block_tokens
         )
-        self._order += 1
+        self._last_order += 1
         generation = Generation(
             request=request,
             arrived_at=now,
-            order=self._order,
+            order=self._last_order,
             prompt_tokens=self._tokenizer.count(request.prompt),
             block_names=names,
             hasher=output_hasher(self.weight_version, request.prompt),
@@ -135,25 +137,25 @@
         return None
 
     def attempt(self, attempt_id: str) -> Generation | None:
-        """Return a request the engine still holds, running or just finished."""
+        """Return an attempt that the engine still holds: waiting, running or recently finished."""
         return self._by_attempt.get(attempt_id)
 
     def cancel(self, attempt_id: str) -> bool:
-        """Stop and forget a request; False if the engine does not hold it."""
+        """Stop and forget an attempt; return False if the engine does not hold it."""
         generation = self._by_attempt.pop(attempt_id, None)
         if generation is None:
             return False
-        self._drop(generation)
+        self._remove(generation)
         return True
 
     def detach(self, attempt_id: str, now: float) -> None:
-        """Note that nobody reads a request's output; it is cancelled unless resumed in time."""
+        """Mark an attempt's output as unread; the attempt is cancelled unless resumed in time."""
         generation = self._by_attempt.get(attempt_id)
         if generation is not None:
             generation.detached_at = now
 
     def attach(self, attempt_id: str) -> Generation | None:
-        """Note that somebody reads a request's output again."""
+        """Mark an attempt's output as read again; return the attempt if the engine holds it."""
         generation = self._by_attempt.get(attempt_id)
         if generation is not None and generation.finished is None:
             generation.detached_at = None
@@ -169,10 +171,10 @@
         expected_pool: str,
         ready_at: float,
     ) -> RefusalReason | None:
-        """Begin to change what is served; requests are refused until it is loaded."""
+        """Start loading an assignment, or return why the order is refused."""
         if fence < self._highest_fences.get(authority, 0):
             return RefusalReason.STALE_FENCE
-        target = self._loading or self.assignment
+        target = self._next_assignment or self.assignment
         if target == assignment:
             return None
         if expected_pool != target.pool:
@@ -182,18 +184,18 @@
         return None
 
     def load(self, assignment: Assignment, ready_at: float) -> None:
-        """Change what is served, once running requests have ended and it is loaded."""
-        self._loading = assignment
+        """Refuse new requests until the accepted ones have ended and an assignment is loaded."""
+        self._next_assignment = assignment
         self.loading_until = ready_at
         self.revision += 1
 
     def mark_weights_fetched(self, now: float) -> None:
-        """Note that what is being loaded is here."""
-        if self._loading is not None:
+        """Set the time at which the assignment being loaded is ready to now."""
+        if self._next_assignment is not None:
             self.loading_until = now
 
     def apply_leave_order(self, authority: str, fence: int) -> RefusalReason | None:
-        """Refuse new work from now on."""
+        """Refuse new requests from now on, or return why the order is refused."""
         if fence < self._highest_fences.get(authority, 0):
             return RefusalReason.STALE_FENCE
         self._highest_fences[authority] = fence
@@ -201,7 +203,7 @@
         return None
 
     def crash(self, incarnation: int) -> None:
-        """Lose everything and come back empty."""
+        """Lose all requests and cached blocks, and restart as a new incarnation."""
         self.incarnation = incarnation
         self.revision = 0
         self.cache.clear()
@@ -214,12 +216,12 @@
     # Time
 
     def next_time(self) -> float | None:
-        """Return when `advance` next has something to do, or None while idle."""
+        """Return when `advance` is next due, or None while the engine is idle."""
         times = [t for t in (self._step_ends_at, self.loading_until) if t is not None]
         return min(times, default=None)
 
     def advance(self, now: float) -> list[EngineOutput]:
-        """Return the outputs of all steps that end by now."""
+        """Process the time until now and return the outputs of all steps that have ended."""
         outputs: list[EngineOutput] = []
         self._finish_loading(now)
         self._expire_detached(now)
@@ -232,20 +234,20 @@
         return outputs
 
     def report(self, now: float) -> LoadReport:
-        """Return the newest load report that is old enough to be known by now."""
-        self._reports.append(self._measure(now))
+        """Measure the load, and return the newest report that is old enough to be visible."""
+        self._reports.append(self._measure_load(now))
         visible_at = now - self.parameters.report_lag_seconds
         while len(self._reports) > 1 and self._reports[1].measured_at <= visible_at:
             self._reports.popleft()
         return self._reports[0]
 
     def take_events(self, now: float) -> list[CacheEvent]:
-        """Return the cache events that are due by now."""
+        """Return the delayed cache events that are due."""
         return self.cache.take_events(now)
 
     # Internals
 
-    def _refusal(self, request: GenerationRequest) -> RefusalReason | None:
+    def _refusal_reason(self, request: GenerationRequest) -> RefusalReason | None:
         checks = (
             (not request.salt, RefusalReason.SALT_MISSING),
             (
@@ -273,7 +275,7 @@
 
     def _remember_attempt(self, attempt_id: str) -> None:
         self._seen_attempts[attempt_id] = None
-        if len(self._seen_attempts) > ATTEMPTS_REMEMBERED:
+        if len(self._seen_attempts) > MAX_REMEMBERED_ATTEMPTS:
             self._seen_attempts.pop(next(iter(self._seen_attempts)))
 
     def _blocks_needed(self, request: GenerationRequest) -> int:
@@ -285,9 +287,9 @@
         if self._running or self._waiting:
             return
         self.loading_until = None
-        assert self._loading is not None
-        self.assignment = self._loading
-        self._loading = None
+        assert self._next_assignment is not None
+        self.assignment = self._next_assignment
+        self._next_assignment = None
         self.revision += 1
         self.cache.clear()
 
@@ -307,7 +309,7 @@
         self._admit_waiting(now)
         if not self._running:
             return
-        self._step_prefill = self._share_prefill()
+        self._step_prefill = self._divide_prefill_budget()
         self._step_decode = [g for g in self._running if g.prefill_tokens_left == 0]
         prefilled = sum(tokens for _, tokens in self._step_prefill)
         duration = self.parameters.step_base_seconds
@@ -337,11 +339,11 @@
         return BlockOrigin(generation.request.user, self.weight_version)
 
     def _import_cost_in_prefill_tokens(self, blocks: int) -> int:
-        """Return the prefill tokens that take as long as importing some blocks."""
+        """Return the number of prefill tokens that take as long as importing blocks."""
         ratio = self.parameters.prefill_tokens_per_second / self.parameters.import_tokens_per_second
         return int(blocks * self.parameters.block_tokens * ratio)
 
-    def _share_prefill(self) -> list[tuple[Generation, int]]:
+    def _divide_prefill_budget(self) -> list[tuple[Generation, int]]:
         budget = self.parameters.prefill_chunk_tokens
         shares: list[tuple[Generation, int]] = []
         for generation in sorted(self._running, key=lambda g: (g.request.priority, g.order)):
@@ -357,16 +359,16 @@
             generation.prefill_tokens_left -= tokens
             if generation.prefill_tokens_left == 0 and self._is_running(generation):
                 self.cache.store(generation.block_names, self._origin(generation), now)
-                outputs.extend(self._produce(generation, now))
+                outputs.extend(self._generate_token(generation, now))
         for generation in self._step_decode:
             if self._is_running(generation):
-                outputs.extend(self._produce(generation, now))
+                outputs.extend(self._generate_token(generation, now))
         return outputs
 
     def _is_running(self, generation: Generation) -> bool:
         return generation in self._running
 
-    def _produce(self, generation: Generation, now: float) -> list[EngineOutput]:
+    def _generate_token(self, generation: Generation, now: float) -> list[EngineOutput]:
         request = generation.request
         index = request.start_index + len(generation.texts)
         text = next_token_text(generation.hasher)
@@ -379,18 +381,18 @@
         return outputs
 
     def _finish(self, generation: Generation) -> GenerationFinished:
-        self._drop(generation)
+        self._remove(generation)
         usage = Usage(generation.prompt_tokens, generation.cached_tokens, len(generation.texts))
         return GenerationFinished(generation.request.attempt_id, "length", usage)
 
-    def _drop(self, generation: Generation) -> None:
+    def _remove(self, generation: Generation) -> None:
         if generation in self._running:
             self._running.remove(generation)
             self.cache.unpin(generation.block_names)
         elif generation in self._waiting:
             self._waiting.remove(generation)
 
-    def _measure(self, now: float) -> LoadReport:
+    def _measure_load(self, now: float) -> LoadReport:
         return LoadReport(
             measured_at=now,
             running=len(self._running),
--- a/liftrill/emulator/engine_schema.py
+++ b/liftrill/emulator/engine_schema.py
@@ -1,4 +1,4 @@
-"""HTTP bodies of the engine stand-in: OpenAI's completions with the usual extensions."""
+"""HTTP request bodies of the engine emulator: OpenAI completions with common extensions."""
 
 from typing import Literal
 
@@ -10,8 +10,8 @@
 class CompletionBody(BaseModel):
     """Body of `POST /v1/completions`.
 
-    `cache_salt`, `priority` and `request_id` are as in common engines; the rest are the
-    preconditions and the resume position that the engine honours.
+    `cache_salt`, `priority` and `request_id` are as in common engines. The other extensions
+    are preconditions, the position to resume from, and blocks that may be imported.
     """
 
     model_config = ConfigDict(extra="ignore")
@@ -31,7 +31,7 @@
     import_candidates: list[str] = Field(default_factory=list)
 
     def to_request(self, kept_blocks: int) -> GenerationRequest:
-        """Return the model's message."""
+        """Return the attempt as a message to the engine model."""
         return GenerationRequest(
             request_id=self.request_id,
             attempt_id=self.attempt_id,
@@ -49,7 +49,7 @@
 
 
 class OrderBody(BaseModel):
-    """Body of `POST /v1/orders`: a fenced order."""
+    """Body of `POST /v1/orders`: an order of an authority, with its fencing token."""
 
     model_config = ConfigDict(extra="forbid")
 
@@ -64,7 +64,7 @@
 
 
 class ExportBody(BaseModel):
-    """Body of `POST /v1/exports`: give a cached prefix to the kept-KV store."""
+    """Body of `POST /v1/exports`: copy a cached prefix to the kept-KV store."""
 
     model_config = ConfigDict(extra="forbid")
 
--- a/liftrill/emulator/engine_server.py
+++ b/liftrill/emulator/engine_server.py
@@ -1,4 +1,4 @@
-"""HTTP stand-in of a model engine, around `EngineModel`."""
+"""HTTP emulator of a model engine, around `EngineModel`."""
 
 import asyncio
 import time
@@ -36,16 +36,16 @@
     RefusalReason.WRONG_POOL: 422,
     RefusalReason.MODEL_MISMATCH: 412,
 }
-REFUSED_FOR_LOAD_STATUS = 503
+UNAVAILABLE_STATUS = 503
 MAXIMUM_BODY_BYTES = 16 * 1024 * 1024
 IDLE_TICK_SECONDS = 0.5
-EVENTS_KEPT = 20_000
-LONGEST_WAIT_SECONDS = 60.0
-WHEN_WEIGHTS_ARE_HERE = float("inf")
+MAX_RECENT_EVENTS = 20_000
+MAX_WAIT_SECONDS = 60.0
+UNTIL_WEIGHTS_FETCHED = float("inf")
 
 
 class EngineServer:
-    """Serves one engine model; every handler runs on one event loop."""
+    """Serves one engine model; all handlers run on one event loop."""
 
     def __init__(
         self,
@@ -60,15 +60,15 @@
         self.engine_id = engine_id
         self._kept_store = kept_store
         self._weight_store = weight_store
-        self._loads: set[asyncio.Task[None]] = set()
+        self._weight_fetches: set[asyncio.Task[None]] = set()
         self._model = EngineModel(parameters, assignment, _new_incarnation(), seed)
         self._readers: dict[str, asyncio.Queue[EngineOutput | None]] = {}
-        self._wake = asyncio.Event()
+        self._work_available = asyncio.Event()
         self._identity_changed = asyncio.Condition()
         self._frozen_until = 0.0
-        self._foreign_until = 0.0
-        self._repeated_until = 0.0
-        self._recent_events: deque[CacheEvent] = deque(maxlen=EVENTS_KEPT)
+        self._foreign_answers_until = 0.0
+        self._repeated_chunks_until = 0.0
+        self._recent_events: deque[CacheEvent] = deque(maxlen=MAX_RECENT_EVENTS)
         self._journal = EngineJournal(engine_id, journal_path)
         self._driver: asyncio.Task[None] | None = None
 
@@ -84,7 +84,7 @@
                 web.post("/v1/orders", self._order),
                 web.get("/v1/status", self._status),
                 web.get("/v1/events", self._events),
-                web.post("/admin/fault", self._fault),
+                web.post("/admin/fault", self._apply_fault),
             ]
         )
         application.on_startup.append(self._start)
@@ -102,7 +102,7 @@
         self._journal.close()
 
     async def _drive(self) -> None:
-        """Advance the model whenever a step is due."""
+        """Advance the model whenever a step or a load is due, and deliver its outputs."""
         while True:
             now = time.monotonic()
             if now < self._frozen_until:
@@ -110,21 +110,21 @@
                 continue
             revision = self._model.revision
             for output in self._model.advance(now):
-                self._route(output)
+                self._deliver(output)
             if self._model.revision != revision:
-                await self._notify_identity()
+                await self._notify_identity_change()
             await self._wait_for_work(self._model.next_time())
 
     async def _wait_for_work(self, due: float | None) -> None:
-        self._wake.clear()
+        self._work_available.clear()
         delay = IDLE_TICK_SECONDS if due is None else max(0.0, due - time.monotonic())
         try:
             async with asyncio.timeout(min(delay, IDLE_TICK_SECONDS)):
-                await self._wake.wait()
+                await self._work_available.wait()
         except TimeoutError:
             return
 
-    def _route(self, output: EngineOutput) -> None:
+    def _deliver(self, output: EngineOutput) -> None:
         self._record_reuse(output)
         reader = self._readers.get(output.attempt_id)
         if reader is not None:
@@ -138,21 +138,21 @@
             kept_blocks = await self._importable_blocks(body)
             generation_request = body.to_request(kept_blocks)
         except (ValidationError, ValueError) as error:
-            return _json({"error": {"code": "invalid", "message": str(error)}}, 400)
+            return _json_response({"error": {"code": "invalid", "message": str(error)}}, 400)
         reason = self._model.submit(generation_request, time.monotonic())
         if reason is not None:
-            return self._refused(reason)
+            return self._refusal_response(reason)
         self._journal.record_execution(body, self._model.incarnation, self._model.weight_version)
         reader = self._open_reader(body.attempt_id)
-        self._wake.set()
+        self._work_available.set()
         generation = self._model.attempt(body.attempt_id)
         assert generation is not None
         return await self._stream(request, generation, reader, body.start_index)
 
     async def _importable_blocks(self, body: CompletionBody) -> int:
-        """Return how many blocks the kept-KV store has of a prefix that is not cached here.
+        """Return how many blocks of a prefix can be imported from the kept-KV store.
 
-        The store is only asked on a miss; a lookup costs far less than recomputing.
+        The store is queried only on a cache miss; a lookup costs far less than a prefill.
         """
         names = body.import_candidates
         if not names or not self._kept_store or bytes.fromhex(names[-1]) in self._model.cache:
@@ -169,19 +169,19 @@
         body = ExportBody.model_validate_json(await request.read())
         held = bytes.fromhex(body.name) in self._model.cache
         if not held or not self._kept_store:
-            return _json({"exported": False}, 409)
+            return _json_response({"exported": False}, 409)
         content = {"blocks": body.blocks, "weight_version": self._model.weight_version}
         url = f"http://{self._kept_store}/v1/prefixes/{body.name}"
         async with self._session.put(url, data=orjson.dumps(content)) as response:
             await response.read()
-        return _json({"exported": True})
+        return _json_response({"exported": True})
 
     async def _resume(self, request: web.Request) -> web.StreamResponse:
         attempt_id = request.match_info["attempt_id"]
         from_index = int(request.query.get("from", "0"))
         generation = self._model.attach(attempt_id)
         if generation is None:
-            return _json({"error": {"code": "unknown_attempt"}}, 404)
+            return _json_response({"error": {"code": "unknown_attempt"}}, 404)
         reader = self._open_reader(attempt_id)
         start_index = generation.request.start_index
         for position in range(from_index - start_index, len(generation.texts)):
@@ -195,13 +195,13 @@
         attempt_id = request.match_info["attempt_id"]
         cancelled = self._model.cancel(attempt_id)
         self._close_reader(attempt_id)
-        return _json({"cancelled": cancelled})
+        return _json_response({"cancelled": cancelled})
 
     async def _order(self, request: web.Request) -> web.Response:
         try:
             order = OrderBody.model_validate_json(await request.read())
         except ValidationError as error:
-            return _json({"error": {"code": "invalid", "message": str(error)}}, 400)
+            return _json_response({"error": {"code": "invalid", "message": str(error)}}, 400)
         if order.action == "leave":
             reason = self._model.apply_leave_order(order.authority, order.fence)
         else:
@@ -210,26 +210,26 @@
                 order.authority,
                 order.fence,
                 order.expected_pool,
-                WHEN_WEIGHTS_ARE_HERE,
+                UNTIL_WEIGHTS_FETCHED,
             )
-            self._fetch_weights(order.weight_version)
-        self._wake.set()
-        await self._notify_identity()
-        return self._refused(reason) if reason else _json({"accepted": True})
-
-    def _fetch_weights(self, version: str) -> None:
-        """Begin to fetch weights, if an order asked for them."""
-        if self._model.loading_until == WHEN_WEIGHTS_ARE_HERE and not self._loads:
-            task = asyncio.create_task(self._load_weights(version))
-            self._loads.add(task)
-            task.add_done_callback(self._loads.discard)
-
-    async def _load_weights(self, version: str) -> None:
-        """Fetch weights from the platform's rate-limited store, again until it answers."""
+            self._start_weight_fetch(order.weight_version)
+        self._work_available.set()
+        await self._notify_identity_change()
+        return self._refusal_response(reason) if reason else _json_response({"accepted": True})
+
+    def _start_weight_fetch(self, version: str) -> None:
+        """Start fetching weights if an order requires them and no fetch is running."""
+        if self._model.loading_until == UNTIL_WEIGHTS_FETCHED and not self._weight_fetches:
+            task = asyncio.create_task(self._fetch_until_successful(version))
+            self._weight_fetches.add(task)
+            task.add_done_callback(self._weight_fetches.discard)
+
+    async def _fetch_until_successful(self, version: str) -> None:
+        """Fetch weights from the platform's rate-limited store, retrying until it succeeds."""
         fetched = not self._weight_store
         while not fetched:
             url = f"http://{self._weight_store}/v1/weights/{version}"
-            timeout = aiohttp.ClientTimeout(total=LONGEST_WAIT_SECONDS)
+            timeout = aiohttp.ClientTimeout(total=MAX_WAIT_SECONDS)
             try:
                 async with self._session.get(url, timeout=timeout) as response:
                     fetched = response.status == 200
@@ -238,14 +238,14 @@
             if not fetched:
                 await asyncio.sleep(IDLE_TICK_SECONDS)
         self._model.mark_weights_fetched(time.monotonic())
-        self._wake.set()
+        self._work_available.set()
 
     async def _status(self, request: web.Request) -> web.Response:
-        """Answer at once, or, with `wait`, when the identity differs from the one named."""
+        """Return the status; with `wait`, long-poll until the given identity is outdated."""
         if "wait" in request.query:
             await self._wait_for_identity_change(request)
         report = self._model.report(time.monotonic())
-        return _json(
+        return _json_response(
             {
                 "engine_id": self.engine_id,
                 "model": self._model.assignment.model,
@@ -264,7 +264,7 @@
 
     async def _wait_for_identity_change(self, request: web.Request) -> None:
         known = (int(request.query["incarnation"]), int(request.query["revision"]))
-        deadline = time.monotonic() + min(float(request.query["wait"]), LONGEST_WAIT_SECONDS)
+        deadline = time.monotonic() + min(float(request.query["wait"]), MAX_WAIT_SECONDS)
         async with self._identity_changed:
             while known == (self._model.incarnation, self._model.revision):
                 remaining = deadline - time.monotonic()
@@ -276,7 +276,7 @@
                 except TimeoutError:
                     return
 
-    async def _notify_identity(self) -> None:
+    async def _notify_identity_change(self) -> None:
         async with self._identity_changed:
             self._identity_changed.notify_all()
 
@@ -288,13 +288,13 @@
             for e in self._recent_events
             if e.sequence > after
         ]
-        return _json({"incarnation": self._model.incarnation, "events": rows})
+        return _json_response({"incarnation": self._model.incarnation, "events": rows})
 
-    async def _fault(self, request: web.Request) -> web.Response:
+    async def _apply_fault(self, request: web.Request) -> web.Response:
         fault = EngineFault.model_validate_json(await request.read())
         now = time.monotonic()
         if fault.kind == "none":
-            self._frozen_until = self._foreign_until = self._repeated_until = 0.0
+            self._frozen_until = self._foreign_answers_until = self._repeated_chunks_until = 0.0
             self._model.set_leaving(False)
         elif fault.kind == "crash":
             self._model.crash(_new_incarnation())
@@ -305,9 +305,9 @@
         elif fault.kind == "cut_streams":
             self._cut_streams()
         elif fault.kind == "foreign_answers":
-            self._foreign_until = now + fault.seconds
+            self._foreign_answers_until = now + fault.seconds
         elif fault.kind == "repeated_chunks":
-            self._repeated_until = now + fault.seconds
+            self._repeated_chunks_until = now + fault.seconds
         elif fault.kind == "event_loss":
             self._model.cache.event_loss_share = fault.share
         elif fault.kind in ("leave", "accept_while_leaving"):
@@ -316,9 +316,9 @@
         else:
             changed = replace(self._model.assignment, weight_version=fault.weight_version)
             self._model.load(changed, now + fault.seconds)
-        self._wake.set()
-        await self._notify_identity()
-        return _json({"applied": fault.kind})
+        self._work_available.set()
+        await self._notify_identity_change()
+        return _json_response({"applied": fault.kind})
 
     # Streams
 
@@ -348,7 +348,7 @@
         response = web.StreamResponse(headers=self._stream_headers(generation))
         try:
             await response.prepare(request)
-            if time.monotonic() < self._foreign_until:
+            if time.monotonic() < self._foreign_answers_until:
                 await response.write(_foreign_chunk())
             await self._write_outputs(response, generation, reader, next_index)
         except (ConnectionError, asyncio.CancelledError):
@@ -372,8 +372,8 @@
                 raise ConnectionResetError("stream cut")
             if isinstance(output, TokenProduced) and output.index < next_index:
                 continue
-            chunk = self._chunk(generation, output)
-            repeats = 2 if time.monotonic() < self._repeated_until else 1
+            chunk = self._encode_chunk(generation, output)
+            repeats = 2 if time.monotonic() < self._repeated_chunks_until else 1
             await response.write(chunk * repeats)
             if isinstance(output, GenerationFinished):
                 await response.write(b"data: [DONE]\n\n")
@@ -391,7 +391,7 @@
             "Engine-Attempt-Id": generation.request.attempt_id,
         }
 
-    def _chunk(self, generation: Generation, output: EngineOutput) -> bytes:
+    def _encode_chunk(self, generation: Generation, output: EngineOutput) -> bytes:
         chunk: dict[str, object] = {
             "id": generation.request.request_id,
             "attempt_id": output.attempt_id,
@@ -409,7 +409,7 @@
             }
         return b"data: " + orjson.dumps(chunk) + b"\n\n"
 
-    def _refused(self, reason: RefusalReason) -> web.Response:
+    def _refusal_response(self, reason: RefusalReason) -> web.Response:
         body = {
             "error": {"code": reason.value, "executed": False},
             "incarnation": self._model.incarnation,
@@ -417,10 +417,10 @@
             "weight_version": self._model.weight_version,
             "pool": self._model.assignment.pool,
         }
-        return _json(body, REFUSAL_STATUS.get(reason, REFUSED_FOR_LOAD_STATUS))
+        return _json_response(body, REFUSAL_STATUS.get(reason, UNAVAILABLE_STATUS))
 
     def _record_reuse(self, output: EngineOutput) -> None:
-        """Record, with an attempt's first token, the cached blocks it was computed from."""
+        """Record the origins of the cached blocks that an attempt reused, with its first token."""
         generation = self._model.attempt(output.attempt_id)
         if generation is None or not isinstance(output, TokenProduced):
             return
@@ -429,7 +429,7 @@
 
 
 def _new_incarnation() -> int:
-    """Return a number that grows from one start of an engine to the next."""
+    """Return an incarnation number that is greater than those of earlier starts."""
     return time.time_ns() // 1_000
 
 
@@ -443,5 +443,5 @@
     return b"data: " + orjson.dumps(chunk) + b"\n\n"
 
 
-def _json(content: dict[str, object], status: int = 200) -> web.Response:
+def _json_response(content: dict[str, object], status: int = 200) -> web.Response:
     return web.Response(body=orjson.dumps(content), status=status, content_type="application/json")
--- a/liftrill/emulator/kept_store_server.py
+++ b/liftrill/emulator/kept_store_server.py
@@ -1,7 +1,7 @@
-"""HTTP stand-in of the kept-KV store: named prefixes in limited memory.
+"""HTTP emulator of the kept-KV store, which keeps the KV cache of prefixes outside of engines.
 
-A prefix is stored under the name of its last block. Names come from keyed hashes over
-tenant and weight version, and the store checks the weight version again on reading.
+A prefix is stored under the name of its last block. Names are keyed hashes that cover tenant and
+weight version; the store also checks the weight version on lookup.
 """
 
 import time
@@ -14,7 +14,7 @@
 
 @dataclass(frozen=True, slots=True)
 class KeptPrefix:
-    """A stored prefix."""
+    """The size, weight version and storage time of a stored prefix."""
 
     blocks: int
     weight_version: str
@@ -22,7 +22,7 @@
 
 
 class KeptStoreServer:
-    """Holds prefixes up to a number of blocks, least recently used first out."""
+    """Stores prefixes up to a capacity in blocks, with LRU eviction."""
 
     def __init__(self, capacity_blocks: int) -> None:
         self._capacity_blocks = capacity_blocks
@@ -53,7 +53,7 @@
         return web.Response(status=204)
 
     async def _look_up(self, request: web.Request) -> web.Response:
-        """Return the length of the longest named prefix that was made by some weights."""
+        """Return the size in blocks of the longest named prefix stored for a weight version."""
         body = orjson.loads(await request.read())
         blocks = 0
         for name in reversed(body["names"]):
--- a/liftrill/emulator/platform_model.py
+++ b/liftrill/emulator/platform_model.py
@@ -1,4 +1,4 @@
-"""The platform's key-value service as a model, sans-IO: compare-and-swap and leases."""
+"""Sans-IO model of the platform's key-value store, with compare-and-swap and leases."""
 
 from collections.abc import Iterator
 from dataclasses import dataclass
@@ -8,7 +8,7 @@
 
 @dataclass(slots=True)
 class Session:
-    """A lease: it lapses when it is not renewed within its time to live."""
+    """A lease, which expires unless it is renewed within its time to live."""
 
     session_id: str
     time_to_live_seconds: float
@@ -16,7 +16,7 @@
 
 
 class PlatformModel:
-    """Keys, sessions and machines. Times are seconds on any monotonic clock."""
+    """The entries, sessions and machine list. Times are seconds on any monotonic clock."""
 
     def __init__(self) -> None:
         self._entries: dict[str, StoredEntry] = {}
@@ -26,12 +26,12 @@
         self.revision = 0
 
     def get(self, key: str, now: float) -> StoredEntry | None:
-        """Return a key's entry."""
+        """Return the entry of a key, or None if it does not exist."""
         self._expire_sessions(now)
         return self._entries.get(key)
 
     def compare_and_swap(self, key: str, value: bytes, revision: int) -> bool:
-        """Write a value if the key is at a revision; 0 means that it does not exist."""
+        """Write a value if its key is at a revision, where 0 stands for a missing key."""
         current = self._entries.get(key)
         if (current.revision if current else 0) != revision:
             return False
@@ -39,7 +39,7 @@
         return True
 
     def create_session(self, time_to_live_seconds: float, now: float) -> str:
-        """Create a lease."""
+        """Create a lease and return its id."""
         self._session_count += 1
         session_id = f"session-{self._session_count}"
         expires_at = now + time_to_live_seconds
@@ -47,7 +47,7 @@
         return session_id
 
     def renew_session(self, session_id: str, now: float) -> bool:
-        """Renew a lease; False if it has lapsed."""
+        """Renew a lease; return False if it has expired."""
         self._expire_sessions(now)
         session = self._sessions.get(session_id)
         if session is None:
@@ -56,7 +56,7 @@
         return True
 
     def acquire(self, key: str, value: bytes, session_id: str, now: float) -> bool:
-        """Take a key for a lease if no other lease holds it."""
+        """Acquire a key for a lease and write its value, unless another lease holds the key."""
         self._expire_sessions(now)
         if session_id not in self._sessions:
             return False
@@ -67,15 +67,15 @@
         return True
 
     def register_machine(self, machine: MachineEntry) -> None:
-        """Add or replace a line of the machine list."""
+        """Add a machine to the list, or replace its entry."""
         self._machines[machine.machine_id] = machine
 
     def remove_machine(self, machine_id: str) -> None:
-        """Remove a line of the machine list."""
+        """Remove a machine from the list, if it is there."""
         self._machines.pop(machine_id, None)
 
     def machines(self) -> Iterator[MachineEntry]:
-        """Return the machine list."""
+        """Return all entries of the machine list."""
         return iter(list(self._machines.values()))
 
     def snapshot(self) -> dict[str, StoredEntry]:
@@ -83,7 +83,7 @@
         return dict(self._entries)
 
     def restore(self, entries: dict[str, StoredEntry]) -> None:
-        """Go back to an old copy, as a store restored from a backup does."""
+        """Replace all entries by an earlier copy, like a store restored from a backup."""
         self._entries = dict(entries)
 
     def _write(self, key: str, value: bytes, session: str) -> None:
@@ -91,8 +91,8 @@
         self._entries[key] = StoredEntry(key, value, self.revision, session)
 
     def _expire_sessions(self, now: float) -> None:
-        lapsed = [s.session_id for s in self._sessions.values() if s.expires_at <= now]
-        for session_id in lapsed:
+        expired = [s.session_id for s in self._sessions.values() if s.expires_at <= now]
+        for session_id in expired:
             del self._sessions[session_id]
             self._release_keys(session_id)
 
--- a/liftrill/emulator/platform_server.py
+++ b/liftrill/emulator/platform_server.py
@@ -1,4 +1,4 @@
-"""HTTP stand-in of the platform, in a small part of Consul's published HTTP API.
+"""HTTP emulator of the platform, with a small subset of Consul's HTTP API.
 
 Supported: `GET /v1/kv/KEY` with blocking queries (`index`, `wait`), `PUT /v1/kv/KEY` with
 `cas` or `acquire`, `PUT /v1/session/create`, `PUT /v1/session/renew/ID`,
@@ -30,10 +30,11 @@
     """Body of `POST /admin/fault`.
 
     Attributes:
-        kind: outage (every call is refused for `seconds`), slow (every call takes
-            `delay_seconds` more), lose_answers (`count` writes take effect and their
-            connection is then cut), save (keep a copy of all entries), restore (go back
-            to the copy), machine_list_lag (the list is `delay_seconds` old), none.
+        kind: outage (refuse all calls for `seconds`), slow (delay all calls by
+            `delay_seconds`), lose_answers (apply the next `count` writes, but close their
+            connection without a response), save (copy all entries), restore (replace the
+            entries by the copy), machine_list_lag (serve the machine list as it was
+            `delay_seconds` ago), none (end outage, slow and lose_answers).
     """
 
     model_config = ConfigDict(extra="forbid")
@@ -46,7 +47,7 @@
 
 @dataclass(frozen=True, slots=True)
 class _MachineListVersion:
-    """The machine list as it was from a time on."""
+    """The machine list since a point in time, and its index."""
 
     at: float
     index: int
@@ -54,7 +55,7 @@
 
 
 class PlatformServer:
-    """Serves one platform model on one event loop."""
+    """Serves one platform model; all handlers run on one event loop."""
 
     def __init__(
         self,
@@ -63,8 +64,8 @@
         weight_load_seconds: float,
     ) -> None:
         self._model = PlatformModel()
-        self._bucket = TokenBucket(requests_per_second, requests_per_second)
-        self._changed = asyncio.Condition()
+        self._rate_limit = TokenBucket(requests_per_second, requests_per_second)
+        self._entry_changed = asyncio.Condition()
         self._weight_load_seconds = weight_load_seconds
         self._weight_store = asyncio.Lock()
         self._machine_list_lag_seconds = machine_list_lag_seconds
@@ -72,9 +73,9 @@
         self._outage_until = 0.0
         self._delay_seconds = 0.0
         self._answers_to_lose = 0
-        self._saved: dict[str, StoredEntry] = {}
-        self._calls = 0
-        self._refused = 0
+        self._saved_entries: dict[str, StoredEntry] = {}
+        self._call_count = 0
+        self._refused_count = 0
 
     def application(self) -> web.Application:
         """Return the aiohttp application."""
@@ -87,9 +88,9 @@
                 web.put("/v1/session/renew/{session}", self._renew_session),
                 web.put("/v1/agent/service/register", self._register),
                 web.put("/v1/agent/service/deregister/{machine}", self._deregister),
-                web.get("/v1/catalog/services-list", self._machines),
+                web.get("/v1/catalog/services-list", self._machine_list),
                 web.get("/v1/weights/{version}", self._weights),
-                web.post("/admin/fault", self._fault),
+                web.post("/admin/fault", self._apply_fault),
                 web.get("/admin/counters", self._counters),
             ]
         )
@@ -97,18 +98,18 @@
 
     @web.middleware
     async def _limit(self, request: web.Request, handler: object) -> web.StreamResponse:
-        """Apply outage, delay and rate limit to every call but the administrator's."""
+        """Apply outage, delay and rate limit to all calls except those under /admin/."""
         assert callable(handler)
         if request.path.startswith("/admin/"):
             return await handler(request)  # type: ignore[no-any-return]
-        self._calls += 1
+        self._call_count += 1
         now = time.monotonic()
         if now < self._outage_until:
             return web.Response(status=503, text="outage")
         if self._delay_seconds:
             await asyncio.sleep(self._delay_seconds)
-        if self._bucket.try_take(1.0, now) > 0:
-            self._refused += 1
+        if self._rate_limit.try_take(1.0, now) > 0:
+            self._refused_count += 1
             return web.Response(status=429, text="rate limited")
         return await handler(request)  # type: ignore[no-any-return]
 
@@ -126,7 +127,7 @@
         self, key: str, after_revision: int, wait_seconds: float
     ) -> StoredEntry | None:
         deadline = time.monotonic() + wait_seconds
-        async with self._changed:
+        async with self._entry_changed:
             while True:
                 entry = self._model.get(key, time.monotonic())
                 remaining = deadline - time.monotonic()
@@ -134,7 +135,7 @@
                     return entry
                 try:
                     async with asyncio.timeout(remaining):
-                        await self._changed.wait()
+                        await self._entry_changed.wait()
                 except TimeoutError:
                     return self._model.get(key, time.monotonic())
 
@@ -147,7 +148,7 @@
             session = request.query.get("acquire", "")
             done = self._model.acquire(key, value, session, time.monotonic())
         if done:
-            await self._notify()
+            await self._notify_entry_change()
         return self._write_answer(request, b"true" if done else b"false")
 
     async def _create_session(self, request: web.Request) -> web.Response:
@@ -170,16 +171,16 @@
             leaving=body["Meta"].get("Leaving") == "true",
         )
         self._model.register_machine(machine)
-        self._record_machines()
+        self._record_machine_list()
         return web.Response()
 
     async def _deregister(self, request: web.Request) -> web.Response:
         self._model.remove_machine(request.match_info["machine"])
-        self._record_machines()
+        self._record_machine_list()
         return web.Response()
 
-    async def _machines(self, request: web.Request) -> web.Response:
-        version = await self._wait_for_machines(request)
+    async def _machine_list(self, request: web.Request) -> web.Response:
+        version = await self._wait_for_machine_list(request)
         rows = [
             {
                 "ID": machine.machine_id,
@@ -195,65 +196,65 @@
         )
 
     async def _weights(self, _: web.Request) -> web.Response:
-        """Send weights to one engine at a time: the store's rate is shared by all."""
+        """Send weights to one engine at a time, since all engines share the store's bandwidth."""
         async with self._weight_store:
             await asyncio.sleep(self._weight_load_seconds)
         return web.Response()
 
-    async def _wait_for_machines(self, request: web.Request) -> _MachineListVersion:
-        """Return the lagging list, with `wait` once its index differs from the one named."""
+    async def _wait_for_machine_list(self, request: web.Request) -> _MachineListVersion:
+        """Return the stale machine list; with `wait`, long-poll until its index changes."""
         known = int(request.query.get("index", "-1"))
         wait_seconds = float(request.query.get("wait", "0s").rstrip("s"))
         deadline = time.monotonic() + wait_seconds
-        version = self._lagging_machines()
-        while version.index == known and time.monotonic() < min(deadline, self._served_until()):
+        version = self._stale_machine_list()
+        while version.index == known and time.monotonic() < min(deadline, self._long_poll_end()):
             await asyncio.sleep(MACHINE_LIST_POLL_SECONDS)
-            version = self._lagging_machines()
+            version = self._stale_machine_list()
         return version
 
-    def _served_until(self) -> float:
-        """Return when waiting calls end: at once when an outage begins."""
+    def _long_poll_end(self) -> float:
+        """Return the time at which long polls must end: 0 during an outage, otherwise infinity."""
         in_outage = time.monotonic() < self._outage_until
         return 0.0 if in_outage else float("inf")
 
-    async def _fault(self, request: web.Request) -> web.Response:
+    async def _apply_fault(self, request: web.Request) -> web.Response:
         fault = PlatformFault.model_validate_json(await request.read())
         if fault.kind == "none":
             self._outage_until = self._delay_seconds = 0.0
             self._answers_to_lose = 0
         elif fault.kind == "outage":
             self._outage_until = time.monotonic() + fault.seconds
-            await self._notify()
+            await self._notify_entry_change()
         elif fault.kind == "slow":
             self._delay_seconds = fault.delay_seconds
         elif fault.kind == "lose_answers":
             self._answers_to_lose = fault.count
         elif fault.kind == "save":
-            self._saved = self._model.snapshot()
+            self._saved_entries = self._model.snapshot()
         elif fault.kind == "restore":
-            self._model.restore(self._saved)
-            await self._notify()
+            self._model.restore(self._saved_entries)
+            await self._notify_entry_change()
         else:
             self._machine_list_lag_seconds = fault.delay_seconds
         return web.Response()
 
     async def _counters(self, _: web.Request) -> web.Response:
-        counters = {"calls": self._calls, "refused": self._refused}
+        counters = {"calls": self._call_count, "refused": self._refused_count}
         return web.Response(body=orjson.dumps(counters), content_type="application/json")
 
-    async def _notify(self) -> None:
-        async with self._changed:
-            self._changed.notify_all()
+    async def _notify_entry_change(self) -> None:
+        async with self._entry_changed:
+            self._entry_changed.notify_all()
 
     def _write_answer(self, request: web.Request, body: bytes) -> web.Response:
-        """Answer a write, or cut the connection after it took effect."""
+        """Respond to an applied write, or close its connection while answers are to be lost."""
         if self._answers_to_lose > 0:
             self._answers_to_lose -= 1
             if request.transport is not None:
                 request.transport.close()
         return web.Response(body=body, content_type="application/json")
 
-    def _record_machines(self) -> None:
+    def _record_machine_list(self) -> None:
         now = time.monotonic()
         index = self._machine_history[-1].index + 1 if self._machine_history else 1
         version = _MachineListVersion(now, index, tuple(self._model.machines()))
@@ -262,7 +263,7 @@
         while len(self._machine_history) > 1 and self._machine_history[1].at <= visible_at:
             self._machine_history.pop(0)
 
-    def _lagging_machines(self) -> _MachineListVersion:
+    def _stale_machine_list(self) -> _MachineListVersion:
         visible_at = time.monotonic() - self._machine_list_lag_seconds
         visible = [version for version in self._machine_history if version.at <= visible_at]
         return visible[-1] if visible else _MachineListVersion(0.0, 0, ())
--- a/liftrill/emulator/prefix_cache.py
+++ b/liftrill/emulator/prefix_cache.py
@@ -1,4 +1,4 @@
-"""An engine's prefix cache: limited blocks, least recently used first out."""
+"""An engine's prefix cache: a limited number of blocks with LRU eviction."""
 
 import random
 from collections import OrderedDict, deque
@@ -13,7 +13,7 @@
 
 
 class PrefixCache:
-    """Cached blocks and the late, gappy stream of events about them."""
+    """The cached blocks, and a delayed and lossy stream of events about them."""
 
     def __init__(self, parameters: EngineParameters, random_source: random.Random) -> None:
         self._parameters = parameters
@@ -32,19 +32,19 @@
         return name in self._last_used
 
     def cached_prefix(self, names: Sequence[bytes]) -> int:
-        """Return how many leading blocks are cached."""
+        """Return the number of leading blocks that are cached."""
         for position, name in enumerate(names):
             if name not in self._last_used:
                 return position
         return len(names)
 
     def pin(self, names: Sequence[bytes]) -> None:
-        """Keep blocks from eviction while a request uses them."""
+        """Protect blocks from eviction while a request uses them."""
         for name in names:
             self._pinned[name] = self._pinned.get(name, 0) + 1
 
     def unpin(self, names: Sequence[bytes]) -> None:
-        """Undo one `pin`."""
+        """Undo one `pin` of each block."""
         for name in names:
             count = self._pinned.get(name, 0) - 1
             if count > 0:
@@ -53,12 +53,12 @@
                 self._pinned.pop(name, None)
 
     def origins(self, names: Sequence[bytes]) -> frozenset[BlockOrigin]:
-        """Return the origins of cached blocks."""
+        """Return the distinct origins of cached blocks."""
         return frozenset(self._origins[name] for name in names)
 
     def store(self, names: Sequence[bytes], origin: BlockOrigin, now: float) -> None:
-        """Add or refresh blocks, evicting others when memory is full."""
-        # The end of a prefix goes first when memory is short, so that its start stays useful.
+        """Add blocks or mark them as used, and evict others above capacity."""
+        # In reverse, so that a prefix is evicted from its end and its beginning remains usable.
         for name in reversed(names):
             if name not in self._last_used:
                 self._origins[name] = origin
@@ -68,7 +68,7 @@
         self._evict_over_capacity(now)
 
     def evict_idle(self, now: float) -> None:
-        """Drop blocks that were not used for the idle time."""
+        """Evict blocks that were not used for the idle eviction time."""
         limit = now - self._parameters.idle_eviction_seconds
         while self._last_used:
             name, used_at = next(iter(self._last_used.items()))
@@ -77,7 +77,7 @@
             self._remove(name, now)
 
     def clear(self) -> None:
-        """Forget everything at once, as a crash does: no events are sent."""
+        """Drop all blocks and pending events without new events, as a crash does."""
         self._last_used.clear()
         self._origins.clear()
         self._pinned.clear()
@@ -85,7 +85,7 @@
         self._sequence = 0
 
     def take_events(self, now: float) -> list[CacheEvent]:
-        """Return the events that are due; a share of them is lost."""
+        """Return the events that are due, without the share that is lost."""
         due: list[CacheEvent] = []
         while self._events and self._events[0][0] <= now:
             event = self._events.popleft()[1]
