--- a/liftrill/clock.py
+++ b/liftrill/clock.py
@@ -35,17 +35,19 @@
             includes it, or if that clock went backwards.
     """
 
-    def __init__(self, monotonic: ClockReader, suspend_aware: ClockReader | None) -> None:
-        self._monotonic = monotonic
-        self._source = suspend_aware or monotonic
-        self.counts_sleep = suspend_aware is not None
+    def __init__(
+        self, monotonic_clock: ClockReader, suspend_aware_clock: ClockReader | None
+    ) -> None:
+        self._monotonic_clock = monotonic_clock
+        self._source_clock = suspend_aware_clock or monotonic_clock
+        self.counts_sleep = suspend_aware_clock is not None
         # Both clocks agree until the first suspension, so their times can be compared until then.
-        self._offset_s = self._source() - monotonic()
-        self._latest_s = monotonic()
+        self._offset_s = self._source_clock() - monotonic_clock()
+        self._latest_s = monotonic_clock()
 
     def now_s(self) -> float:
         """Return monotonic seconds since an arbitrary origin, including suspension."""
-        now_s = self._source() - self._offset_s
+        now_s = self._source_clock() - self._offset_s
         if now_s < self._latest_s:
             return self._handle_backward_step(now_s)
         self._latest_s = now_s
@@ -53,14 +55,14 @@
 
     def slept_s(self) -> float:
         """Return the total seconds of suspension since the process started."""
-        return max(0.0, self.now_s() - self._monotonic())
+        return max(0.0, self.now_s() - self._monotonic_clock())
 
     def _handle_backward_step(self, now_s: float) -> float:
         """Return the latest time; after a large step back, fall back to the monotonic clock."""
         if now_s < self._latest_s - MAX_BACKWARD_STEP_S:
             self.counts_sleep = False
-            self._source = self._monotonic
-            self._offset_s = self._monotonic() - self._latest_s
+            self._source_clock = self._monotonic_clock
+            self._offset_s = self._monotonic_clock() - self._latest_s
         return self._latest_s
 
 
