--- a/liftrill/bench/simulation/simulator.py
+++ b/liftrill/bench/simulation/simulator.py
@@ -137,13 +137,13 @@
                 constants.ENGINE_REPORT_INTERVAL_SECONDS,
                 lambda n=node: self._poll_random_engines(n),  # type: ignore[misc]
             )
-            if constants.EVENT_READ_SECONDS > 0:
+            if constants.EVENT_READ_INTERVAL_SECONDS > 0:
                 self._schedule_repeatedly(
-                    constants.EVENT_READ_SECONDS,
+                    constants.EVENT_READ_INTERVAL_SECONDS,
                     lambda n=node, w=watched_by_node: self._read_events(n, w),  # type: ignore[misc]
                 )
             self._schedule_repeatedly(
-                constants.HOME_EXCHANGE_SECONDS,
+                constants.HOME_EXCHANGE_INTERVAL_SECONDS,
                 lambda n=node: n.exchange_prefix_reports(self._nodes),  # type: ignore[misc]
             )
 
--- a/liftrill/gateway/admission/overload.py
+++ b/liftrill/gateway/admission/overload.py
@@ -33,8 +33,8 @@
         relieved_s: how long the queue must be gone to count as relieved.
     """
 
-    standing_s: float = constants.STANDING_QUEUE_S
-    relieved_s: float = constants.RELIEVED_QUEUE_S
+    standing_s: float = constants.STANDING_QUEUE_ENTER_S
+    relieved_s: float = constants.STANDING_QUEUE_EXIT_S
     is_standing: bool = False
     _since: float | None = None
 
@@ -88,7 +88,7 @@
         on_change: called when a service enters or leaves overload.
     """
 
-    timely_wait_share: float = constants.GOOD_WAIT_TARGET_SHARE
+    timely_wait_share: float = constants.TIMELY_WAIT_TARGET_SHARE
     urgent_factor: float = URGENT_WAIT_FACTOR
     burst_wait_limit_s: float = constants.LONGEST_ENGINE_WAIT_S
     burst_wait_limit_targets: float = constants.LONGEST_ENGINE_WAIT_TARGETS
--- a/liftrill/gateway/engines/engine_selector.py
+++ b/liftrill/gateway/engines/engine_selector.py
@@ -157,7 +157,7 @@
         chosen = self._prompt_policy.choose(request, candidates, self._zone)
         waits_for_reader = chosen.shared.reader == chosen.view.number
         # Reports about a part being read arrive too late among many engines to wait for its end.
-        few_engines = len(with_capacity) < constants.MANY_ENGINES
+        few_engines = len(with_capacity) < constants.FRESH_LOAD_MAX_ENGINES
         if waits_for_reader and few_engines and now < self._reading_wait_until(request):
             return Unavailable.NONE_READY
         choice = self._prompt_choice(chosen, prompt, now)
@@ -201,7 +201,7 @@
 
     def _reading_wait_until(self, request: OpaqueRequest) -> float:
         """Return the time until which a request waits while an engine reads its shared part."""
-        share = constants.READING_WAIT_TARGET_SHARE
+        share = constants.PREFILL_WAIT_TARGET_SHARE
         return request.received_at + share * request.route.target_seconds
 
     def continue_at_backup(
@@ -266,7 +266,7 @@
         """Return whether a broken run could only continue elsewhere from a copy."""
         if not request.is_stream or request.may_run_again or request.prompt is None:
             return False
-        if request.prompt.output_tokens < constants.BACKUP_OUTPUT_TOKENS:
+        if request.prompt.output_tokens < constants.BACKUP_MIN_OUTPUT_TOKENS:
             return False
         return self.parts.profile(request.service).backups
 
--- a/liftrill/gateway/engines/placement.py
+++ b/liftrill/gateway/engines/placement.py
@@ -76,7 +76,7 @@
     """
 
     nodes: Callable[[], int] = lambda: 1
-    many_nodes: int = constants.MANY_CHOOSING_NODES
+    many_nodes: int = constants.FRESH_LOAD_MAX_NODES
 
     def choose(self, request: OpaqueRequest, candidates: list[Candidate], zone: str) -> Candidate:
         """Return the engine with the earliest expected completion."""
@@ -133,17 +133,17 @@
     speeds: SpeedEstimator
     min_move_s: float = 0.015
     engines_per_prefix_reader: int = 5
-    reread_factor: float = constants.REREAD_FACTOR
-    rare_reread_factor: float = constants.RARE_REREAD_FACTOR
+    reread_factor: float = constants.RECOMPUTE_COST_FACTOR
+    rare_reread_factor: float = constants.RARE_RECOMPUTE_COST_FACTOR
     long_prompt_s: float = constants.LONG_PROMPT_S
     pause_share: float = constants.LONG_PROMPT_PAUSE_SHARE
-    outdated_penalty_s: float = constants.REPLACED_WEIGHTS_S
+    outdated_penalty_s: float = constants.REPLACED_WEIGHTS_WAIT_S
     outdated_grace_s: float = constants.REPLACED_WEIGHTS_GRACE_S
     memory_share: float = 0.6
-    many_engines: int = constants.MANY_ENGINES
-    preferred_engines: int = constants.FEW_CHOICES
-    overflow_penalty_s: float = constants.FAR_S
-    overflow_penalty_share: float = constants.FAR_TARGET_SHARE
+    many_engines: int = constants.FRESH_LOAD_MAX_ENGINES
+    preferred_engines: int = constants.CHOICES_PER_PROMPT
+    overflow_penalty_s: float = constants.CHOICE_WAIT_S
+    overflow_penalty_share: float = constants.CHOICE_WAIT_TARGET_SHARE
     services: Mapping[str, ServiceProfile] = field(default_factory=dict)
 
     def choose(self, request: OpaqueRequest, candidates: list[Candidate], zone: str) -> Candidate:
--- a/liftrill/gateway/engines/service_speeds.py
+++ b/liftrill/gateway/engines/service_speeds.py
@@ -75,7 +75,7 @@
         pauses: prompt tokens that could be read within recent long pauses of streams.
     """
 
-    read_s_per_token: float = 1.0 / constants.FIRST_READING_TOKENS_PER_S
+    read_s_per_token: float = 1.0 / constants.INITIAL_PREFILL_TOKENS_PER_S
     has_read_estimate: bool = False
     event_s: float = 0.0
     answer_s: float = 0.0
--- a/liftrill/routing/policies.py
+++ b/liftrill/routing/policies.py
@@ -240,7 +240,7 @@
         if depth < shared_depth:
             missing_tokens = marker_tokens(shared_depth - depth)
             price_per_rank = (
-                missing_tokens / constants.PREFILL_TOKENS_PER_SECOND * constants.SPREAD_PRICE_SHARE
+                missing_tokens / constants.PREFILL_TOKENS_PER_SECOND * constants.SPREAD_COST_SHARE
             )
             spreading = price_per_rank * (ranks.get(engine.engine_id, len(ranks)) + 1)
         return CostTerms(self._waiting_seconds(engine, query.now), computing, spreading)
@@ -248,7 +248,7 @@
     @staticmethod
     def _waiting_seconds(engine: EngineState, now: float) -> float:
         prefill = engine.pending_prefill_tokens(now) / constants.PREFILL_TOKENS_PER_SECOND
-        return prefill + engine.load(now) * constants.RUNNING_PRICE_SECONDS
+        return prefill + engine.load(now) * constants.RUNNING_REQUEST_COST_SECONDS
 
     @staticmethod
     def _computing_seconds(query: RoutingQuery, depth: int, kept_depth: int) -> float:
