--- a/features/soak/deadly.py
+++ b/features/soak/deadly.py
@@ -66,13 +66,13 @@
             yield Violation("no other request is kept from engines", call.request_id, call.route)
 
 
-def ends_under(body, engines):
+def crash_times(body, engines):
     """Return when engines ended under a request, in order."""
-    return sorted(e.ended_at for e in engines if e.ended_under == body)
+    return sorted(e.crashed_at for e in engines if e.crashed_on == body)
 
 
 def _check_sends(body, known, engines, timeline):
-    ends = ends_under(body, engines)
+    ends = crash_times(body, engines)
     if len(ends) < ENDS_THAT_TELL:
         return
     since = ends[ENDS_THAT_TELL - 1] + HEARD_WITHIN_S
--- a/features/soak/engine_limits.py
+++ b/features/soak/engine_limits.py
@@ -72,13 +72,13 @@
     """Return when requests came from nodes that had passed on a limit, and ran on since."""
     since = {}
     for arrival, node in arrivals:
-        if arrival.limit and arrival.told_at is not None and not arrival.cut:
-            since[node] = min(since.get(node, arrival.told_at), arrival.told_at)
+        if arrival.limit and arrival.answered_at is not None and not arrival.cut:
+            since[node] = min(since.get(node, arrival.answered_at), arrival.answered_at)
     settled_at = min(since.values(), default=0.0) + SETTLED_S
     return [
         arrival.at
         for arrival, node in arrivals
         if node in since
         and arrival.at >= max(settled_at, since[node] + HEARD_S)
-        and not timeline.stood_between(node, since[node], arrival.at)
+        and not timeline.halted_between(node, since[node], arrival.at)
     ]
--- a/features/soak/engine_words.py
+++ b/features/soak/engine_words.py
@@ -21,7 +21,7 @@
 SENDS_ALLOWED = 2
 
 
-class EngineWords:
+class EngineAnnouncements:
     """Lets engines speak at random; what is drawn depends on the seed alone."""
 
     def __init__(self, fleet, seed):
@@ -43,21 +43,21 @@
 
     async def _leave(self, draw):
         engine = draw.choice(self._fleet.engines())
-        engine.leaves_in = ANSWERS
+        engine.leaving_in = ANSWERS
         if draw.random() < 0.5:
             await self._fleet.hide_record(engine, draw.uniform(*RECORD_GONE_S))
         await asyncio.sleep(draw.uniform(*RECORD_LATER_S))
         if engine in self._fleet.engines():
-            await self._fleet.declare_leaving(engine, draw.uniform(1.0, 5.0))
+            await self._fleet.drain_engine(engine, draw.uniform(1.0, 5.0))
 
     async def _rest(self, draw):
         engine = draw.choice(self._fleet.engines())
-        engine.rest = draw.choice(RESTS)
+        engine.retry_after = draw.choice(RESTS)
         await asyncio.sleep(draw.uniform(*TURNS_AWAY_S))
-        engine.rest = ""
+        engine.retry_after = ""
 
 
-def check_words(calls, engines, timeline):
+def check_announcements(calls, engines, timeline):
     """Return the requests that engines got though they had told the node otherwise."""
     known = {call.request_id: call for call in calls}
     for engine in engines:
@@ -70,20 +70,22 @@
 
 
 def _check_leaving(engine, node, arrivals, timeline):
-    told = [a.told_at for a in arrivals if a.said_leaving and not a.cut]
+    told = [a.answered_at for a in arrivals if a.announced_leaving and not a.cut]
     for arrival in arrivals:
         since = [at for at in told if at + LEAVING_HEARD_S < arrival.at]
-        if since and not timeline.stood_between(node, min(since), arrival.at):
+        if since and not timeline.halted_between(node, min(since), arrival.at):
             detail = f"{engine.engine_id}, {node}: {arrival.at - min(since):.2f} s after"
             yield Violation("no request after an engine's word", arrival.attempt_id, detail)
 
 
 def _check_rest(engine, node, arrivals, timeline):
     for told in arrivals:
-        if not told.rest_s:
+        if not told.retry_after_s:
             continue
-        since, until = told.told_at + REST_HEARD_S, told.told_at + told.rest_s
+        since, until = told.answered_at + REST_HEARD_S, told.answered_at + told.retry_after_s
         late = [a for a in arrivals if since < a.at < until]
-        if len(late) > SENDS_ALLOWED and not timeline.troubled_between(node, told.told_at, until):
-            detail = f"{engine.engine_id}, {node}: {len(late)} in {told.rest_s} s"
+        if len(late) > SENDS_ALLOWED and not timeline.impaired_between(
+            node, told.answered_at, until
+        ):
+            detail = f"{engine.engine_id}, {node}: {len(late)} in {told.retry_after_s} s"
             yield Violation("no requests within an engine's rest", late[0].attempt_id, detail)
--- a/features/soak/faults.py
+++ b/features/soak/faults.py
@@ -6,7 +6,7 @@
 import time
 from contextlib import nullcontext, suppress
 
-from features.soak.proxy import Harm
+from features.soak.proxy import ProxyFault
 
 ENGINE_FAULTS = (
     "shed",
@@ -18,7 +18,7 @@
     "torn",
     "fail",
 )
-HARMS = tuple(harm for harm in Harm if harm is not Harm.NONE)
+HARMS = tuple(fault for fault in ProxyFault if fault is not ProxyFault.NONE)
 # How often a kind of fault comes up beside the others, drawn for each seed: in a seed of few
 # troubles nodes are calm for long enough to be judged.
 KIND_WEIGHTS = (0.2, 1.0, 3.0)
@@ -52,18 +52,18 @@
             self._harm_engine,
             self._crash_engine,
             self._drain_engine,
-            self._leave_unsaid,
+            self._remove_unannounced,
             self._name_weights,
             self._refuse_orders,
             self._revoke,
             self._reconfigure,
-            self._deafen_watches,
+            self._stall_watches,
             self._silence_connections,
         )
         self._weights = [self._schedule.choice(KIND_WEIGHTS) for _ in self._kinds]
         self._longest_spacing_s = self._schedule.choice(LONGEST_SPACING_S)
 
-    async def harm_for(self, seconds):
+    async def inject_for(self, seconds):
         """Begin faults for some time, and let them end."""
         until = time.monotonic() + seconds
         tasks = set()
@@ -89,7 +89,7 @@
         node = self._running_node(draw)
         if node is None:
             return
-        with self._fleet.timeline.trouble(node.name, stands=True):
+        with self._fleet.timeline.impairment(node.name, halted=True):
             try:
                 node.signal(signal.SIGSTOP)
                 await asyncio.sleep(draw.uniform(0.3, 6.0))
@@ -101,7 +101,7 @@
         node = self._running_node(draw)
         if node is None:
             return
-        with self._fleet.timeline.trouble(node.name, stands=True):
+        with self._fleet.timeline.impairment(node.name, halted=True):
             await node.stop()
             await asyncio.sleep(draw.uniform(0.1, 1.0))
             await self._fleet.start_node(node)
@@ -110,11 +110,11 @@
         node = self._running_node(draw)
         if node is None:
             return
-        with self._fleet.timeline.trouble(node.name, stands=True) as told_at:
+        with self._fleet.timeline.impairment(node.name, halted=True) as signalled_at:
             node.signal(signal.SIGTERM)
             with suppress(TimeoutError):
                 await asyncio.wait_for(node.process.wait(), 9.0)
-                self._fleet.timeline.note_stop(node.name, told_at)
+                self._fleet.timeline.note_stop(node.name, signalled_at)
             await node.stop()
             await self._fleet.start_node(node)
 
@@ -126,36 +126,36 @@
 
     async def _harm_store(self, draw):
         store = self._fleet.store
-        with self._fleet.timeline.trouble():
+        with self._fleet.timeline.impairment():
             store.fault = draw.choice(("down", "silent", "reset"))
             await asyncio.sleep(draw.uniform(0.5, 5.0))
             store.fault = ""
 
     async def _refuse_node(self, draw):
         node = draw.choice(self._fleet.nodes)
-        with self._fleet.timeline.trouble(node.name):
-            self._fleet.store.refused_callers.add(node.ip)
+        with self._fleet.timeline.impairment(node.name):
+            self._fleet.store.refused_ips.add(node.ip)
             await asyncio.sleep(draw.uniform(1.0, 7.0))
-            self._fleet.store.refused_callers.discard(node.ip)
+            self._fleet.store.refused_ips.discard(node.ip)
 
     async def _forget(self, draw):
         self._fleet.store.forget_history()
 
     async def _lose_writes(self, draw):
-        self._fleet.store.lose_writes = 3
+        self._fleet.store.unanswered_writes = 3
 
     async def _harm_link(self, draw):
         name = draw.choice(list(self._fleet.proxies))
-        harm = draw.choice(HARMS)
-        is_cut = harm is not Harm.DELAY
-        with self._fleet.timeline.trouble(name) if is_cut else nullcontext():
-            self._fleet.proxies[name].harm = harm
+        fault = draw.choice(HARMS)
+        is_cut = fault is not ProxyFault.DELAY
+        with self._fleet.timeline.impairment(name) if is_cut else nullcontext():
+            self._fleet.proxies[name].fault = fault
             await asyncio.sleep(draw.uniform(0.5, 6.0))
-            self._fleet.proxies[name].harm = Harm.NONE
+            self._fleet.proxies[name].fault = ProxyFault.NONE
 
-    async def _deafen_watches(self, draw):
+    async def _stall_watches(self, draw):
         """Let watches hear nothing of some changes, then drop the history and cut them."""
-        self._fleet.store.deafen_watches()
+        self._fleet.store.stall_watches()
         changes = asyncio.ensure_future(self._change_much(draw))
         try:
             await asyncio.sleep(draw.uniform(0.8, 1.1))
@@ -168,12 +168,17 @@
         changes = asyncio.ensure_future(self._change_much(draw))
         await asyncio.sleep(draw.uniform(0.0, 0.4))
         self._fleet.store.silence_connections()
-        self._fleet.timeline.note_silence()
+        self._fleet.timeline.note_silent_connections()
         await changes
 
     async def _change_much(self, draw):
         """Let engines leave and weights be named within about a second."""
-        kinds = (self._drain_engine, self._leave_unsaid, self._name_weights, self._refuse_orders)
+        kinds = (
+            self._drain_engine,
+            self._remove_unannounced,
+            self._name_weights,
+            self._refuse_orders,
+        )
         changes = []
         for number, kind in enumerate(draw.sample(kinds, draw.randint(2, len(kinds)))):
             await asyncio.sleep(draw.uniform(0.0, 0.4))
@@ -193,10 +198,10 @@
 
     async def _drain_engine(self, draw):
         engine = draw.choice(self._fleet.engines())
-        await self._fleet.declare_leaving(engine, draw.uniform(1.0, 5.0))
+        await self._fleet.drain_engine(engine, draw.uniform(1.0, 5.0))
 
-    async def _leave_unsaid(self, draw):
-        await self._fleet.leave_unsaid(draw.choice(self._fleet.engines()))
+    async def _remove_unannounced(self, draw):
+        await self._fleet.remove_unannounced(draw.choice(self._fleet.engines()))
 
     async def _refuse_orders(self, draw):
         """Let engines keep their weights for longer than they may be used once replaced."""
@@ -204,7 +209,7 @@
         engines = draw.sample(known, draw.randint(1, len(known)))
         self._let_refuse(engines, True)
         await asyncio.sleep(draw.uniform(0.0, 0.5))
-        self._fleet.name_weights()
+        self._fleet.set_weight_version()
         await asyncio.sleep(draw.uniform(10.0, 12.0))
         self._let_refuse(engines, False)
 
@@ -215,7 +220,7 @@
     # The operator
 
     async def _name_weights(self, draw):
-        self._fleet.name_weights()
+        self._fleet.set_weight_version()
 
     async def _revoke(self, draw):
         self._fleet.revoke()
--- a/features/soak/fleet.py
+++ b/features/soak/fleet.py
@@ -6,7 +6,7 @@
 import time
 from contextlib import suppress
 
-from features.soak.proxy import Harm, HarmfulProxy
+from features.soak.proxy import FaultProxy, ProxyFault
 from features.soak.timeline import Timeline
 from features.standin import sleeper
 from features.standin.deployment import ROOT, Deployment
@@ -91,7 +91,7 @@
 
     async def _put_proxy_before_store(self, node):
         """Let a node that is started again reach the store through a proxy."""
-        proxy = HarmfulProxy(f"{node.ip}:{self.store.port + 1}", self.store.address_for(node.ip))
+        proxy = FaultProxy(f"{node.ip}:{self.store.port + 1}", self.store.address_for(node.ip))
         with suppress(OSError):
             await proxy.start()
             self.proxies[node.name] = proxy
@@ -114,10 +114,10 @@
         self._version += 1
         self.deployment.configure(self._version, keys=tuple(self.keys), backups=True)
 
-    def write_again(self):
+    def rewrite_all(self):
         """Write what the operator and the engines have written, as after the store's return."""
         self.deployment.configure(self._version, keys=tuple(self.keys), backups=True)
-        self.deployment.name_weights(self._weights)
+        self.deployment.set_weight_version(self._weights)
         for key in [key for key in self.store.items if key.startswith("servers/")]:
             if key.removeprefix("servers/") not in self.deployment.engines:
                 self.store.remove(key)
@@ -129,18 +129,18 @@
         old = self.keys[0]
         self.keys = [f"key-{next(self._key_numbers)}"]
         self.configure()
-        self.timeline.note_revoking(old)
+        self.timeline.note_revocation(old)
 
-    def name_weights(self):
+    def set_weight_version(self):
         self._weights += 1
-        self.deployment.name_weights(self._weights)
-        self.timeline.note_naming(self._weights)
+        self.deployment.set_weight_version(self._weights)
+        self.timeline.note_version(self._weights)
 
-    async def declare_leaving(self, engine, removed_after_s):
+    async def drain_engine(self, engine, removed_after_s):
         """Let an engine declare that it leaves, and end once its record is removed."""
         await self._replace(engine)
         self.deployment.record(engine, "draining")
-        self.timeline.note_leaving(engine.engine_id)
+        self.timeline.note_departure(engine.engine_id)
         await asyncio.sleep(removed_after_s)
         self._remove_record(engine)
         await asyncio.sleep(max(0.0, SEEN_AFTER_LEAVING_S - removed_after_s))
@@ -153,7 +153,7 @@
         if engine in self.engines():
             self.deployment.record(engine)
 
-    async def leave_unsaid(self, engine):
+    async def remove_unannounced(self, engine):
         """Remove the record of an engine that goes on for a while, and declared nothing."""
         await self._replace(engine)
         self._remove_record(engine)
@@ -180,7 +180,7 @@
 
     def _remove_record(self, engine):
         self.store.remove(f"servers/{engine.engine_id}")
-        self.timeline.note_leaving(engine.engine_id)
+        self.timeline.note_departure(engine.engine_id)
 
     async def _replace(self, engine):
         del self.deployment.engines[engine.engine_id]
@@ -192,14 +192,14 @@
         options = {"weights": {"model-1": self._weights}} if service == "llm" else {}
         if self._births:
             options["born_unix_ms"] = now_unix_ms()
-        engine = await self.deployment.add_engine(name, service, ends_under=self._deadly, **options)
+        engine = await self.deployment.add_engine(name, service, crashes_on=self._deadly, **options)
         if self._deadly:
             self._replacing.append(asyncio.ensure_future(self._replace_ended(engine)))
         return engine
 
     async def _replace_ended(self, engine):
         """Bring another engine up some time after one ended under a request."""
-        await engine.ended.wait()
+        await engine.crashed.wait()
         await asyncio.sleep(BACK_AFTER_S)
         if self.deployment.engines.get(engine.engine_id) is not engine:
             # Another fault has taken it out.
@@ -210,14 +210,14 @@
 
     # The end
 
-    async def heal(self):
+    async def clear_faults(self):
         """End all faults."""
-        self.store.fault, self.store.lose_writes = "", 0
-        self.store.refused_callers.clear()
+        self.store.fault, self.store.unanswered_writes = "", 0
+        self.store.refused_ips.clear()
         for proxy in self.proxies.values():
-            proxy.harm = Harm.NONE
+            proxy.fault = ProxyFault.NONE
         for engine in self.engines():
-            engine.fault, engine.refuses_orders, engine.rest = "", False, ""
+            engine.fault, engine.refuses_orders, engine.retry_after = "", False, ""
         for node in self.nodes:
             with suppress(ProcessLookupError):
                 node.signal(signal.SIGCONT)
--- a/features/soak/history.py
+++ b/features/soak/history.py
@@ -54,7 +54,7 @@
 class Violation:
     """A promise that was broken."""
 
-    promise: str
+    guarantee: str
     request_id: str
     detail: str
 
@@ -100,7 +100,7 @@
     if call.status is not None or not call.waited:
         return
     for stop in timeline.undisturbed_stops():
-        if stop.node == call.node and stop.told_at <= call.sent_at < stop.gone_at - EXIT_S:
+        if stop.node == call.node and stop.signalled_at <= call.sent_at < stop.gone_at - EXIT_S:
             left_s = stop.gone_at - call.sent_at
             yield Violation(
                 "a node that stops answers", call.request_id, f"gone {left_s:.2f} s later"
@@ -190,7 +190,7 @@
             continue
         since = timeline.replaced_at(arrival.version)
         if arrival.at > since:
-            since = max(since, timeline.calm_since(call.node, arrival.at))
+            since = max(since, timeline.unimpaired_since(call.node, arrival.at))
             yield call, arrival.version, arrival.at - since
 
 
@@ -207,7 +207,7 @@
     version_s: float
 
 
-def latest(calls, engines, timeline):
+def max_lateness(calls, engines, timeline):
     """Return how close a history comes to the bounds that are checked."""
     known = {call.request_id: call for call in calls}
     drain_s = [s for e in engines for _, s in _after_leaving(e, known, timeline)]
--- a/features/soak/proxy.py
+++ b/features/soak/proxy.py
@@ -9,7 +9,7 @@
 CHUNK_BYTES = 65_536
 
 
-class Harm(enum.Enum):
+class ProxyFault(enum.Enum):
     """What a proxy does to bytes and connections."""
 
     NONE = enum.auto()
@@ -19,7 +19,7 @@
     SILENCE = enum.auto()
 
 
-class HarmfulProxy:
+class FaultProxy:
     """Passes connections on to a target, as long as nothing else is asked of it.
 
     Attributes:
@@ -31,7 +31,7 @@
         self.address = address
         self.target = target
         self.delay_s = delay_s
-        self.harm = Harm.NONE
+        self.fault = ProxyFault.NONE
         self._server = None
         self._tasks = set()
 
@@ -64,12 +64,14 @@
 
     async def _pump(self, source, target, answers):
         while data := await source.read(CHUNK_BYTES):
-            if self.harm is Harm.DELAY:
+            if self.fault is ProxyFault.DELAY:
                 await asyncio.sleep(self.delay_s)
-            if self.harm is Harm.RESET:
+            if self.fault is ProxyFault.RESET:
                 reset(target)
                 return
-            lost = self.harm is Harm.SILENCE or (self.harm is Harm.DROP_ANSWERS and answers)
+            lost = self.fault is ProxyFault.SILENCE or (
+                self.fault is ProxyFault.DROP_ANSWERS and answers
+            )
             if not lost:
                 target.write(data)
                 await target.drain()
--- a/features/soak/run.py
+++ b/features/soak/run.py
@@ -25,17 +25,17 @@
 
 import aiohttp
 
-from features.soak.deadly import DeadlyCallers, check_deadly, ends_under
+from features.soak.deadly import DeadlyCallers, check_deadly, crash_times
 from features.soak.engine_limits import EngineLimits, check_limits
-from features.soak.engine_words import EngineWords, check_words
+from features.soak.engine_words import EngineAnnouncements, check_announcements
 from features.soak.faults import FaultInjector
 from features.soak.fleet import Fleet
 from features.soak.hard_load import HardLoad
-from features.soak.history import Bounds, Call, check, latest
-from features.soak.sleeps import Sleeps
-from features.soak.store_returns import StoreReturns
+from features.soak.history import Bounds, Call, check, max_lateness
+from features.soak.sleeps import MachineSleeps
+from features.soak.store_returns import StoreRestores
 from features.standin.deployment import HOST, ROOT, prompt_headers
-from features.standin.earlier_build import tree_of
+from features.standin.earlier_build import extract_tree
 
 NODES = 6
 CALLERS = 12
@@ -85,20 +85,20 @@
         self._deadly = DeadlyCallers(seed) if modes.deadly else None
         self._deadly_bodies = self._deadly.bodies() if modes.deadly else frozenset()
         self.builds = Counter()
-        self._trees = [ROOT, tree_of(earlier, directory)] if modes.builds else [ROOT]
+        self._trees = [ROOT, extract_tree(earlier, directory)] if modes.builds else [ROOT]
         self._build_draw = random.Random(f"{seed}/builds")
         self.fleet = Fleet(
             directory, nodes, self._deadly_bodies, modes.sleeps, modes.hard, self._draw_root
         )
         if modes.builds:
             self.fleet.store.era = "1"
-        self._sleeps = Sleeps(self.fleet, seed) if modes.sleeps else None
+        self._sleeps = MachineSleeps(self.fleet, seed) if modes.sleeps else None
         self._injector = FaultInjector(self.fleet, seed)
         self.calls = []
         self.load = HardLoad(self.fleet, seed, self._call, self.calls) if modes.hard else None
-        self.words = EngineWords(self.fleet, seed) if modes.words else None
+        self.words = EngineAnnouncements(self.fleet, seed) if modes.words else None
         self.limits = EngineLimits(self.fleet, seed) if modes.limits else None
-        self.returns = StoreReturns(self.fleet, seed) if modes.returns else None
+        self.returns = StoreRestores(self.fleet, seed) if modes.returns else None
         self._seconds = seconds
         self._seed = seed
         self._random = random.Random(f"{seed}/calls")
@@ -118,13 +118,13 @@
                 deadly = self._deadly.run(self._call_deadly, lambda: self._over)
                 callers.append(asyncio.ensure_future(deadly))
             await asyncio.gather(*self._faults())
-            await self.fleet.heal()
+            await self.fleet.clear_faults()
             alive = await self._all_serve()
             self._over = True
             await asyncio.gather(*callers)
             await self.fleet.stop_retired()
             found = check(*self._history(), BOUNDS)
-            found += check_words(*self._history())
+            found += check_announcements(*self._history())
             found += check_limits(*self._history())
             return [*found, *check_deadly(*self._history(), self._deadly_bodies)], alive
 
@@ -134,7 +134,7 @@
         return root
 
     def _faults(self):
-        yield self._injector.harm_for(self._seconds)
+        yield self._injector.inject_for(self._seconds)
         if self._sleeps is not None:
             yield self._sleeps.run_for(self._seconds)
         if self.load is not None:
@@ -150,9 +150,9 @@
         """Return what came up beside the faults, or None for what did not."""
         return self.load, self.words, self.limits, self.returns
 
-    def latest(self):
+    def max_lateness(self):
         """Return the latest arrivals after leavings and namings."""
-        return latest(*self._history())
+        return max_lateness(*self._history())
 
     def keep_logs(self, found):
         """Copy the nodes' logs, and what happened, to a place of their own; return it."""
@@ -177,7 +177,7 @@
     def ends(self):
         """Return how many engines ended under each deadly request."""
         engines = self.fleet.all_engines()
-        return {body.decode(): len(ends_under(body, engines)) for body in self._deadly_bodies}
+        return {body.decode(): len(crash_times(body, engines)) for body in self._deadly_bodies}
 
     async def _call(self):
         node = self._random.choice(self.fleet.nodes)
@@ -288,13 +288,13 @@
         print(
             f"seed {seed}: {len(soak.calls)} requests, {served} served, "
             f"{len(soak.fleet.timeline.faults)} faults, {len(found)} violations, "
-            f"all nodes serve again: {alive}, {soak.latest()}, ended under requests: {soak.ends()}"
+            f"all nodes serve again: {alive}, {soak.max_lateness()}, ended under requests: {soak.ends()}"
             + (f", builds: {dict(soak.builds)}" if modes.builds else "")
             + "".join(f", {part.counts}" for part in soak.parts() if part),
             flush=True,
         )
-        for promise, count in Counter(violation.promise for violation in found).items():
-            first = next(violation for violation in found if violation.promise == promise)
+        for guarantee, count in Counter(violation.guarantee for violation in found).items():
+            first = next(violation for violation in found if violation.guarantee == guarantee)
             print(f"  {count} times: {first}")
         if found or not alive:
             print(f"  logs in {soak.keep_logs(found)}")
--- a/features/soak/sleeps.py
+++ b/features/soak/sleeps.py
@@ -11,7 +11,7 @@
 SLEEPERS = (1, 1, 1, 2, 3)
 
 
-class Sleeps:
+class MachineSleeps:
     """Lets nodes sleep at random; what is drawn depends on the seed alone."""
 
     def __init__(self, fleet, seed):
@@ -41,7 +41,7 @@
         self._asleep.add(node.name)
         self.count += 1
         process = node.process
-        with self._fleet.timeline.trouble(node.name, stands=True), suppress(ProcessLookupError):
+        with self._fleet.timeline.impairment(node.name, halted=True), suppress(ProcessLookupError):
             node.signal(signal.SIGSTOP)
             await asyncio.sleep(lasts_s)
             # Another fault may have ended the process that slept, or let it go on.
--- a/features/soak/store_returns.py
+++ b/features/soak/store_returns.py
@@ -12,7 +12,7 @@
 WRITTEN_AGAIN_S = (0.0, 0.8)
 
 
-class StoreReturns:
+class StoreRestores:
     """Lets the store come back at random; what is drawn depends on the seed alone."""
 
     def __init__(self, fleet, seed):
@@ -33,7 +33,7 @@
         away_s, age_s = self._random.uniform(*AWAY_S), self._random.uniform(*COPY_AGE_S)
         again_s = self._random.uniform(*WRITTEN_AGAIN_S)
         # As with any trouble of the store: nodes are judged by what they hear once it is over.
-        with self._fleet.timeline.trouble():
+        with self._fleet.timeline.impairment():
             fault, store.fault = store.fault, "reset"
             store.cut_watches()
             await asyncio.sleep(away_s)
@@ -41,4 +41,4 @@
             store.fault = fault if fault != "reset" else ""
             self.counts["return"] += 1
             await asyncio.sleep(again_s)
-            self._fleet.write_again()
+            self._fleet.rewrite_all()
--- a/features/standin/deployment.py
+++ b/features/standin/deployment.py
@@ -212,7 +212,7 @@
     def configure(self, version, **options):
         self.store.put("op/config", configuration(version, **options))
 
-    def name_weights(self, version):
+    def set_weight_version(self, version):
         self.store.put("op/version/model-1", {"Model": "model-1", "Version": version})
 
     async def add_node(self, name, wrapper=(), changes=None, root=ROOT, **options):
@@ -277,7 +277,7 @@
         return [arrival for engine in self.engines.values() for arrival in engine.arrivals]
 
 
-def interrupt(node):
+def terminate(node):
     node.signal(signal.SIGTERM)
 
 
--- a/features/standin/earlier_build.py
+++ b/features/standin/earlier_build.py
@@ -10,7 +10,7 @@
 PARTS = ("liftrill", "platform")
 
 
-def tree_of(commit, directory):
+def extract_tree(commit, directory):
     """Write a commit's tree to a folder and return it, or None where the history lacks it."""
     archived = subprocess.run(
         ["git", "-C", str(ROOT), "archive", commit, *PARTS], capture_output=True, check=False
--- a/features/standin/engine.py
+++ b/features/standin/engine.py
@@ -22,9 +22,9 @@
     Attributes:
         at: when its head arrived (steady clock, seconds).
         version: of the weights on which it began, where it names a model.
-        told_at: when the head of the answer was written, or None.
-        said_leaving: whether the answer said that the engine leaves.
-        rest_s: the rest that the answer asked for, or 0.
+        answered_at: when the head of the answer was written, or None.
+        announced_leaving: whether the answer said that the engine leaves.
+        retry_after_s: the rest that the answer asked for, or 0.
         limit: the requests a second that the answer named, or "".
     """
 
@@ -39,19 +39,19 @@
     ran: bool = False
     finished: bool = False
     cut: bool = False
-    told_at: float | None = None
-    said_leaving: bool = False
-    rest_s: float = 0.0
+    answered_at: float | None = None
+    announced_leaving: bool = False
+    retry_after_s: float = 0.0
     limit: str = ""
 
     def tell(self, headers):
         """Note what an answer says that is about to be written."""
-        self.told_at = time.monotonic()
+        self.answered_at = time.monotonic()
         self.limit = headers.get("Server-Limit", "")
-        self.said_leaving = headers.get("Server-Leaving") == "1"
+        self.announced_leaving = headers.get("Server-Leaving") == "1"
         with suppress(ValueError):
-            rest_s = float(headers.get("Retry-After", 0))
-            self.rest_s = rest_s if 0 < rest_s <= LONGEST_REST_S else 0.0
+            retry_after_s = float(headers.get("Retry-After", 0))
+            self.retry_after_s = retry_after_s if 0 < retry_after_s <= LONGEST_REST_S else 0.0
 
 
 # An engine that ends under a request does so this long after it has begun (own choice).
@@ -75,16 +75,16 @@
         fault: applied to the next request: "shed", "shed_without_id", "close", "crossed",
             "extra", "extra_late", "reset_unframed", "torn", "hang", "fail".
         refuses_orders: whether it answers orders as if it were busy.
-        ends_under: the bodies of requests under which it ends.
+        crashes_on: the bodies of requests under which it ends.
         born_unix_ms: when it started, told in its record, or 0 where it is not told.
-        ended: set once it has crashed, with the time in `ended_at`.
-        ended_under: the body of the request under which it ended, or None.
+        ended: set once it has crashed, with the time in `crashed_at`.
+        crashed_on: the body of the request under which it ended, or None.
         event_bytes: by which each event is longer than a short one.
-        leaves_in: in which of its answers it says that it leaves: ANSWERS or some of them.
+        leaving_in: in which of its answers it says that it leaves: ANSWERS or some of them.
         rest: what it says in `Retry-After` to each request, all of which it turns away, or "".
         limit: what it says in `Server-Limit`, or "".
         limit_in: in which of its answers it says that.
-        turned_away: of ten requests, how many it turns away.
+        refused_of_ten: of ten requests, how many it turns away.
         limit_periods: since when, until when and which number it named, where a soak lets it.
     """
 
@@ -100,19 +100,19 @@
     fault_count: int = 1
     refuses_orders: bool = False
     address: str = ""
-    ends_under: frozenset = frozenset()
-    ended_at: float | None = None
-    ended_under: bytes | None = None
+    crashes_on: frozenset = frozenset()
+    crashed_at: float | None = None
+    crashed_on: bytes | None = None
     born_unix_ms: int = 0
-    leaves_in: frozenset = frozenset()
-    rest: str = ""
+    leaving_in: frozenset = frozenset()
+    retry_after: str = ""
     limit: str = ""
     limit_in: frozenset = LIMITED_ANSWERS
-    turned_away: int = 0
+    refused_of_ten: int = 0
     limit_periods: list = field(default_factory=list)
 
     def __post_init__(self):
-        self.ended = asyncio.Event()
+        self.crashed = asyncio.Event()
         self.arrivals = []
         self.reports = []
         self.orders = []
@@ -133,8 +133,8 @@
         await self._runner.cleanup()
 
     async def _end_under(self, body):
-        if not self.ended.is_set():
-            self.ended_under = body
+        if not self.crashed.is_set():
+            self.crashed_on = body
             await self.crash()
 
     async def crash(self):
@@ -144,8 +144,8 @@
         for handler in list(self._server.connections):
             if handler.transport is not None:
                 reset(handler.transport)
-        self.ended_at = time.monotonic()
-        self.ended.set()
+        self.crashed_at = time.monotonic()
+        self.crashed.set()
 
     def record(self, state="ready"):
         models = [{"Name": n, "Version": v, "Adapters": []} for n, v in self.weights.items()]
@@ -199,14 +199,14 @@
         return web.Response(status=421, headers=headers)
 
     def _said(self, answer):
-        leaving = {"Server-Leaving": "1"} if answer in self.leaves_in else {}
+        leaving = {"Server-Leaving": "1"} if answer in self.leaving_in else {}
         limit = {"Server-Limit": self.limit} if self.limit and answer in self.limit_in else {}
         return leaving | limit
 
     def _shed(self, attempt_id):
         headers = {"X-Not-Executed": "1", **self._said("refusal")}
-        if self.rest:
-            headers["Retry-After"] = self.rest
+        if self.retry_after:
+            headers["Retry-After"] = self.retry_after
         if attempt_id:
             headers["X-Attempt-Id"] = attempt_id
         return web.Response(status=503, headers=headers)
@@ -242,8 +242,8 @@
     async def _serve(self, request, arrival):
         fault = self._take_fault()
         # 3 and 10 have no common divisor: those that are turned away are spread over the ten.
-        is_turned_away = 3 * len(self.arrivals) % 10 < self.turned_away
-        if fault in ("shed", "shed_without_id") or self.rest or is_turned_away:
+        is_turned_away = 3 * len(self.arrivals) % 10 < self.refused_of_ten
+        if fault in ("shed", "shed_without_id") or self.retry_after or is_turned_away:
             arrival.refused = True
             answer = self._shed("" if fault == "shed_without_id" else arrival.attempt_id)
             arrival.tell(answer.headers)
@@ -259,7 +259,7 @@
             copies.add(f"{request.headers['X-Kv-Backup']}/{arrival.attempt_id}")
         arrival.version = self.weights.get(model)
         arrival.ran = True
-        if arrival.body in self.ends_under:
+        if arrival.body in self.crashes_on:
             fault = "end"
         headers = {"X-Attempt-Id": arrival.attempt_id, "X-Response-Signature": SIGNATURE}
         if fault in ("close", "hang", "fail", "reset_unframed", "end"):
--- a/features/standin/store.py
+++ b/features/standin/store.py
@@ -24,8 +24,8 @@
 
     Attributes:
         fault: "" or one of "down" (503), "silent" (no answer), "reset".
-        lose_writes: how many writes are done without an answer.
-        refused_callers: addresses of nodes that get 503; a node calls at its own address.
+        unanswered_writes: how many writes are done without an answer.
+        refused_ips: addresses of nodes that get 503; a node calls at its own address.
         era: told in all answers as text, or None where it is not told.
     """
 
@@ -35,18 +35,18 @@
         self.leases = {}
         self.history = []
         self.fault = ""
-        self.lose_writes = 0
+        self.unanswered_writes = 0
         self.calls = []
-        self.refused_callers = set()
+        self.refused_ips = set()
         self.era = None
         self.address = ""
         self.port = 0
-        self._era_before_until = 0.0
+        self._previous_era_until = 0.0
         self._turns = itertools.count()
         self._copies = []
         self._changed = asyncio.Event()
         self._runner = None
-        self._watches_deaf = False
+        self._watches_stalled = False
         self._watching = set()
         self._silent = set()
 
@@ -105,24 +105,24 @@
         for transport in self._watching:
             reset(transport)
 
-    def tell_two_eras(self, until):
+    def alternate_eras(self, until):
         """Tell the era before in every other answer until a time, from the second one on."""
-        self._era_before_until, self._turns = until, itertools.count()
+        self._previous_era_until, self._turns = until, itertools.count()
 
     def forget_history(self):
         """Drop the history and cut the watches."""
         self.history = [(self.revision, None)]
         self._wake()
 
-    def deafen_watches(self):
+    def stall_watches(self):
         """Answer no watch until `cut_watches`; key and range reads go on."""
-        self._watches_deaf = True
+        self._watches_stalled = True
 
     def cut_watches(self):
         """Reset the connections of watches, drop the history and end the watches' deafness."""
         for transport in self._watching:
             reset(transport)
-        self._watches_deaf = False
+        self._watches_stalled = False
         self.forget_history()
 
     def silence_connections(self):
@@ -153,25 +153,25 @@
         if transport in self._silent:
             return await _keep_silent(transport)
         called_at = transport.get_extra_info("sockname")[0]
-        if self.fault == "down" or called_at in self.refused_callers:
-            return web.Response(status=503, headers=self._told_era())
+        if self.fault == "down" or called_at in self.refused_ips:
+            return web.Response(status=503, headers=self._era_headers())
         if self.fault == "silent":
             await asyncio.sleep(30)
         if self.fault == "reset":
             request.transport.abort()
             return web.Response()
         status, body = await self._answer(call, request)
-        if self.lose_writes and call in ("kv-txn", "kv-lease") and status == 200:
-            self.lose_writes -= 1
+        if self.unanswered_writes and call in ("kv-txn", "kv-lease") and status == 200:
+            self.unanswered_writes -= 1
             request.transport.abort()
         if transport in self._silent:
             return await _keep_silent(transport)
-        return web.json_response(body, status=status, headers=self._told_era())
+        return web.json_response(body, status=status, headers=self._era_headers())
 
-    def _told_era(self):
+    def _era_headers(self):
         if self.era is None:
             return {}
-        is_before = time.monotonic() < self._era_before_until and next(self._turns) % 2
+        is_before = time.monotonic() < self._previous_era_until and next(self._turns) % 2
         return {"Store-Era": str(int(self.era) - 1) if is_before else self.era}
 
     async def _answer(self, call, request):
@@ -199,7 +199,7 @@
         after, prefix = int(query["after"]), query["PathPrefix"]
         until = time.monotonic() + int(query["WaitMs"]) / 1000
         while True:
-            if self._watches_deaf:
+            if self._watches_stalled:
                 await self._changed_within(LEASE_CHECK_S)
                 continue
             if self.history and self.history[0][1] is None and after < self.history[0][0]:
--- a/features/steps/build_steps.py
+++ b/features/steps/build_steps.py
@@ -7,8 +7,8 @@
 from behave import given, then, when
 
 from features.soak.run import Modes, Soak
-from features.standin.deployment import ROOT, interrupt
-from features.standin.earlier_build import tree_of
+from features.standin.deployment import ROOT, terminate
+from features.standin.earlier_build import extract_tree
 from liftrill.coordination.range_store import WatchBatch
 from liftrill.coordination.store_mirror import StoreMirror
 from liftrill.coordination.store_position import position
@@ -21,7 +21,7 @@
 
 def tree(context, commit):
     """Return the tree of a commit; skip the scenario where the checkout lacks its history."""
-    found = tree_of(commit, context.directory)
+    found = extract_tree(commit, context.directory)
     if found is None:
         context.scenario.skip(f"the checkout has no commit {commit}")
     return found
@@ -42,7 +42,7 @@
 async def take_place(context, root):
     former = context.deployment.nodes[-1]
     await add_node(context, root)
-    interrupt(former)
+    terminate(former)
     await asyncio.wait_for(former.process.wait(), NODE_ENDS_WITHIN_S)
 
 
@@ -51,13 +51,13 @@
     root = tree(context, commit)
     if root is not None:
         context.run(take_place(context, root))
-        context.deployment.name_weights(version)
+        context.deployment.set_weight_version(version)
 
 
 @when("a node of this build takes the place of the other, and version {version:d} is named")
 def step_back(context, version):
     context.run(take_place(context, ROOT))
-    context.deployment.name_weights(version)
+    context.deployment.set_weight_version(version)
 
 
 @then("all engines have that version within {seconds:g} s")
--- a/features/steps/crash_request_steps.py
+++ b/features/steps/crash_request_steps.py
@@ -61,20 +61,20 @@
     retry_after_s: float | None
 
 
-async def add_engine(play, service="llm", ends_under=frozenset({DEADLY})):
+async def add_engine(play, service="llm", crashes_on=frozenset({DEADLY})):
     options = {"weights": {"model-1": 1}, "events": 12} if service == "llm" else {}
     engine = await play.deployment.add_engine(
-        f"{service}-{next(play.numbers)}", service, ends_under=ends_under, **options
+        f"{service}-{next(play.numbers)}", service, crashes_on=crashes_on, **options
     )
     play.replacing.append(asyncio.ensure_future(replace_when_ended(play, engine)))
     return engine
 
 
 async def replace_when_ended(play, engine):
-    await engine.ended.wait()
+    await engine.crashed.wait()
     play.ended_at[engine.engine_id] = time.monotonic()
     await asyncio.sleep(BACK_AFTER_S)
-    await add_engine(play, engine.service, engine.ends_under)
+    await add_engine(play, engine.service, engine.crashes_on)
     await asyncio.sleep(RECORD_LAPSES_AFTER_S - BACK_AFTER_S)
     play.deployment.store.remove(f"servers/{engine.engine_id}")
 
@@ -88,7 +88,7 @@
     context.play = CrashPlay(deployment)
 
     async def begin():
-        await add_engine(context.play, "desk", ends_under=frozenset())
+        await add_engine(context.play, "desk", crashes_on=frozenset())
         for _ in range(engines):
             await add_engine(context.play)
         deployment.configure(5)
@@ -219,7 +219,7 @@
 
     # One that served the request would clear it of suspicion.
     for engine in context.deployment.engines.values():
-        engine.ends_under = frozenset({DEADLY})
+        engine.crashes_on = frozenset({DEADLY})
     context.run(add())
 
 
@@ -268,7 +268,7 @@
 @when("the store refuses a node that is killed and starts again")
 def step_killed_without_store(context):
     node = context.deployment.nodes[1]
-    context.deployment.store.refused_callers.add(node.ip)
+    context.deployment.store.refused_ips.add(node.ip)
     context.run(restart(context.play, [node]))
 
 
@@ -333,10 +333,10 @@
     code, output = run_command(context, "show", context.deployment.store.address)
     assert code == 0 and output.startswith(key.removeprefix(QUARANTINE_KEY_PREFIX)), output
     engines = context.play.deployment.engines.values()
-    ended = {engine.engine_id for engine in engines if engine.ended_under}
+    crashed = {engine.engine_id for engine in engines if engine.crashed_on}
     listed = re.findall(r"llm-\d+", output)
     assert "route stream, tenant tenant-1" in output, output
-    assert 2 <= len(listed) <= MOST_ENDED and set(listed) <= ended, (output, ended)
+    assert 2 <= len(listed) <= MOST_ENDED and set(listed) <= crashed, (output, crashed)
 
 
 @when("the command releases it")
@@ -389,7 +389,7 @@
 @given("engines that end under no request")
 def step_sound(context):
     for engine in context.deployment.engines.values():
-        engine.ends_under = frozenset()
+        engine.crashes_on = frozenset()
 
 
 @when(
@@ -400,7 +400,7 @@
     play = context.play
 
     async def end_a_third(draw):
-        running = [e for e in play.deployment.engines.values() if not e.ended.is_set()]
+        running = [e for e in play.deployment.engines.values() if not e.crashed.is_set()]
         models = [engine for engine in running if engine.service == "llm"]
         for engine in draw.sample(models, max(1, len(models) // 3)):
             await engine.crash()
--- a/features/steps/engine_limit_process_steps.py
+++ b/features/steps/engine_limit_process_steps.py
@@ -34,7 +34,7 @@
 def step_name_in_refusals(context, share, limit):
     step_name_limit(context, limit)
     for engine in context.limited:
-        engine.turned_away, engine.limit_in = share, frozenset(("refusal",))
+        engine.refused_of_ten, engine.limit_in = share, frozenset(("refusal",))
 
 
 @when("all engines name a limit of {limit} a second in their answers")
@@ -58,9 +58,9 @@
     """Return since when each node has passed on an answer that names a limit."""
     since = {}
     for arrival in engine.arrivals:
-        if arrival.limit and arrival.told_at is not None:
+        if arrival.limit and arrival.answered_at is not None:
             node = arrival.headers[NODE_HEADER]
-            since[node] = min(since.get(node, arrival.told_at), arrival.told_at)
+            since[node] = min(since.get(node, arrival.answered_at), arrival.answered_at)
     return since
 
 
--- a/features/steps/engine_send_steps.py
+++ b/features/steps/engine_send_steps.py
@@ -140,7 +140,7 @@
 @given("an engine that says that it leaves in the {answer} alone")
 def step_speaks(context, answer):
     engine = speaking_engine(context, answer)
-    engine.leaves_in = frozenset((context.speaks_in,))
+    engine.leaving_in = frozenset((context.speaks_in,))
 
 
 @given("an engine that names a limit of {limit} a second in the {answer} alone")
--- a/features/steps/engine_word_process_steps.py
+++ b/features/steps/engine_word_process_steps.py
@@ -92,7 +92,7 @@
 async def leave(context, seconds):
     context.speaking = busiest_of_each(context)
     for engine in context.speaking:
-        engine.leaves_in = ANSWERS
+        engine.leaving_in = ANSWERS
     context.said_at = time.monotonic()
     await asyncio.sleep(1.0)
     for engine in context.speaking:
@@ -116,7 +116,7 @@
 
 def rest(context):
     for engine in context.speaking:
-        engine.rest = str(context.rest_s)
+        engine.retry_after = str(context.rest_s)
     context.said_at = time.monotonic()
 
 
--- a/features/steps/gateway_relay_steps.py
+++ b/features/steps/gateway_relay_steps.py
@@ -8,7 +8,7 @@
 from behave import given, then, when
 
 from features.gateway_support import route_rule
-from features.soak.proxy import Harm, HarmfulProxy
+from features.soak.proxy import FaultProxy, ProxyFault
 from liftrill import constants
 from liftrill.bench.launcher import free_ports
 from liftrill.coordination.change_log import ChangeLog
@@ -446,7 +446,7 @@
     async def follow():
         context.follower = Follower()
         address = f"127.0.0.1:{free_ports(1)[0]}"
-        context.proxy = HarmfulProxy(address, context.reader.address)
+        context.proxy = FaultProxy(address, context.reader.address)
         await context.proxy.start()
         context.follower.follow(context.proxy.address)
         await eventually(lambda: context.follower.answers)
@@ -516,7 +516,7 @@
 
 
 def fall_silent(context):
-    context.proxy.harm = Harm.SILENCE
+    context.proxy.fault = ProxyFault.SILENCE
 
 
 def lose_proof(context):
--- a/features/steps/platform_relay_steps.py
+++ b/features/steps/platform_relay_steps.py
@@ -97,12 +97,12 @@
 
 @when("the store refuses both readers")
 def step_refuse(context):
-    context.deployment.store.refused_callers = {node.ip for node in context.readers}
+    context.deployment.store.refused_ips = {node.ip for node in context.readers}
 
 
 @when("the store refuses one of the readers")
 def step_refuse_one(context):
-    context.deployment.store.refused_callers = {context.readers[0].ip}
+    context.deployment.store.refused_ips = {context.readers[0].ip}
 
 
 @when("the store is silent for all")
--- a/features/steps/platform_steps.py
+++ b/features/steps/platform_steps.py
@@ -12,7 +12,7 @@
 from behave import given, then, when
 
 from features.standin import sleeper
-from features.standin.deployment import KEY, ROUTES, Deployment, interrupt
+from features.standin.deployment import KEY, ROUTES, Deployment, terminate
 from features.standin.engine import SIGNATURE, StandInEngine
 
 FORGED = {
@@ -543,7 +543,7 @@
     async def stop():
         context.task = asyncio.ensure_future(deployment.call(node, "/stream/x", model="model-1"))
         await asyncio.sleep(0.3)
-        interrupt(node)
+        terminate(node)
 
     context.run(stop())
 
@@ -600,7 +600,7 @@
 
 @when("version {version:d} of the weights is named")
 def step_name_weights(context, version):
-    context.deployment.name_weights(version)
+    context.deployment.set_weight_version(version)
 
 
 @then("within {seconds:g} s every model engine has version {version:d}")
@@ -621,7 +621,7 @@
 @when("version {version:d} of the weights is named and the holder is killed after its first order")
 def step_kill_holder(context, version):
     deployment = context.deployment
-    deployment.name_weights(version)
+    deployment.set_weight_version(version)
 
     async def first_order():
         return next((o for e in engines_of(context, "llm") for o in e.orders), None)
--- a/features/steps/soak_steps.py
+++ b/features/steps/soak_steps.py
@@ -7,10 +7,10 @@
 
 from features.soak.deadly import check_deadly
 from features.soak.engine_limits import check_limits
-from features.soak.engine_words import check_words
+from features.soak.engine_words import check_announcements
 from features.soak.history import Bounds, Call, check
 from features.soak.run import Modes, Soak
-from features.soak.timeline import SILENCE_RECOVERY_S, Stop, Timeline, Trouble
+from features.soak.timeline import SILENCE_RECOVERY_S, Impairment, Stop, Timeline
 
 STREAM = b"".join(b"id: %d\ndata: token %d\n\n" % (n, n) for n in range(1, 5))
 GOOD_HEADERS = {"X-Tenant": "tenant-1"}
@@ -91,13 +91,13 @@
     return [call("r1")], [engine("e1", arrival("r1", at=SINCE + late_s, **changes))]
 
 
-def trouble(until_s, node="n1", lasting_s=1.0, **changes):
+def impairment(until_s, node="n1", lasting_s=1.0, **changes):
     """Return a trouble that ended some time after the news."""
-    return Trouble(node, SINCE + until_s - lasting_s, SINCE + until_s, **changes)
+    return Impairment(node, SINCE + until_s - lasting_s, SINCE + until_s, **changes)
 
 
 def silence(at_s):
-    return trouble(at_s, "", 0.0, recovery_s=SILENCE_RECOVERY_S)
+    return impairment(at_s, "", 0.0, recovery_s=SILENCE_RECOVERY_S)
 
 
 # What is late, and the troubles meanwhile.
@@ -105,15 +105,15 @@
     "a request 2.1 s after its engine left": (late(2.1), []),
     "a request that did not run 2.1 s after its engine left": (late(2.1, ran=False), []),
     "a request 1.9 s after its engine left": (late(1.9), []),
-    "the same 9 s after, 2.9 s after its node's trouble": (late(9), [trouble(6.1)]),
-    "the same 9 s after, 3.1 s after its node's trouble": (late(9), [trouble(5.9)]),
-    "the same 9 s after, within its node's trouble": (late(9), [trouble(9.5)]),
-    "the same 9 s after, before its node's trouble": (late(9), [trouble(10.5)]),
+    "the same 9 s after, 2.9 s after its node's trouble": (late(9), [impairment(6.1)]),
+    "the same 9 s after, 3.1 s after its node's trouble": (late(9), [impairment(5.9)]),
+    "the same 9 s after, within its node's trouble": (late(9), [impairment(9.5)]),
+    "the same 9 s after, before its node's trouble": (late(9), [impairment(10.5)]),
     "the same 9 s after, 2.9 s after another node's trouble": (
         late(9),
-        [trouble(6.1, "n2")],
+        [impairment(6.1, "n2")],
     ),
-    "the same 9 s after, 2.9 s after the store's trouble": (late(9), [trouble(6.1, "")]),
+    "the same 9 s after, 2.9 s after the store's trouble": (late(9), [impairment(6.1, "")]),
     "the same 9 s after, 3.4 s after connections went silent": (late(9), [silence(5.6)]),
     "the same 9 s after, 3.6 s after connections went silent": (late(9), [silence(5.4)]),
     "a request on version 1 8.1 s after version 2": (late(8.1, version=1), []),
@@ -129,15 +129,15 @@
     ),
     "a request on version 1 12 s after, 7.9 s after its node's trouble": (
         late(12, version=1),
-        [trouble(4.1)],
+        [impairment(4.1)],
     ),
     "a request on version 1 12 s after, 8.1 s after its node's trouble": (
         late(12, version=1),
-        [trouble(3.9)],
+        [impairment(3.9)],
     ),
     "a request on version 1 12 s after, 7.9 s after another node's trouble": (
         late(12, version=1),
-        [trouble(4.1, "n2")],
+        [impairment(4.1, "n2")],
     ),
     "a request on version 1 12 s after, 7.9 s after connections went silent": (
         late(12, version=1),
@@ -150,9 +150,9 @@
 def step_stop(context, sent, what):
     timeline = Timeline()
     timeline.stops.append(Stop("n1", SINCE, SINCE + 3.0))
-    timeline.troubles.append(Trouble("n1", SINCE, SINCE + 4.0, stands=True))
+    timeline.impairments.append(Impairment("n1", SINCE, SINCE + 4.0, halted=True))
     if "slept" in what:
-        timeline.troubles.append(Trouble("n1", SINCE + 1.0, SINCE + 1.5, stands=True))
+        timeline.impairments.append(Impairment("n1", SINCE + 1.0, SINCE + 1.5, halted=True))
     status = 200 if what == "was answered" else None
     known = call("r1", "safe", status, sent_at=SINCE + 3.0 - sent, complete=status is not None)
     calls = [replace(known, waited="did not wait" not in what)]
@@ -161,7 +161,7 @@
 
 @then("the check finds the stop {judged}")
 def step_stop_judged(context, judged):
-    promises = {violation.promise for violation in context.found}
+    promises = {violation.guarantee for violation in context.found}
     assert promises == ({"a node that stops answers"} if judged == "broken" else set()), promises
 
 
@@ -175,25 +175,25 @@
 
 @given("a history with {what}")
 def step_late(context, what):
-    (calls, engines), troubles = LATE[what]
+    (calls, engines), impairments = LATE[what]
     is_on_weights = engines[0].arrivals[0].version is not None
     timeline = Timeline(
         left_at={} if is_on_weights else {"e1": SINCE},
-        named_at={1: 0.0, 2: SINCE} if is_on_weights else {},
-        troubles=troubles,
+        version_set_at={1: 0.0, 2: SINCE} if is_on_weights else {},
+        impairments=impairments,
     )
     context.found = check(calls, engines, timeline, BOUNDS)
 
 
 @then("the check finds it {judged}")
 def step_judged(context, judged):
-    found = {violation.promise for violation in context.found}
+    found = {violation.guarantee for violation in context.found}
     assert found == JUDGEMENTS[judged], context.found
 
 
 @then('the check finds "{promise}" broken, and nothing in the history without it')
-def step_found(context, promise):
-    assert {violation.promise for violation in context.found} == {promise}, context.found
+def step_found(context, guarantee):
+    assert {violation.guarantee for violation in context.found} == {guarantee}, context.found
     assert context.found_in_good == [], context.found_in_good
 
 
@@ -254,7 +254,7 @@
 @given("three engines ended under a request, {what}")
 def step_deadly_history(context, what):
     ended = [
-        SimpleNamespace(ended_at=float(at), ended_under=DEADLY, arrivals=[]) for at in (1, 2, 3)
+        SimpleNamespace(crashed_at=float(at), crashed_on=DEADLY, arrivals=[]) for at in (1, 2, 3)
     ]
     late_s = 3.1 if "3.1 s" in what else 2.9
     sends = int(what.split(" times")[0].split()[-1]) if " times" in what else 0
@@ -268,14 +268,14 @@
         body = b"another" if "another" in what else DEADLY
         refusal = b'{"Error": "kept", "Code": 2013}'
         calls.append(Call("refused", "stream", "key", 9.0, 503, refusal, True, "n1", body))
-    sound = SimpleNamespace(ended_at=None, ended_under=None, arrivals=arrivals)
+    sound = SimpleNamespace(crashed_at=None, crashed_on=None, arrivals=arrivals)
     context.found = list(check_deadly(calls, [*ended, sound], Timeline(), {DEADLY}))
 
 
 @then('the check of such requests finds "{found}"')
 def step_deadly_found(context, found):
     expected = set() if found == "nothing" else {found}
-    assert {violation.promise for violation in context.found} == expected, context.found
+    assert {violation.guarantee for violation in context.found} == expected, context.found
 
 
 # What engines told a node 100 s after the beginning, what it sent them later, and its troubles.
@@ -285,53 +285,56 @@
 def told(at=TOLD_AT, **says):
     """Return a request whose answer says something."""
     fields = {"said_leaving": False, "rest_s": 0.0, "cut": False, **says}
-    return SimpleNamespace(attempt_id="r1", at=at, told_at=at, **fields)
+    return SimpleNamespace(attempt_id="r1", at=at, answered_at=at, **fields)
 
 
 WORDS = {
-    "a request 2.1 s after its engine's word": ([told(said_leaving=True), told(102.1)], []),
-    "a request 1.9 s after its engine's word": ([told(said_leaving=True), told(101.9)], []),
+    "a request 2.1 s after its engine's word": ([told(announced_leaving=True), told(102.1)], []),
+    "a request 1.9 s after its engine's word": ([told(announced_leaving=True), told(101.9)], []),
     "a request after the word of a lost answer": (
-        [told(said_leaving=True, cut=True), told(109)],
+        [told(announced_leaving=True, cut=True), told(109)],
         [],
     ),
     "a request 9 s after the word, its node killed between": (
-        [told(said_leaving=True), told(109)],
-        [Trouble("n1", 103.0, 104.0, stands=True)],
+        [told(announced_leaving=True), told(109)],
+        [Impairment("n1", 103.0, 104.0, halted=True)],
     ),
     "a request 9 s after the word, its node cut off between": (
-        [told(said_leaving=True), told(109)],
-        [Trouble("n1", 103.0, 104.0)],
+        [told(announced_leaving=True), told(109)],
+        [Impairment("n1", 103.0, 104.0)],
     ),
     "three requests within a rest": (
-        [told(rest_s=3.0), told(101), told(102), told(102.9)],
+        [told(retry_after_s=3.0), told(101), told(102), told(102.9)],
+        [],
+    ),
+    "two requests within a rest": (
+        [told(retry_after_s=3.0), told(101), told(102), told(103.1)],
         [],
     ),
-    "two requests within a rest": ([told(rest_s=3.0), told(101), told(102), told(103.1)], []),
     "three requests within a rest, its node cut off": (
-        [told(rest_s=3.0), told(101), told(102), told(102.9)],
-        [Trouble("n1", 101.0, 101.5)],
+        [told(retry_after_s=3.0), told(101), told(102), told(102.9)],
+        [Impairment("n1", 101.0, 101.5)],
     ),
 }
 
 
 @given("engines that spoke, and {what}")
 def step_words_history(context, what):
-    arrivals, troubles = WORDS[what]
+    arrivals, impairments = WORDS[what]
     spoke = SimpleNamespace(engine_id="e1", arrivals=arrivals)
     calls = [call("r1")]
-    context.found = list(check_words(calls, [spoke], Timeline(troubles=troubles)))
+    context.found = list(check_announcements(calls, [spoke], Timeline(impairments=impairments)))
 
 
 @then('the check of their words finds "{found}"')
 def step_words_found(context, found):
     expected = set() if found == "nothing" else {found}
-    assert {violation.promise for violation in context.found} == expected, context.found
+    assert {violation.guarantee for violation in context.found} == expected, context.found
 
 
 def limited(node, at, limit="1"):
     arrival = told(at)
-    arrival.attempt_id, arrival.limit, arrival.told_at = node, limit, at + 0.01
+    arrival.attempt_id, arrival.limit, arrival.answered_at = node, limit, at + 0.01
     return arrival
 
 
@@ -348,24 +351,24 @@
     "12 requests of a node that was not told": (named_and(12, node="n3")[:14], []),
     "12 requests, its node killed between": (
         named_and(12),
-        [Trouble("n1", 102.0, 103.0, stands=True)],
+        [Impairment("n1", 102.0, 103.0, halted=True)],
     ),
     "12 requests, another node killed between": (
         named_and(12),
-        [Trouble("n2", 102.0, 103.0, stands=True)],
+        [Impairment("n2", 102.0, 103.0, halted=True)],
     ),
 }
 
 
 @given("an engine that named a limit of 1 a second, and then got {what}")
 def step_limit_history(context, what):
-    arrivals, troubles = LIMITS[what]
+    arrivals, impairments = LIMITS[what]
     if "not told" in what:
         for arrival in arrivals[2:]:
             arrival.limit = ""
     spoke = SimpleNamespace(engine_id="e1", arrivals=arrivals, limit_periods=[(99.0, 120.0, "1")])
     calls = [replace(call(node), node=node) for node in ("n1", "n2", "n3")]
-    context.found = list(check_limits(calls, [spoke], Timeline(troubles=troubles)))
+    context.found = list(check_limits(calls, [spoke], Timeline(impairments=impairments)))
 
 
 @then("the check of limits finds it {judged}")
--- a/features/steps/store_era_overlap_steps.py
+++ b/features/steps/store_era_overlap_steps.py
@@ -50,7 +50,7 @@
 
 
 async def answer_two_later(deployment):
-    refused = deployment.store.refused_callers
+    refused = deployment.store.refused_ips
     refused.update(node.ip for node in deployment.nodes[:2])
     await asyncio.sleep(ANSWERED_LATER_S)
     refused.clear()
--- a/features/steps/store_era_steps.py
+++ b/features/steps/store_era_steps.py
@@ -101,14 +101,14 @@
     deployment = context.deployment
     await asyncio.sleep(0.6)
     write_what_will_be_lost(deployment.store)
-    deployment.name_weights(2)
+    deployment.set_weight_version(2)
     await asyncio.sleep(1.0)
     for version in (3, 4):
         await restore(deployment.store, 0.5, 1.8)
         for engine in deployment.engines.values():
             deployment.record(engine)
         deployment.configure(6)
-        deployment.name_weights(version)
+        deployment.set_weight_version(version)
         await asyncio.sleep(seconds / 2 - 0.5)
     context.written_at = time.monotonic()
     context.loaded_at = await loaded(context, 4)
@@ -287,7 +287,7 @@
     for engine in deployment.engines.values():
         deployment.record(engine)
     context.written_at = time.monotonic()
-    store.tell_two_eras(context.written_at + seconds)
+    store.alternate_eras(context.written_at + seconds)
     context.key_at = await key_in_force(context, "key-3")
     # The key may come with the first answer: those of the era before follow it.
     await asyncio.sleep(seconds - context.key_at)
--- a/features/steps/store_gap_steps.py
+++ b/features/steps/store_gap_steps.py
@@ -75,14 +75,14 @@
     context.acknowledged_at = time.monotonic()
 
 
-def name_weights(context):
-    context.deployment.name_weights(2)
+def set_weight_version(context):
+    context.deployment.set_weight_version(2)
     context.acknowledged_at = time.monotonic()
 
 
 async def gap(context, seconds, happening):
     store = context.deployment.store
-    store.deafen_watches()
+    store.stall_watches()
     await asyncio.sleep(0.05)
     happening(context)
     await asyncio.sleep(seconds - 0.05)
@@ -99,7 +99,7 @@
 
 @when("the watches hear nothing for {seconds:g} s, in which new weights are named, and are cut")
 def step_gap_naming(context, seconds):
-    context.run(gap(context, seconds, name_weights))
+    context.run(gap(context, seconds, set_weight_version))
 
 
 @when("the watches hear nothing for {seconds:g} s, in which an engine's record goes, and are cut")
@@ -133,7 +133,7 @@
 
 @when("the watches go deaf, and an engine says that it leaves")
 def step_deaf(context):
-    context.deployment.store.deafen_watches()
+    context.deployment.store.stall_watches()
     leave(context)
 
 
--- a/features/store_drill.py
+++ b/features/store_drill.py
@@ -20,7 +20,7 @@
     context.left = [deployment.engines[name] for name in ("desk-0", "desk-1")]
     deployment.record(context.left[0], "draining")
     deployment.store.remove("servers/desk-1")
-    deployment.name_weights(2)
+    deployment.set_weight_version(2)
     deployment.configure(6, keys=("key-of-tenant-1", "key-2"))
     await asyncio.sleep(age - away - 1.0)
     beside = asyncio.ensure_future(trouble(deployment)) if trouble else None
@@ -49,13 +49,13 @@
         deployment.store.put(f"op/other/{number}", {})
     await asyncio.sleep(0.0 if others else WRITTEN_AGAIN_AFTER_S)
     deployment.configure(6, keys=("key-of-tenant-1", "key-2"))
-    deployment.name_weights(2)
+    deployment.set_weight_version(2)
     for engine in deployment.engines.values():
         if engine not in context.left:
             deployment.record(engine)
     deployment.record(context.left[0], "draining")
     deployment.configure(7, keys=("key-of-tenant-1", "key-2", "key-3"))
-    deployment.name_weights(3)
+    deployment.set_weight_version(3)
     context.written_at = time.monotonic()
     context.key_at = await key_in_force(context, "key-3")
     context.loaded_at = await loaded(context, 3)
