--- a/features/soak/deadly.py
+++ b/features/soak/deadly.py
@@ -19,21 +19,21 @@
 
 
 @dataclass(frozen=True)
-class DeadlyRequest:
+class CrashRequest:
     """One request under which engines end."""
 
     body: bytes
     route: str
 
 
-class DeadlyCallers:
+class CrashRequestCallers:
     """Sends deadly requests to random nodes until told to stop; engines end under them."""
 
     def __init__(self, seed):
         self._random = random.Random(f"{seed}/deadly")
         count = self._random.randint(1, MOST_DEADLY)
         self.requests = [
-            DeadlyRequest(f"deadly {number}".encode(), self._random.choice(ROUTES))
+            CrashRequest(f"deadly {number}".encode(), self._random.choice(ROUTES))
             for number in range(count)
         ]
 
@@ -54,7 +54,7 @@
         await asyncio.gather(*calls)
 
 
-def check_deadly(calls, engines, timeline, bodies):
+def check_crash_requests(calls, engines, timeline, bodies):
     """Return the sends of deadly requests that came too often, and others kept from engines."""
     known = {call.request_id: call for call in calls}
     for body in sorted(bodies):
--- a/features/soak/engine_words.py
+++ b/features/soak/engine_words.py
@@ -5,7 +5,7 @@
 import time
 
 from features.soak.history import Violation
-from features.standin.engine import ANSWERS
+from features.standin.engine import ANSWER_KINDS
 
 # Between two words (own choice).
 SPACING_S = (0.5, 2.0)
@@ -43,7 +43,7 @@
 
     async def _leave(self, draw):
         engine = draw.choice(self._fleet.engines())
-        engine.leaving_in = ANSWERS
+        engine.leaving_in = ANSWER_KINDS
         if draw.random() < 0.5:
             await self._fleet.hide_record(engine, draw.uniform(*RECORD_GONE_S))
         await asyncio.sleep(draw.uniform(*RECORD_LATER_S))
--- a/features/soak/run.py
+++ b/features/soak/run.py
@@ -25,7 +25,7 @@
 
 import aiohttp
 
-from features.soak.deadly import DeadlyCallers, check_deadly, crash_times
+from features.soak.deadly import CrashRequestCallers, check_crash_requests, crash_times
 from features.soak.engine_limits import EngineLimits, check_limits
 from features.soak.engine_words import EngineAnnouncements, check_announcements
 from features.soak.faults import FaultInjector
@@ -82,7 +82,7 @@
     """One deployment under faults, and its history."""
 
     def __init__(self, seed, seconds, directory, nodes=NODES, modes=Modes(), earlier=EARLIER_BUILD):
-        self._deadly = DeadlyCallers(seed) if modes.deadly else None
+        self._deadly = CrashRequestCallers(seed) if modes.deadly else None
         self._deadly_bodies = self._deadly.bodies() if modes.deadly else frozenset()
         self.builds = Counter()
         self._trees = [ROOT, extract_tree(earlier, directory)] if modes.builds else [ROOT]
@@ -95,10 +95,10 @@
         self._sleeps = MachineSleeps(self.fleet, seed) if modes.sleeps else None
         self._injector = FaultInjector(self.fleet, seed)
         self.calls = []
-        self.load = HardLoad(self.fleet, seed, self._call, self.calls) if modes.hard else None
-        self.words = EngineAnnouncements(self.fleet, seed) if modes.words else None
+        self.hard_load = HardLoad(self.fleet, seed, self._call, self.calls) if modes.hard else None
+        self.announcements = EngineAnnouncements(self.fleet, seed) if modes.words else None
         self.limits = EngineLimits(self.fleet, seed) if modes.limits else None
-        self.returns = StoreRestores(self.fleet, seed) if modes.returns else None
+        self.restores = StoreRestores(self.fleet, seed) if modes.returns else None
         self._seconds = seconds
         self._seed = seed
         self._random = random.Random(f"{seed}/calls")
@@ -126,7 +126,7 @@
             found = check(*self._history(), BOUNDS)
             found += check_announcements(*self._history())
             found += check_limits(*self._history())
-            return [*found, *check_deadly(*self._history(), self._deadly_bodies)], alive
+            return [*found, *check_crash_requests(*self._history(), self._deadly_bodies)], alive
 
     def _draw_root(self):
         root = self._build_draw.choice(self._trees)
@@ -137,18 +137,18 @@
         yield self._injector.inject_for(self._seconds)
         if self._sleeps is not None:
             yield self._sleeps.run_for(self._seconds)
-        if self.load is not None:
-            yield self.load.run_for(self._seconds)
-        if self.words is not None:
-            yield self.words.run_for(self._seconds)
+        if self.hard_load is not None:
+            yield self.hard_load.run_for(self._seconds)
+        if self.announcements is not None:
+            yield self.announcements.run_for(self._seconds)
         if self.limits is not None:
             yield self.limits.run_for(self._seconds)
-        if self.returns is not None:
-            yield self.returns.run_for(self._seconds)
+        if self.restores is not None:
+            yield self.restores.run_for(self._seconds)
 
     def parts(self):
         """Return what came up beside the faults, or None for what did not."""
-        return self.load, self.words, self.limits, self.returns
+        return self.hard_load, self.announcements, self.limits, self.restores
 
     def max_lateness(self):
         """Return the latest arrivals after leavings and namings."""
--- a/features/standin/engine.py
+++ b/features/standin/engine.py
@@ -59,7 +59,7 @@
 
 
 # The kinds of answers in which an engine may say that it leaves.
-ANSWERS = frozenset(("whole", "head", "refusal", "report", "order"))
+ANSWER_KINDS = frozenset(("whole", "head", "refusal", "report", "order"))
 # Those of them that answer a caller's request.
 LIMITED_ANSWERS = frozenset(("whole", "head", "refusal"))
 
--- a/features/standin/sleeper.py
+++ b/features/standin/sleeper.py
@@ -18,7 +18,7 @@
 real_monotonic = time.monotonic
 
 
-def steady():
+def adjusted_monotonic():
     """Return the steady clock less the time slept."""
     return real_monotonic() - slept_s
 
@@ -31,7 +31,7 @@
 
 def main():
     Path(os.environ[SLEPT_FILE]).write_text("0")
-    time.monotonic = steady
+    time.monotonic = adjusted_monotonic
     signal.signal(signal.SIGUSR1, wake)
     program = sys.argv[1]
     sys.path.insert(0, str(Path(program).parent))
--- a/features/steps/engine_word_process_steps.py
+++ b/features/steps/engine_word_process_steps.py
@@ -10,7 +10,7 @@
 from behave import given, then, when
 
 from features.standin.deployment import prompt_headers
-from features.standin.engine import ANSWERS
+from features.standin.engine import ANSWER_KINDS
 
 CALL_SPACING_S = 0.02
 # A header that nodes pass on: it tells an engine which node a request came through.
@@ -92,7 +92,7 @@
 async def leave(context, seconds):
     context.speaking = busiest_of_each(context)
     for engine in context.speaking:
-        engine.leaving_in = ANSWERS
+        engine.leaving_in = ANSWER_KINDS
     context.said_at = time.monotonic()
     await asyncio.sleep(1.0)
     for engine in context.speaking:
--- a/features/steps/soak_steps.py
+++ b/features/steps/soak_steps.py
@@ -5,7 +5,7 @@
 
 from behave import given, then, when
 
-from features.soak.deadly import check_deadly
+from features.soak.deadly import check_crash_requests
 from features.soak.engine_limits import check_limits
 from features.soak.engine_words import check_announcements
 from features.soak.history import Bounds, Call, check
@@ -224,17 +224,19 @@
 
 @then("the store came back {count:d} times at least")
 def step_returns(context, count):
-    assert context.soak.returns.counts["return"] >= count, context.soak.returns.counts
+    assert context.soak.restores.counts["return"] >= count, context.soak.restores.counts
 
 
 @then("engines said that they leave, and asked for rest")
 def step_words_kinds(context):
-    assert set(context.soak.words.counts) == {"leave", "rest"}, context.soak.words.counts
+    assert set(context.soak.announcements.counts) == {"leave", "rest"}, (
+        context.soak.announcements.counts
+    )
 
 
 @then("each trouble of hard load came up")
 def step_hard_kinds(context):
-    assert len(context.soak.load.counts) == 5, context.soak.load.counts
+    assert len(context.soak.hard_load.counts) == 5, context.soak.hard_load.counts
 
 
 @then("it had faults and served requests, and broke no promise")
@@ -269,7 +271,7 @@
         refusal = b'{"Error": "kept", "Code": 2013}'
         calls.append(Call("refused", "stream", "key", 9.0, 503, refusal, True, "n1", body))
     sound = SimpleNamespace(crashed_at=None, crashed_on=None, arrivals=arrivals)
-    context.found = list(check_deadly(calls, [*ended, sound], Timeline(), {DEADLY}))
+    context.found = list(check_crash_requests(calls, [*ended, sound], Timeline(), {DEADLY}))
 
 
 @then('the check of such requests finds "{found}"')
