--- a/features/soak/deadly.py
+++ b/features/soak/deadly.py
@@ -1,4 +1,4 @@
-"""Callers that come back with requests under which engines end, and what is checked of them."""
+"""Callers that repeat requests which crash engines, and the check of their quarantine."""
 
 import asyncio
 import random
@@ -6,43 +6,43 @@
 
 from features.soak.history import NOT_RUN, Violation
 
-# How many requests engines end under, and how their callers repeat them, drawn for each seed.
-MOST_DEADLY = 2
+# How many crash requests there are and how their callers repeat them is drawn for each seed.
+MAX_CRASH_REQUESTS = 2
 ROUTES = ("whole", "safe", "stream", "resume")
 FIRST_AFTER_S = (1.0, 6.0)
 SPACING_S = (0.2, 1.2)
-# As the platform's rules count: after the third end nodes have a while to hear of it.
-ENDS_THAT_TELL = 3
-HEARD_WITHIN_S = 3.0
+# The platform's rules: after the third crash, nodes have this long to learn of it.
+CRASHES_BEFORE_QUARANTINE = 3
+LEARNED_WITHIN_S = 3.0
 SENDS_ALLOWED = 3
 QUARANTINED = b'"Code": 2013'
 
 
 @dataclass(frozen=True)
 class CrashRequest:
-    """One request under which engines end."""
+    """A request that crashes the engine that runs it."""
 
     body: bytes
     route: str
 
 
 class CrashRequestCallers:
-    """Sends deadly requests to random nodes until told to stop; engines end under them."""
+    """Sends crash requests to random nodes until the soak is over."""
 
     def __init__(self, seed):
         self._random = random.Random(f"{seed}/deadly")
-        count = self._random.randint(1, MOST_DEADLY)
+        count = self._random.randint(1, MAX_CRASH_REQUESTS)
         self.requests = [
             CrashRequest(f"deadly {number}".encode(), self._random.choice(ROUTES))
             for number in range(count)
         ]
 
     def bodies(self):
-        """Return the bodies of requests under which engines end."""
+        """Return the bodies of the crash requests."""
         return frozenset(request.body for request in self.requests)
 
     async def run(self, call, is_over):
-        """Send each request again and again."""
+        """Send each crash request repeatedly until the soak is over."""
         await asyncio.gather(*(self._repeat(r, call, is_over) for r in self.requests))
 
     async def _repeat(self, request, call, is_over):
@@ -55,7 +55,7 @@
 
 
 def check_crash_requests(calls, engines, timeline, bodies):
-    """Return the sends of deadly requests that came too often, and others kept from engines."""
+    """Find crash requests sent to engines too often, and other requests put in quarantine."""
     known = {call.request_id: call for call in calls}
     for body in sorted(bodies):
         yield from _check_sends(body, known, engines, timeline)
@@ -67,15 +67,15 @@
 
 
 def crash_times(body, engines):
-    """Return when engines ended under a request, in order."""
+    """Return when engines crashed on a request, in order."""
     return sorted(e.crashed_at for e in engines if e.crashed_on == body)
 
 
 def _check_sends(body, known, engines, timeline):
-    ends = crash_times(body, engines)
-    if len(ends) < ENDS_THAT_TELL:
+    crashes = crash_times(body, engines)
+    if len(crashes) < CRASHES_BEFORE_QUARANTINE:
         return
-    since = ends[ENDS_THAT_TELL - 1] + HEARD_WITHIN_S
+    since = crashes[CRASHES_BEFORE_QUARANTINE - 1] + LEARNED_WITHIN_S
     late = [
         arrival
         for engine in engines
@@ -84,5 +84,5 @@
     ]
     late = [a for a in late if not timeline.is_excused(known[a.attempt_id].node, a.at)]
     if len(late) > SENDS_ALLOWED:
-        detail = f"{body!r}: {len(late)} sends, {len(ends)} engines ended"
+        detail = f"{body!r}: {len(late)} sends, {len(crashes)} engines crashed"
         yield Violation("a request under which engines end is sent no more", body.decode(), detail)
--- a/features/soak/engine_limits.py
+++ b/features/soak/engine_limits.py
@@ -1,4 +1,4 @@
-"""Engines that name limits for all nodes together, during a soak; and the check."""
+"""Engines that announce a rate limit for all nodes together, during a soak; and the check."""
 
 import asyncio
 import random
@@ -9,15 +9,16 @@
 SPACING_S = (1.0, 3.0)
 LIMITS = ("1", "0.5", "0", "2", "6", "-1", "few")
 LIMITED_S = (6.0, 12.0)
-# As the platform's rules count.
-HEARD_S = 0.5
-SETTLED_S = 3.0
+# The platform's rules: a node applies a limit this long after it got the answer, and the nodes
+# share it correctly this long after the first of them got one.
+APPLIED_AFTER_S = 0.5
+SETTLED_AFTER_S = 3.0
 WINDOW_S = 4.0
 FACTOR, SLACK = 1.5, 5
 
 
 class EngineLimits:
-    """Lets engines name limits at random; what is drawn depends on the seed alone."""
+    """Makes random engines announce random rate limits; the draws depend on the seed alone."""
 
     def __init__(self, fleet, seed):
         self._fleet = fleet
@@ -25,7 +26,7 @@
         self.counts = {"limit": 0}
 
     async def run_for(self, seconds):
-        """Let engines name limits for some time, and wait for the ends."""
+        """Begin limits for some time, and wait until all have ended."""
         until = time.monotonic() + seconds
         begun = []
         while time.monotonic() < until:
@@ -46,7 +47,7 @@
 
 
 def check_limits(calls, engines, timeline):
-    """Return the limits that nodes exceeded together though they knew of them."""
+    """Find the limits that nodes exceeded together after they had learned of them."""
     node_of = {call.request_id: call.node for call in calls}
     for engine in engines:
         for begun_at, ended_at, limit in engine.limit_periods:
@@ -64,21 +65,21 @@
     allowed = FACTOR * limit * WINDOW_S + SLACK
     counts = [sum(first <= at < first + WINDOW_S for at in times) for first in times]
     if max(counts, default=0) > allowed:
-        detail = f"{engine.engine_id}: {max(counts)} in {WINDOW_S} s, {allowed} allowed"
+        detail = f"{engine.engine_id}: {max(counts)} requests in {WINDOW_S} s, {allowed} allowed"
         yield Violation("no more requests than an engine's limit", "", detail)
 
 
 def _counted(arrivals, timeline):
-    """Return when requests came from nodes that had passed on a limit, and ran on since."""
+    """Return the arrival times of requests from nodes that knew the limit, not halted since."""
     since = {}
     for arrival, node in arrivals:
         if arrival.limit and arrival.answered_at is not None and not arrival.cut:
             since[node] = min(since.get(node, arrival.answered_at), arrival.answered_at)
-    settled_at = min(since.values(), default=0.0) + SETTLED_S
+    settled_at = min(since.values(), default=0.0) + SETTLED_AFTER_S
     return [
         arrival.at
         for arrival, node in arrivals
         if node in since
-        and arrival.at >= max(settled_at, since[node] + HEARD_S)
+        and arrival.at >= max(settled_at, since[node] + APPLIED_AFTER_S)
         and not timeline.halted_between(node, since[node], arrival.at)
     ]
--- a/features/soak/faults.py
+++ b/features/soak/faults.py
@@ -1,4 +1,4 @@
-"""The faults of a soak: which, when and to whom, all drawn from its seed."""
+"""Fault injection of a soak: kinds, times and targets, all drawn from the seed."""
 
 import asyncio
 import random
@@ -18,22 +18,23 @@
     "torn",
     "fail",
 )
-HARMS = tuple(fault for fault in ProxyFault if fault is not ProxyFault.NONE)
-# How often a kind of fault comes up beside the others, drawn for each seed: in a seed of few
-# troubles nodes are calm for long enough to be judged.
+PROXY_FAULTS = tuple(fault for fault in ProxyFault if fault is not ProxyFault.NONE)
+# The relative frequency of a kind of fault, drawn for each seed: nodes must be unimpaired for
+# some time to be checked, and seeds in which impairing faults are rare provide that.
 KIND_WEIGHTS = (0.2, 1.0, 3.0)
-# The longest time between two faults, drawn for each seed.
+# The longest time between two faults, one of these for each seed.
 LONGEST_SPACING_S = (1.2, 2.4)
 SHORTEST_SPACING_S = 0.3
-# How long faults that have begun may take to end: an engine refuses orders for up to 13 s.
+# How long faults may take to end after the last has begun: an engine refuses orders for up to
+# 13 s.
 END_WITHIN_S = 14.0
 
 
 class FaultInjector:
-    """Harms a fleet at random.
+    """Injects random faults into a fleet.
 
-    What is drawn for a fault depends on the seed and the fault's number alone, so that a
-    seed brings about the same faults again.
+    The draws for a fault depend on the seed and the fault's number alone, so that the same seed
+    injects the same faults again.
     """
 
     def __init__(self, fleet, seed):
@@ -44,16 +45,16 @@
             self._pause_node,
             self._kill_node,
             self._stop_node,
-            self._harm_store,
+            self._fail_store,
             self._refuse_node,
-            self._forget,
+            self._compact_history,
             self._lose_writes,
-            self._harm_link,
-            self._harm_engine,
+            self._fail_link,
+            self._fail_engine,
             self._crash_engine,
             self._drain_engine,
             self._remove_unannounced,
-            self._name_weights,
+            self._set_weight_version,
             self._refuse_orders,
             self._revoke,
             self._reconfigure,
@@ -64,7 +65,7 @@
         self._longest_spacing_s = self._schedule.choice(LONGEST_SPACING_S)
 
     async def inject_for(self, seconds):
-        """Begin faults for some time, and let them end."""
+        """Begin faults for some time, and wait until they have ended."""
         until = time.monotonic() + seconds
         tasks = set()
         while time.monotonic() < until:
@@ -122,9 +123,9 @@
         running = self._fleet.running_nodes()
         return draw.choice(running) if running else None
 
-    # The store and the way to it
+    # The store and the connections to it
 
-    async def _harm_store(self, draw):
+    async def _fail_store(self, draw):
         store = self._fleet.store
         with self._fleet.timeline.impairment():
             store.fault = draw.choice(("down", "silent", "reset"))
@@ -138,15 +139,15 @@
             await asyncio.sleep(draw.uniform(1.0, 7.0))
             self._fleet.store.refused_ips.discard(node.ip)
 
-    async def _forget(self, draw):
+    async def _compact_history(self, draw):
         self._fleet.store.forget_history()
 
     async def _lose_writes(self, draw):
         self._fleet.store.unanswered_writes = 3
 
-    async def _harm_link(self, draw):
+    async def _fail_link(self, draw):
         name = draw.choice(list(self._fleet.proxies))
-        fault = draw.choice(HARMS)
+        fault = draw.choice(PROXY_FAULTS)
         is_cut = fault is not ProxyFault.DELAY
         with self._fleet.timeline.impairment(name) if is_cut else nullcontext():
             self._fleet.proxies[name].fault = fault
@@ -154,9 +155,9 @@
             self._fleet.proxies[name].fault = ProxyFault.NONE
 
     async def _stall_watches(self, draw):
-        """Let watches hear nothing of some changes, then drop the history and cut them."""
+        """Stall the watches during some changes, then compact the history and cut the watches."""
         self._fleet.store.stall_watches()
-        changes = asyncio.ensure_future(self._change_much(draw))
+        changes = asyncio.ensure_future(self._change_several(draw))
         try:
             await asyncio.sleep(draw.uniform(0.8, 1.1))
         finally:
@@ -164,19 +165,19 @@
         await changes
 
     async def _silence_connections(self, draw):
-        """Let the open connections go silent amid some changes."""
-        changes = asyncio.ensure_future(self._change_much(draw))
+        """Silence the open connections during some changes."""
+        changes = asyncio.ensure_future(self._change_several(draw))
         await asyncio.sleep(draw.uniform(0.0, 0.4))
         self._fleet.store.silence_connections()
         self._fleet.timeline.note_silent_connections()
         await changes
 
-    async def _change_much(self, draw):
-        """Let engines leave and weights be named within about a second."""
+    async def _change_several(self, draw):
+        """Let engines leave and set a new weight version, all within about a second."""
         kinds = (
             self._drain_engine,
             self._remove_unannounced,
-            self._name_weights,
+            self._set_weight_version,
             self._refuse_orders,
         )
         changes = []
@@ -188,7 +189,7 @@
 
     # Engines
 
-    async def _harm_engine(self, draw):
+    async def _fail_engine(self, draw):
         engine = draw.choice(self._fleet.engines())
         engine.fault = draw.choice(ENGINE_FAULTS)
         engine.fault_count = draw.randrange(1, 4)
@@ -204,22 +205,22 @@
         await self._fleet.remove_unannounced(draw.choice(self._fleet.engines()))
 
     async def _refuse_orders(self, draw):
-        """Let engines keep their weights for longer than they may be used once replaced."""
+        """Let engines keep their weights for longer than replaced weights may be used."""
         known = self._fleet.engines("llm")
         engines = draw.sample(known, draw.randint(1, len(known)))
-        self._let_refuse(engines, True)
+        self._set_refuses_orders(engines, True)
         await asyncio.sleep(draw.uniform(0.0, 0.5))
         self._fleet.set_weight_version()
         await asyncio.sleep(draw.uniform(10.0, 12.0))
-        self._let_refuse(engines, False)
+        self._set_refuses_orders(engines, False)
 
-    def _let_refuse(self, engines, refuses):
+    def _set_refuses_orders(self, engines, refuses):
         for engine in engines:
             engine.refuses_orders = refuses
 
     # The operator
 
-    async def _name_weights(self, draw):
+    async def _set_weight_version(self, draw):
         self._fleet.set_weight_version()
 
     async def _revoke(self, draw):
--- a/features/soak/fleet.py
+++ b/features/soak/fleet.py
@@ -1,4 +1,4 @@
-"""The deployment of a soak, and the changes that operators and engines make to it."""
+"""The deployment under a soak, and the changes that operators and engines make to it."""
 
 import asyncio
 import itertools
@@ -13,35 +13,41 @@
 
 DESK_ENGINES = 3
 MODEL_ENGINES = 4
-# For how long an engine goes on to take requests after its leaving, to see late ones: three
-# times DrainMs.
-SEEN_AFTER_LEAVING_S = 6.0
-# When another engine is up after one has ended under a request, and when its record lapses (own
-# choice; three beats of 1.2 s, less what had passed of one).
-BACK_AFTER_S = 1.0
-RECORD_LAPSES_AFTER_S = 2.5
+# An engine still accepts requests for this long after it left, to record late ones: three times
+# DrainMs.
+ACCEPTS_AFTER_LEAVING_S = 6.0
+# After an engine crashed on a request: when its replacement starts, and when its record expires
+# (three heartbeats of 1.2 s, less the time since the last one).
+REPLACED_AFTER_S = 1.0
+RECORD_EXPIRES_AFTER_S = 2.5
 
 
 def now_unix_ms():
-    """Return the time of day in milliseconds."""
+    """Return the wall-clock time in milliseconds since the epoch."""
     return time.time_ns() // 1_000_000
 
 
 class Fleet:
-    """Nodes behind proxies, a store, engines, and when the store took what.
+    """Nodes behind proxies, a store and engines, with the timeline of their changes.
 
-    With `births` engines tell when they started. `draw_root` returns the tree of the build that
-    a node is started from.
+    With `report_start_times`, the engines' records contain their start times. `draw_root` returns
+    the tree of the build from which a node is started.
 
     Attributes:
-        retired: engines that left; some of them still take requests.
+        retired: engines that left; some of them still accept requests.
     """
 
     def __init__(
-        self, directory, nodes, deadly=frozenset(), sleeps=False, births=False, draw_root=None
+        self,
+        directory,
+        nodes,
+        crash_bodies=frozenset(),
+        sleeps=False,
+        report_start_times=False,
+        draw_root=None,
     ):
-        self._deadly = deadly
-        self._births = births
+        self._crash_bodies = crash_bodies
+        self._report_start_times = report_start_times
         self._draw_root = draw_root or (lambda: ROOT)
         self._wrapper = [sleeper.__file__] if sleeps else ()
         self._replacing = []
@@ -52,7 +58,7 @@
         self.keys = ["key-0"]
         self._node_count = nodes
         self._version = 5
-        self._weights = 1
+        self._weight_version = 1
         self._engine_numbers = itertools.count(1)
         self._key_numbers = itertools.count(1)
         self._starting = asyncio.Lock()
@@ -69,7 +75,7 @@
         return [node for node in self.nodes if node.process.returncode is None]
 
     def engines(self, service=None):
-        """Return the engines that have not left, or those of a service."""
+        """Return the engines that have not left, of one service if it is given."""
         known = self.deployment.engines.values()
         return [engine for engine in known if service in (None, engine.service)]
 
@@ -90,7 +96,7 @@
             await self._put_proxy_before_store(node)
 
     async def _put_proxy_before_store(self, node):
-        """Let a node that is started again reach the store through a proxy."""
+        """Start a node again so that it connects to the store through a proxy."""
         proxy = FaultProxy(f"{node.ip}:{self.store.port + 1}", self.store.address_for(node.ip))
         with suppress(OSError):
             await proxy.start()
@@ -102,7 +108,7 @@
             await self.deployment.ready(node)
 
     async def start_node(self, node):
-        # Two faults that end together would start two processes, and one be lost sight of.
+        # Two faults that end together would start two processes, of which one would be lost.
         async with self._starting:
             if node.process.returncode is not None:
                 node.root = self._draw_root()
@@ -115,9 +121,9 @@
         self.deployment.configure(self._version, keys=tuple(self.keys), backups=True)
 
     def rewrite_all(self):
-        """Write what the operator and the engines have written, as after the store's return."""
+        """Write the operator's and the engines' items again, as after a restore of the store."""
         self.deployment.configure(self._version, keys=tuple(self.keys), backups=True)
-        self.deployment.set_weight_version(self._weights)
+        self.deployment.set_weight_version(self._weight_version)
         for key in [key for key in self.store.items if key.startswith("servers/")]:
             if key.removeprefix("servers/") not in self.deployment.engines:
                 self.store.remove(key)
@@ -125,56 +131,56 @@
             self.deployment.record(engine)
 
     def revoke(self):
-        """Replace all keys by a new one."""
+        """Replace all API keys by a new one."""
         old = self.keys[0]
         self.keys = [f"key-{next(self._key_numbers)}"]
         self.configure()
         self.timeline.note_revocation(old)
 
     def set_weight_version(self):
-        self._weights += 1
-        self.deployment.set_weight_version(self._weights)
-        self.timeline.note_version(self._weights)
+        self._weight_version += 1
+        self.deployment.set_weight_version(self._weight_version)
+        self.timeline.note_version(self._weight_version)
 
     async def drain_engine(self, engine, removed_after_s):
-        """Let an engine declare that it leaves, and end once its record is removed."""
+        """Set an engine's record to draining, remove the record later, and then stop the engine."""
         await self._replace(engine)
         self.deployment.record(engine, "draining")
         self.timeline.note_departure(engine.engine_id)
         await asyncio.sleep(removed_after_s)
         self._remove_record(engine)
-        await asyncio.sleep(max(0.0, SEEN_AFTER_LEAVING_S - removed_after_s))
+        await asyncio.sleep(max(0.0, ACCEPTS_AFTER_LEAVING_S - removed_after_s))
         await engine.stop()
 
     async def hide_record(self, engine, seconds):
-        """Let an engine's record go for a while, and come back as it was."""
+        """Remove an engine's record for a while, and write it again unchanged."""
         self.store.remove(f"servers/{engine.engine_id}")
         await asyncio.sleep(seconds)
         if engine in self.engines():
             self.deployment.record(engine)
 
     async def remove_unannounced(self, engine):
-        """Remove the record of an engine that goes on for a while, and declared nothing."""
+        """Remove the record of an engine without draining it; the engine runs on for a while."""
         await self._replace(engine)
         self._remove_record(engine)
-        await asyncio.sleep(SEEN_AFTER_LEAVING_S)
+        await asyncio.sleep(ACCEPTS_AFTER_LEAVING_S)
         await engine.stop()
 
     async def crash(self, engine, removed_after_s):
-        """End an engine; its record goes some time later."""
+        """Stop an engine and remove its record some time later."""
         await self._replace(engine)
         await engine.stop()
         await asyncio.sleep(removed_after_s)
         self._remove_record(engine)
 
-    async def restart_engine(self, engine, rest_s):
-        """Let an engine end, and start again under its id after a rest; its record stays."""
+    async def restart_engine(self, engine, pause_s):
+        """Crash an engine and start it again under its id after a pause; its record stays."""
         if self.deployment.engines.get(engine.engine_id) is not engine:
             return
         self.retired.append(engine)
         del self.deployment.engines[engine.engine_id]
         await engine.crash()
-        await asyncio.sleep(rest_s)
+        await asyncio.sleep(pause_s)
         options = {"weights": dict(engine.weights), "born_unix_ms": now_unix_ms()}
         await self.deployment.add_engine(engine.engine_id, engine.service, **options)
 
@@ -189,29 +195,31 @@
 
     async def _add_engine(self, service):
         name = f"{service}-{next(self._engine_numbers)}"
-        options = {"weights": {"model-1": self._weights}} if service == "llm" else {}
-        if self._births:
+        options = {"weights": {"model-1": self._weight_version}} if service == "llm" else {}
+        if self._report_start_times:
             options["born_unix_ms"] = now_unix_ms()
-        engine = await self.deployment.add_engine(name, service, crashes_on=self._deadly, **options)
-        if self._deadly:
-            self._replacing.append(asyncio.ensure_future(self._replace_ended(engine)))
+        engine = await self.deployment.add_engine(
+            name, service, crashes_on=self._crash_bodies, **options
+        )
+        if self._crash_bodies:
+            self._replacing.append(asyncio.ensure_future(self._replace_crashed(engine)))
         return engine
 
-    async def _replace_ended(self, engine):
-        """Bring another engine up some time after one ended under a request."""
+    async def _replace_crashed(self, engine):
+        """Start another engine some time after this one crashed on a request."""
         await engine.crashed.wait()
-        await asyncio.sleep(BACK_AFTER_S)
+        await asyncio.sleep(REPLACED_AFTER_S)
         if self.deployment.engines.get(engine.engine_id) is not engine:
-            # Another fault has taken it out.
+            # Another fault has already removed this engine.
             return
         await self._replace(engine)
-        await asyncio.sleep(RECORD_LAPSES_AFTER_S - BACK_AFTER_S)
+        await asyncio.sleep(RECORD_EXPIRES_AFTER_S - REPLACED_AFTER_S)
         self._remove_record(engine)
 
-    # The end
+    # End of the soak
 
     async def clear_faults(self):
-        """End all faults."""
+        """Clear all faults and start the nodes that are down."""
         self.store.fault, self.store.unanswered_writes = "", 0
         self.store.refused_ips.clear()
         for proxy in self.proxies.values():
--- a/features/soak/hard_load.py
+++ b/features/soak/hard_load.py
@@ -1,4 +1,4 @@
-"""Hard load during a soak: uneven engines, restarts under an id, foreign records, slow callers."""
+"""Heavy load in a soak: slow engines, restarts, malformed records, bursts and slow callers."""
 
 import asyncio
 import random
@@ -8,16 +8,16 @@
 from features.soak.history import Call
 from features.standin.deployment import HOST, prompt_headers
 
-# Between two troubles, and how long one lasts (own choice).
+# Between two conditions, and how long one lasts.
 SPACING_S = (0.3, 1.2)
 LASTS_S = (0.6, 3.0)
-REST_S = (0.0, 0.8)
-SLOWER = (2.5, 10.0)
+RESTART_PAUSE_S = (0.0, 0.8)
+SLOWDOWN = (2.5, 10.0)
 BURST_CALLERS = 20
 SLOW_CALLERS = (4, 16)
-# As large as the stand-in's configuration lets a body be.
+# The largest body that the stand-in's configuration allows.
 LARGE_BODY = b"x" * 65_536
-FOREIGN_RECORDS = (
+MALFORMED_RECORDS = (
     b"\xff\x00",
     b"[]",
     b'{"State": "ready"}',
@@ -26,7 +26,7 @@
 
 
 class HardLoad:
-    """Brings about troubles of load at random; what is drawn depends on the seed alone."""
+    """Begins random conditions of heavy load; the draws depend on the seed alone."""
 
     def __init__(self, fleet, seed, call, calls):
         self._fleet = fleet
@@ -36,14 +36,14 @@
         self.counts = {}
         self._kinds = (
             self._restart_engine,
-            self._write_foreign_record,
+            self._write_malformed_record,
             self._slow_engine,
             self._burst,
             self._read_slowly,
         )
 
     async def run_for(self, seconds):
-        """Begin troubles for some time, and wait for their ends."""
+        """Begin conditions for some time, and wait until all have ended."""
         until = time.monotonic() + seconds
         begun = []
         while time.monotonic() < until:
@@ -55,12 +55,14 @@
         await asyncio.gather(*begun)
 
     async def _restart_engine(self, draw):
-        await self._fleet.restart_engine(draw.choice(self._fleet.engines()), draw.uniform(*REST_S))
+        await self._fleet.restart_engine(
+            draw.choice(self._fleet.engines()), draw.uniform(*RESTART_PAUSE_S)
+        )
 
-    async def _write_foreign_record(self, draw):
+    async def _write_malformed_record(self, draw):
         engine = draw.choice(self._fleet.engines())
         key = f"servers/{engine.engine_id}"
-        self._fleet.store.put(key, draw.choice(FOREIGN_RECORDS))
+        self._fleet.store.put(key, draw.choice(MALFORMED_RECORDS))
         await asyncio.sleep(draw.uniform(*LASTS_S))
         if self._fleet.deployment.engines.get(engine.engine_id) is engine:
             self._fleet.deployment.record(engine)
@@ -68,7 +70,7 @@
     async def _slow_engine(self, draw):
         engine = draw.choice(self._fleet.engines())
         usual_s = engine.event_seconds
-        engine.event_seconds = usual_s * draw.uniform(*SLOWER)
+        engine.event_seconds = usual_s * draw.uniform(*SLOWDOWN)
         await asyncio.sleep(draw.uniform(*LASTS_S))
         engine.event_seconds = usual_s
 
@@ -82,7 +84,7 @@
         await asyncio.gather(*(call_on() for _ in range(BURST_CALLERS)))
 
     async def _read_slowly(self, draw):
-        """Send requests, some with a large body byte by byte, and read nothing of the answers."""
+        """Send requests, some with a large or incomplete body, and read no responses."""
         running = self._fleet.running_nodes()
         if not running:
             return
@@ -93,17 +95,17 @@
 
     async def _stall(self, node, lasts_s, draw):
         host, _, port = node.address("Front").rpartition(":")
-        whole = draw.random() < 0.5
+        is_complete = draw.random() < 0.5
         body = LARGE_BODY if draw.random() < 0.5 else b"body"
         key = self._fleet.keys[-1]
         request_id = f"{self._random.getrandbits(64):016x}"
         with suppress(OSError):
             _, writer = await asyncio.open_connection(host, int(port), limit=1)
             now = time.monotonic()
-            called = Call(request_id, "resume", key, now, None, b"", False, node.name, body, False)
-            self._calls.append(called)
+            call = Call(request_id, "resume", key, now, None, b"", False, node.name, body, False)
+            self._calls.append(call)
             writer.write(_head(request_id, key, body))
-            writer.write(body if whole else body[: len(body) // 2])
+            writer.write(body if is_complete else body[: len(body) // 2])
             await asyncio.sleep(lasts_s)
             writer.transport.abort()
 
--- a/features/soak/history.py
+++ b/features/soak/history.py
@@ -1,4 +1,4 @@
-"""What callers and engines saw during a soak, and the promises checked on it."""
+"""Requests as callers and engines saw them during a soak, and the guarantees checked on them."""
 
 import math
 import re
@@ -6,8 +6,8 @@
 
 EVENT = re.compile(rb"id: (\d+)\ndata: token (\d+)\n\n")
 NOT_RUN = (408, 421, 429, 503)
-EVENTS_OF_A_STREAM = 4
-# What is sent later before a process is gone meets a connection that is being closed.
+EVENTS_PER_STREAM = 4
+# A request sent this shortly before the process exits may meet a connection that is closing.
 EXIT_S = 0.1
 
 
@@ -16,11 +16,11 @@
     """One request as its caller saw it.
 
     Attributes:
-        status: None where the connection gave no answer.
-        body: as much of it as came.
-        sent_at: steady clock, seconds.
-        node: to which it was sent; no other one sends it to engines.
-        waited: whether its caller was connected, and waited for the answer.
+        status: the HTTP status, or None if no response arrived.
+        body: the received part of the response body.
+        sent_at: in seconds of the monotonic clock.
+        node: the node that got the request; no other node forwards it to engines.
+        waited: whether the caller was connected and waited for the response.
     """
 
     request_id: str
@@ -37,12 +37,12 @@
 
 @dataclass(frozen=True)
 class Bounds:
-    """How long after the store took something it may still be done otherwise.
+    """How long after the store accepted a change the old state may still be used.
 
     Attributes:
-        revoke_s: a key that was taken away is served.
-        drain_s: a request arrives at an engine that leaves.
-        version_s: a request begins on a replaced version.
+        revoke_s: how long a revoked API key may be served.
+        drain_s: how long requests may arrive at an engine that left.
+        version_s: how long requests may begin on replaced weights.
     """
 
     revoke_s: float
@@ -52,7 +52,7 @@
 
 @dataclass(frozen=True)
 class Violation:
-    """A promise that was broken."""
+    """A guarantee that was violated."""
 
     guarantee: str
     request_id: str
@@ -60,7 +60,7 @@
 
 
 def check(calls, engines, timeline, bounds):
-    """Return every violation that a history shows."""
+    """Return every violation of a guarantee in a history."""
     runs = {}
     for engine in engines:
         for arrival in engine.arrivals:
@@ -84,7 +84,9 @@
     if call.route in ("whole", "stream") and len(begun) > 1:
         yield Violation("at most once", call.request_id, f"begun {len(begun)} times")
     if call.status in NOT_RUN and runs:
-        yield Violation("not run means not run", call.request_id, f"{call.status}, and it ran")
+        yield Violation(
+            "not run means not run", call.request_id, f"status {call.status}, but it ran"
+        )
     if call.status != 200:
         return
     if call.route in ("whole", "safe"):
@@ -96,14 +98,14 @@
 
 
 def _check_stop(call, timeline):
-    """Find requests that a node which was told to stop took and did not answer."""
+    """Find requests that a node accepted after SIGTERM and did not answer before it exited."""
     if call.status is not None or not call.waited:
         return
     for stop in timeline.undisturbed_stops():
-        if stop.node == call.node and stop.signalled_at <= call.sent_at < stop.gone_at - EXIT_S:
-            left_s = stop.gone_at - call.sent_at
+        if stop.node == call.node and stop.signalled_at <= call.sent_at < stop.exited_at - EXIT_S:
+            left_s = stop.exited_at - call.sent_at
             yield Violation(
-                "a node that stops answers", call.request_id, f"gone {left_s:.2f} s later"
+                "a node that stops answers", call.request_id, f"node exited {left_s:.2f} s later"
             )
 
 
@@ -111,7 +113,7 @@
     numbers = [int(number) for number, _ in EVENT.findall(call.body)]
     if numbers != list(range(1, len(numbers) + 1)):
         yield Violation("events in order", call.request_id, str(numbers))
-    if call.complete and len(numbers) != EVENTS_OF_A_STREAM:
+    if call.complete and len(numbers) != EVENTS_PER_STREAM:
         yield Violation("a complete stream is whole", call.request_id, str(numbers))
 
 
@@ -119,7 +121,7 @@
     since = timeline.revoked_at.get(call.key)
     if since is not None and call.sent_at > since + bound_s and call.request_id in runs:
         late_s = call.sent_at - since
-        yield Violation("a revoked key is not served", call.request_id, f"{late_s:.2f} s after")
+        yield Violation("a revoked key is not served", call.request_id, f"{late_s:.2f} s late")
 
 
 def _check_runs(call, request_id, runs):
@@ -146,25 +148,25 @@
 def _check_drain(engine, known, timeline, bound_s):
     """Find requests that arrived too late at an engine that left, whether they ran or not.
 
-    Excused is a request whose node had a trouble when it arrived, or in the 3 s before
-    (3.5 s where it was connections that went silent). A trouble of all nodes is a store that
-    is down, silent to all, or resets all; one of a single node is that it is paused, stopped
-    or killed, refused by the store, or cut from it by its proxy (reset, silenced, or answers
-    dropped). No trouble are: watches that hear nothing or are cut, a history that is dropped,
-    answers to writes that are lost, a proxy that only delays, and what befalls other nodes.
+    A request is excused if its node was impaired when the request arrived, or in the 3 s before
+    (3.5 s after connections went silent). All nodes are impaired while the store is down, does
+    not answer, or resets all connections. A single node is impaired while it is paused, stopped
+    or killed, refused by the store, or cut off from the store by its proxy (reset, silence, or
+    dropped answers). These faults excuse nothing: stalled or cut watches, a compacted history,
+    lost answers to writes, a proxy that only delays, and any fault of another node.
     """
     for call, late_s in _after_leaving(engine, known, timeline):
         if late_s > bound_s:
-            detail = f"{engine.engine_id}, {call.node}: {late_s:.2f} s after"
+            detail = f"{engine.engine_id}, {call.node}: {late_s:.2f} s after it left"
             yield Violation("no request to an engine that left", call.request_id, detail)
 
 
 def _check_version(engine, known, timeline, bound_s):
-    """Find requests that began too late on a version that was replaced.
+    """Find requests that began too late on a replaced weight version.
 
-    Counted is the time since the naming in which the request's node had no trouble, in one
-    stretch that lasts until the request begins; what a trouble is, is told above. A run
-    that goes on from a copy does not begin.
+    The lateness is the time since the newer version was set, or since the node's last
+    impairment (see `_check_drain`) if that ended later. A run that is continued from a copy of
+    its cache does not count as begun.
     """
     for call, version, late_s in _on_replaced(engine, known, timeline):
         if late_s > bound_s:
@@ -173,7 +175,7 @@
 
 
 def _after_leaving(engine, known, timeline):
-    """Return the requests at an engine that left, and how late, without those excused."""
+    """Return the unexcused requests at an engine that left, and how late each arrived."""
     left_at = timeline.left_at.get(engine.engine_id, math.inf)
     for arrival in engine.arrivals:
         call = known.get(arrival.attempt_id)
@@ -182,7 +184,7 @@
 
 
 def _on_replaced(engine, known, timeline):
-    """Return the requests begun on replaced versions, these, and how late in a calm stretch."""
+    """Return the requests begun on replaced versions, the version, and how late each began."""
     for arrival in engine.arrivals:
         call = known.get(arrival.attempt_id)
         began = arrival.ran and "Kv-From" not in arrival.headers
@@ -196,11 +198,11 @@
 
 @dataclass(frozen=True)
 class Lateness:
-    """How late the latest requests came that nothing excuses.
+    """The greatest lateness among the unexcused requests.
 
     Attributes:
-        drain_s: at an engine, after it left.
-        version_s: on a version, after a newer one was named.
+        drain_s: of a request at an engine, after the engine left.
+        version_s: of a request on a weight version, after a newer one was set.
     """
 
     drain_s: float
@@ -208,7 +210,7 @@
 
 
 def max_lateness(calls, engines, timeline):
-    """Return how close a history comes to the bounds that are checked."""
+    """Return how close a history comes to the checked bounds."""
     known = {call.request_id: call for call in calls}
     drain_s = [s for e in engines for _, s in _after_leaving(e, known, timeline)]
     version_s = [s for e in engines for _, _, s in _on_replaced(e, known, timeline)]
--- a/features/soak/proxy.py
+++ b/features/soak/proxy.py
@@ -1,4 +1,4 @@
-"""A loopback proxy that harms the connections that pass through it."""
+"""A loopback proxy that injects faults into the connections that pass through it."""
 
 import asyncio
 import enum
@@ -10,7 +10,7 @@
 
 
 class ProxyFault(enum.Enum):
-    """What a proxy does to bytes and connections."""
+    """A fault that a proxy applies to its connections."""
 
     NONE = enum.auto()
     DELAY = enum.auto()
@@ -20,11 +20,11 @@
 
 
 class FaultProxy:
-    """Passes connections on to a target, as long as nothing else is asked of it.
+    """Forwards connections to a target, and applies a fault to them while one is set.
 
     Attributes:
-        harm: applies to open and to new connections.
-        delay_s: by which each piece is held up under `Harm.DELAY`.
+        fault: the current fault, for open and for new connections.
+        delay_s: the delay of each chunk under `ProxyFault.DELAY`.
     """
 
     def __init__(self, address, target, delay_s=0.3):
@@ -50,16 +50,16 @@
         task.add_done_callback(self._tasks.discard)
         host, _, port = self.target.rpartition(":")
         try:
-            there_reader, there_writer = await asyncio.open_connection(host, int(port))
+            target_reader, target_writer = await asyncio.open_connection(host, int(port))
         except OSError:
             reset(writer)
             return
         with suppress(OSError, asyncio.CancelledError):
             await asyncio.gather(
-                self._pump(reader, there_writer, answers=False),
-                self._pump(there_reader, writer, answers=True),
+                self._pump(reader, target_writer, answers=False),
+                self._pump(target_reader, writer, answers=True),
             )
-        there_writer.close()
+        target_writer.close()
         writer.close()
 
     async def _pump(self, source, target, answers):
@@ -69,17 +69,17 @@
             if self.fault is ProxyFault.RESET:
                 reset(target)
                 return
-            lost = self.fault is ProxyFault.SILENCE or (
+            is_lost = self.fault is ProxyFault.SILENCE or (
                 self.fault is ProxyFault.DROP_ANSWERS and answers
             )
-            if not lost:
+            if not is_lost:
                 target.write(data)
                 await target.drain()
         target.close()
 
 
 def reset(writer):
-    """Close a connection with a reset."""
+    """Close a connection with a TCP reset."""
     connection = writer.get_extra_info("socket")
     if connection is not None:
         linger = struct.pack("ii", 1, 0)
--- a/features/soak/run.py
+++ b/features/soak/run.py
@@ -1,14 +1,14 @@
-"""A randomized soak of the platform's program: real processes, faults from outside them.
+"""Randomized soak test of the platform's program: real processes under injected faults.
 
     python -m features.soak.run --seeds 3 --seconds 40
     python -m features.soak.run --kept
 
-Nodes are paused, killed, stopped and started by signals; their connections to the store
-pass through a harmful proxy; the store and the engines misbehave; its watches hear nothing
-and are cut, its open connections go silent, while engines leave and weights are named; keys
-and routes change. What callers and engines saw is checked against the promises. Exits with 1
-after a violation, and names the seed. Seeds that failed once are kept in `seeds.txt`, one a
-line: seed, seconds, nodes, the modes in which it is played (see `Modes`), and the cause.
+Nodes are paused, killed, stopped and started by signals. Their connections to the store pass
+through a proxy that injects faults. The store and the engines misbehave: watches stall or are
+cut and open connections go silent while engines leave and new weights are set. API keys and
+routes change. What callers and engines saw is checked against the guarantees. Exits with 1
+after a violation and prints the seed. Seeds that once failed are kept in `seeds.txt`, one a
+line: seed, seconds, nodes, the modes of the run (see `Modes`), and the cause.
 """
 
 import argparse
@@ -42,28 +42,28 @@
 CALL_TIMEOUT_S = 5.0
 ROUTES = ("whole", "safe", "stream", "resume")
 BODY = b"body"
-# Of the calls, those with a key that was taken away (own choice).
-OLD_KEY_SHARE = 0.2
+# The share of calls with a revoked API key.
+REVOKED_KEY_SHARE = 0.2
 SETTLE_S = 9.0
-# The last landing.
+# The commit of the earlier build that `--builds` mixes in by default.
 EARLIER_BUILD = "3943703"
 KEPT_PATH = Path(__file__).parent / "seeds.txt"
-# As in the stand-in's settings: RevokeMs and VersionMs; DrainMs is the platform's.
+# Equal to RevokeMs and VersionMs in the stand-in's settings; DrainMs is the platform's.
 BOUNDS = Bounds(revoke_s=5.0, drain_s=2.0, version_s=8.0)
 
 
 @dataclass(frozen=True)
 class Modes:
-    """What comes up beside the faults.
+    """Optional conditions of a soak in addition to the faults.
 
     Attributes:
-        deadly: callers repeat requests under which engines end.
-        sleeps: machines are suspended, too.
-        hard: uneven engines, restarts, bursts and slow callers.
-        words: engines say in their answers that they leave, or want rest.
-        limits: engines name limits for all nodes together.
-        returns: the store comes back from older copies of itself.
-        builds: each start of a node draws this build or that of `EARLIER_BUILD`.
+        deadly: callers repeat requests that crash engines.
+        sleeps: machines are suspended.
+        hard: slow engines, engine restarts, malformed records, bursts and slow callers.
+        words: engines announce in their answers that they leave or need a pause.
+        limits: engines announce rate limits for all nodes together.
+        returns: the store is restored from older copies.
+        builds: each start of a node draws the current build or the earlier one.
     """
 
     deadly: bool = False
@@ -79,16 +79,16 @@
 
 
 class Soak:
-    """One deployment under faults, and its history."""
+    """One deployment under faults, and the history of its requests."""
 
     def __init__(self, seed, seconds, directory, nodes=NODES, modes=Modes(), earlier=EARLIER_BUILD):
-        self._deadly = CrashRequestCallers(seed) if modes.deadly else None
-        self._deadly_bodies = self._deadly.bodies() if modes.deadly else frozenset()
+        self._crash_callers = CrashRequestCallers(seed) if modes.deadly else None
+        self._crash_bodies = self._crash_callers.bodies() if modes.deadly else frozenset()
         self.builds = Counter()
         self._trees = [ROOT, extract_tree(earlier, directory)] if modes.builds else [ROOT]
         self._build_draw = random.Random(f"{seed}/builds")
         self.fleet = Fleet(
-            directory, nodes, self._deadly_bodies, modes.sleeps, modes.hard, self._draw_root
+            directory, nodes, self._crash_bodies, modes.sleeps, modes.hard, self._draw_root
         )
         if modes.builds:
             self.fleet.store.era = "1"
@@ -107,33 +107,33 @@
         self._session = None
 
     async def run(self):
-        """Play the soak and return its violations."""
-        # Callers keep their connections open until a node closes them or is gone.
+        """Run the soak; return its violations and whether all nodes serve again."""
+        # Callers keep their connections open until a node closes them or exits.
         connector = aiohttp.TCPConnector(limit=0, keepalive_timeout=self._seconds)
         async with self.fleet.deployment, aiohttp.ClientSession(connector=connector) as session:
             self._session = session
             await self.fleet.start()
             callers = [asyncio.ensure_future(self._call_on()) for _ in range(CALLERS)]
-            if self._deadly is not None:
-                deadly = self._deadly.run(self._call_deadly, lambda: self._over)
-                callers.append(asyncio.ensure_future(deadly))
-            await asyncio.gather(*self._faults())
+            if self._crash_callers is not None:
+                crash_calls = self._crash_callers.run(self._call_crash_request, lambda: self._over)
+                callers.append(asyncio.ensure_future(crash_calls))
+            await asyncio.gather(*self._conditions())
             await self.fleet.clear_faults()
             alive = await self._all_serve()
             self._over = True
             await asyncio.gather(*callers)
             await self.fleet.stop_retired()
-            found = check(*self._history(), BOUNDS)
-            found += check_announcements(*self._history())
-            found += check_limits(*self._history())
-            return [*found, *check_crash_requests(*self._history(), self._deadly_bodies)], alive
+            violations = check(*self._history(), BOUNDS)
+            violations += check_announcements(*self._history())
+            violations += check_limits(*self._history())
+            return [*violations, *check_crash_requests(*self._history(), self._crash_bodies)], alive
 
     def _draw_root(self):
         root = self._build_draw.choice(self._trees)
         self.builds["this" if root is ROOT else "earlier"] += 1
         return root
 
-    def _faults(self):
+    def _conditions(self):
         yield self._injector.inject_for(self._seconds)
         if self._sleeps is not None:
             yield self._sleeps.run_for(self._seconds)
@@ -147,20 +147,20 @@
             yield self.restores.run_for(self._seconds)
 
     def parts(self):
-        """Return what came up beside the faults, or None for what did not."""
+        """Return the optional conditions that count what they did; None for those that are off."""
         return self.hard_load, self.announcements, self.limits, self.restores
 
     def max_lateness(self):
-        """Return the latest arrivals after leavings and namings."""
+        """Return the greatest lateness of requests after departures and weight changes."""
         return max_lateness(*self._history())
 
-    def keep_logs(self, found):
-        """Copy the nodes' logs, and what happened, to a place of their own; return it."""
+    def keep_logs(self, violations):
+        """Copy the nodes' logs and the timeline to a folder under reports/ and return it."""
         target = Path("reports") / f"soak-{self._seed}"
         target.mkdir(parents=True, exist_ok=True)
         for node in self.fleet.nodes:
             (target / node.log_path.name).write_bytes(node.log_path.read_bytes())
-        lines = [*self.fleet.timeline.lines(), *map(str, found)]
+        lines = [*self.fleet.timeline.lines(), *map(str, violations)]
         (target / "history.txt").write_text("\n".join(lines) + "\n")
         return target
 
@@ -174,17 +174,17 @@
             await self._call()
             await asyncio.sleep(self._random.uniform(0.02, 0.1))
 
-    def ends(self):
-        """Return how many engines ended under each deadly request."""
+    def crash_counts(self):
+        """Return how many engines crashed on each crash request."""
         engines = self.fleet.all_engines()
-        return {body.decode(): len(crash_times(body, engines)) for body in self._deadly_bodies}
+        return {body.decode(): len(crash_times(body, engines)) for body in self._crash_bodies}
 
     async def _call(self):
         node = self._random.choice(self.fleet.nodes)
         route = self._random.choice(ROUTES)
         await self._call_at(node, route, self._key(), BODY if route != "safe" else b"")
 
-    async def _call_deadly(self, route, body):
+    async def _call_crash_request(self, route, body):
         node = self._random.choice(self.fleet.nodes)
         await self._call_at(node, route, self.fleet.keys[-1], body)
 
@@ -215,10 +215,10 @@
         )
 
     def _key(self):
-        """Return a key in force, now and then one that was taken away."""
+        """Return a valid API key, or sometimes a revoked one."""
         revoked = list(self.fleet.timeline.revoked_at)
-        is_old = revoked and self._random.random() < OLD_KEY_SHARE
-        return self._random.choice(revoked if is_old else self.fleet.keys)
+        use_revoked = revoked and self._random.random() < REVOKED_KEY_SHARE
+        return self._random.choice(revoked if use_revoked else self.fleet.keys)
 
     async def _send(self, node, route, headers, sent_body=b""):
         method = "POST" if sent_body else "GET"
@@ -243,10 +243,10 @@
         except (aiohttp.ClientError, OSError, TimeoutError):
             return status, body, False, True
 
-    # The end
+    # End of the soak
 
     async def _all_serve(self):
-        """Return whether every node serves again, in time."""
+        """Return whether every node serves requests again within `SETTLE_S`."""
 
         async def serve():
             for node in self.fleet.nodes:
@@ -279,30 +279,31 @@
             return False
 
 
-def play(seed, seconds, nodes=NODES, modes=Modes(), earlier=EARLIER_BUILD):
-    """Play one seed; return its violations, and print what it did."""
+def run_seed(seed, seconds, nodes=NODES, modes=Modes(), earlier=EARLIER_BUILD):
+    """Run one seed and print its summary; return its violations and whether all nodes serve."""
     with tempfile.TemporaryDirectory(prefix="liftrill-soak-") as directory:
         soak = Soak(seed, seconds, Path(directory), nodes, modes, earlier)
-        found, alive = asyncio.run(soak.run())
+        violations, alive = asyncio.run(soak.run())
         served = sum(call.status == 200 and call.complete for call in soak.calls)
         print(
             f"seed {seed}: {len(soak.calls)} requests, {served} served, "
-            f"{len(soak.fleet.timeline.faults)} faults, {len(found)} violations, "
-            f"all nodes serve again: {alive}, {soak.max_lateness()}, ended under requests: {soak.ends()}"
+            f"{len(soak.fleet.timeline.faults)} faults, {len(violations)} violations, "
+            f"all nodes serve again: {alive}, {soak.max_lateness()}, "
+            f"engines crashed on requests: {soak.crash_counts()}"
             + (f", builds: {dict(soak.builds)}" if modes.builds else "")
             + "".join(f", {part.counts}" for part in soak.parts() if part),
             flush=True,
         )
-        for guarantee, count in Counter(violation.guarantee for violation in found).items():
-            first = next(violation for violation in found if violation.guarantee == guarantee)
+        for guarantee, count in Counter(v.guarantee for v in violations).items():
+            first = next(v for v in violations if v.guarantee == guarantee)
             print(f"  {count} times: {first}")
-        if found or not alive:
-            print(f"  logs in {soak.keep_logs(found)}")
-    return found, alive
+        if violations or not alive:
+            print(f"  logs in {soak.keep_logs(violations)}")
+    return violations, alive
 
 
-def kept_plays():
-    """Return seed, seconds, nodes and modes."""
+def kept_runs():
+    """Return the seed, seconds, nodes and modes of each seed in `seeds.txt`."""
     lines = KEPT_PATH.read_text().splitlines()
     rows = [line.partition("|")[0].split() for line in lines if not line.startswith("#")]
     return [
@@ -316,17 +317,17 @@
     parser.add_argument("--seed", type=int, default=int.from_bytes(os.urandom(3), "big"))
     parser.add_argument("--seeds", type=int, default=1)
     parser.add_argument("--seconds", type=float, default=30.0)
-    parser.add_argument("--nodes", type=int, default=NODES, help="12 at the most")
-    parser.add_argument("--kept", action="store_true", help="play the seeds that failed once")
+    parser.add_argument("--nodes", type=int, default=NODES, help="at most 12")
+    parser.add_argument("--kept", action="store_true", help="run the seeds that once failed")
     parser.add_argument("--earlier", default=EARLIER_BUILD, help="commit of the earlier build")
     for mode in MODES:
         parser.add_argument(f"--{mode}", action="store_true", help="see `Modes`")
     options = parser.parse_args()
     seeds = range(options.seed, options.seed + options.seeds)
     modes = Modes(**{mode: getattr(options, mode) for mode in MODES})
-    plays = [(seed, options.seconds, options.nodes, modes, options.earlier) for seed in seeds]
-    results = [play(*one) for one in (kept_plays() if options.kept else plays)]
-    return 0 if all(not found and alive for found, alive in results) else 1
+    runs = [(seed, options.seconds, options.nodes, modes, options.earlier) for seed in seeds]
+    results = [run_seed(*run) for run in (kept_runs() if options.kept else runs)]
+    return 0 if all(not violations and alive for violations, alive in results) else 1
 
 
 if __name__ == "__main__":
--- a/features/soak/sleeps.py
+++ b/features/soak/sleeps.py
@@ -1,18 +1,18 @@
-"""Machines that sleep during a soak: their steady clocks stand, all other time goes on."""
+"""Suspended machines in a soak: a node's monotonic clock stops while real time goes on."""
 
 import asyncio
 import random
 import signal
 from contextlib import suppress
 
-# Between two sleeps, how long one lasts, and how many nodes sleep together (own choice).
+# Between two suspensions, how long one lasts, and how many nodes are suspended together.
 SPACING_S = (1.0, 3.0)
 LASTS_S = (1.0, 8.0)
-SLEEPERS = (1, 1, 1, 2, 3)
+NODES_PER_SLEEP = (1, 1, 1, 2, 3)
 
 
 class MachineSleeps:
-    """Lets nodes sleep at random; what is drawn depends on the seed alone."""
+    """Suspends random nodes; the draws depend on the seed alone."""
 
     def __init__(self, fleet, seed):
         self._fleet = fleet
@@ -21,7 +21,7 @@
         self.count = 0
 
     async def run_for(self, seconds):
-        """Begin sleeps for some time, and wait for their ends."""
+        """Begin suspensions for some time, and wait until all have ended."""
         loop = asyncio.get_running_loop()
         until = loop.time() + seconds
         sleeping = []
@@ -34,7 +34,7 @@
 
     def _draw_nodes(self):
         awake = [node for node in self._fleet.running_nodes() if node.name not in self._asleep]
-        count = min(len(awake), self._random.choice(SLEEPERS))
+        count = min(len(awake), self._random.choice(NODES_PER_SLEEP))
         return self._random.sample(awake, count)
 
     async def _sleep(self, node, lasts_s):
@@ -44,7 +44,7 @@
         with self._fleet.timeline.impairment(node.name, halted=True), suppress(ProcessLookupError):
             node.signal(signal.SIGSTOP)
             await asyncio.sleep(lasts_s)
-            # Another fault may have ended the process that slept, or let it go on.
+            # Another fault may have killed the suspended process or replaced it.
             if node.process is process and process.returncode is None:
                 node.wake(lasts_s)
         self._asleep.discard(node.name)
--- a/features/soak/timeline.py
+++ b/features/soak/timeline.py
@@ -1,26 +1,26 @@
-"""What a soak did and when: faults that excuse a node, and news that the store took."""
+"""Timeline of a soak: the faults that excuse a node, and the changes that the store accepted."""
 
 import math
 import time
 from contextlib import contextmanager
 from dataclasses import dataclass, field
 
-# How long before an arrival a fault must be over to excuse it no more: within it a node
-# notices the end, is back in touch and has acted on what it then heard.
+# A fault excuses requests for this long after its end: the node notices the end, reconnects to
+# the store and acts on what it then reads.
 RECOVERY_S = 3.0
-# The same for connections to the store that went silent, which have to be noticed first.
+# The same for connections to the store that went silent: the silence has to be detected first.
 SILENCE_RECOVERY_S = 3.5
 
 
 @dataclass(frozen=True)
 class Impairment:
-    """A fault that kept nodes from hearing, from acting, or from both.
+    """A fault that kept nodes from receiving changes, from acting on them, or from both.
 
     Attributes:
-        node: whose it was, or "" for all nodes.
-        begun_at: steady clock, seconds, as for all times of a soak.
-        recovery_s: for how long after its end it excuses what a node does.
-        stands: whether the node's process stood still, or ended, meanwhile.
+        node: the affected node, or "" for all nodes.
+        begun_at: in seconds of the monotonic clock, like all times of a soak.
+        recovery_s: for how long after its end the impairment excuses late requests.
+        halted: whether the node's process was stopped, or had exited, meanwhile.
     """
 
     node: str
@@ -35,24 +35,25 @@
 
 @dataclass(frozen=True)
 class Stop:
-    """A node that was told to end, and ended by itself."""
+    """The stop of a node that received SIGTERM and exited by itself."""
 
     node: str
     signalled_at: float
-    gone_at: float
+    exited_at: float
 
 
 @dataclass
 class Timeline:
-    """When the store took what must be known soon, and what kept nodes from knowing it.
+    """When the store accepted each change, and which faults kept nodes from receiving it.
 
     Attributes:
-        revoked_at: by key, when the store took a configuration without it.
-        left_at: by engine, when the store took its word that it leaves, or else its
-            record's removal.
-        version_set_at: by version, when the store took its naming.
-        stops: of nodes that were told to end.
-        faults: when each fault was begun, and its name.
+        revoked_at: by API key, when the store accepted a configuration without the key.
+        left_at: by engine, when the store accepted its draining record, or else the removal
+            of its record.
+        version_set_at: by weight version, when the store accepted it as the target.
+        stops: the nodes that received SIGTERM and exited.
+        faults: the start and the name of each injected fault.
+        impairments: the faults that excuse late requests.
     """
 
     revoked_at: dict = field(default_factory=dict)
@@ -64,7 +65,7 @@
 
     @contextmanager
     def impairment(self, node="", halted=False):
-        """Note what happens meanwhile as a trouble of one node, or of all."""
+        """Record the duration of the `with` block as an impairment of one node, or of all."""
         begun_at = time.monotonic()
         try:
             yield begun_at
@@ -73,52 +74,54 @@
             self.impairments.append(Impairment(node, begun_at, ended_at, halted=halted))
 
     def note_stop(self, node, signalled_at):
-        """Note that a node which was told to end is gone."""
+        """Record that a node exited after SIGTERM."""
         self.stops.append(Stop(node, signalled_at, time.monotonic()))
 
     def undisturbed_stops(self):
-        """Return the stops of nodes that stood still for no other reason meanwhile."""
+        """Return the stops during which nothing else halted the node's process."""
         return [stop for stop in self.stops if not any(self._disturb(stop))]
 
     def _disturb(self, stop):
-        # A stop is a trouble of its node itself, which begins as it is told to end.
+        # The stop itself is recorded as an impairment that begins with its signal.
         for impairment in self.impairments:
             if (
                 impairment.node == stop.node
                 and impairment.halted
                 and impairment.begun_at != stop.signalled_at
             ):
-                yield impairment.begun_at < stop.gone_at and impairment.ended_at > stop.signalled_at
+                yield (
+                    impairment.begun_at < stop.exited_at and impairment.ended_at > stop.signalled_at
+                )
 
     def note_silent_connections(self):
-        """Note that all connections to the store that are open now have gone silent."""
+        """Record that all connections to the store that are open now have gone silent."""
         now = time.monotonic()
         self.impairments.append(Impairment("", now, now, SILENCE_RECOVERY_S))
 
     def note_fault(self, name):
-        """Note that a fault begins."""
+        """Record the start of a fault."""
         self.faults.append((time.monotonic(), name))
 
     def note_revocation(self, key):
-        """Note that the store has just taken a configuration without a key."""
+        """Record that the store has just accepted a configuration without an API key."""
         self.revoked_at[key] = time.monotonic()
 
     def note_version(self, version):
-        """Note that the store has just taken the naming of a version."""
+        """Record that the store has just accepted a target weight version."""
         self.version_set_at[version] = time.monotonic()
 
     def note_departure(self, engine_id):
-        """Note that the store has just taken an engine's leaving, if it is the first word."""
+        """Record that the store has just accepted an engine's departure, unless one is recorded."""
         self.left_at.setdefault(engine_id, time.monotonic())
 
     def replaced_at(self, version):
-        """Return when a newer version than one was first named, or infinity."""
+        """Return when a version newer than `version` was first set as the target, or infinity."""
         return min(
             (at for newer, at in self.version_set_at.items() if newer > version), default=math.inf
         )
 
     def is_excused(self, node, at):
-        """Return whether a node had a trouble at a time, or recovers from one."""
+        """Return whether a node was impaired, or was recovering from an impairment, at a time."""
         return any(
             t.begun_at <= at <= t.ended_at + t.recovery_s
             for t in self.impairments
@@ -126,11 +129,11 @@
         )
 
     def halted_between(self, node, since, until):
-        """Return whether a node's process stood still, or ended, between two times."""
+        """Return whether a node's process was stopped, or had exited, between two times."""
         return any(t.halted for t in self._between(node, since, until))
 
     def impaired_between(self, node, since, until):
-        """Return whether a node had any trouble between two times."""
+        """Return whether a node was impaired between two times."""
         return any(True for _ in self._between(node, since, until))
 
     def _between(self, node, since, until):
@@ -143,21 +146,22 @@
                 yield impairment
 
     def unimpaired_since(self, node, at):
-        """Return since when a node has had no trouble: the time itself if it has one."""
+        """Return since when a node has been unimpaired, or `at` itself if it is impaired then."""
         ends = (t.ended_at for t in self.impairments if t.affects(node) and t.begun_at <= at)
         return min(at, max(ends, default=-math.inf))
 
     def lines(self):
-        """Return all of it as lines with the time of day, as logs have it."""
+        """Return the timeline as text lines with wall-clock times, for comparison with the logs."""
         offset = time.time() - time.monotonic()
         rows = [*self.faults]
         rows += [(at, f"{engine} left") for engine, at in self.left_at.items()]
         rows += [
-            (at, f"version {version} was named") for version, at in self.version_set_at.items()
+            (at, f"version {version} was set as the target")
+            for version, at in self.version_set_at.items()
         ]
         rows += [(at, f"{key} was revoked") for key, at in self.revoked_at.items()]
         rows += [
-            (t.begun_at, f"trouble of {t.node or 'all'} until {t.ended_at + offset:.3f}")
+            (t.begun_at, f"impaired: {t.node or 'all nodes'}, until {t.ended_at + offset:.3f}")
             for t in self.impairments
         ]
         return [f"{at + offset:.3f} {what}" for at, what in sorted(rows)]
--- a/features/steps/soak_steps.py
+++ b/features/steps/soak_steps.py
@@ -191,7 +191,7 @@
     assert found == JUDGEMENTS[judged], context.found
 
 
-@then('the check finds "{promise}" broken, and nothing in the history without it')
+@then('the check finds "{guarantee}" broken, and nothing in the history without it')
 def step_found(context, guarantee):
     assert {violation.guarantee for violation in context.found} == {guarantee}, context.found
     assert context.found_in_good == [], context.found_in_good
@@ -224,12 +224,12 @@
 
 @then("the store came back {count:d} times at least")
 def step_returns(context, count):
-    assert context.soak.restores.counts["return"] >= count, context.soak.restores.counts
+    assert context.soak.restores.counts["restore"] >= count, context.soak.restores.counts
 
 
 @then("engines said that they leave, and asked for rest")
 def step_words_kinds(context):
-    assert set(context.soak.announcements.counts) == {"leave", "rest"}, (
+    assert set(context.soak.announcements.counts) == {"leave", "pause"}, (
         context.soak.announcements.counts
     )
 
@@ -286,7 +286,7 @@
 
 def told(at=TOLD_AT, **says):
     """Return a request whose answer says something."""
-    fields = {"said_leaving": False, "rest_s": 0.0, "cut": False, **says}
+    fields = {"announced_leaving": False, "retry_after_s": 0.0, "cut": False, **says}
     return SimpleNamespace(attempt_id="r1", at=at, answered_at=at, **fields)
 
 
