--- a/features/soak/run.py
+++ b/features/soak/run.py
@@ -45,7 +45,7 @@
 # The share of calls with a revoked API key.
 REVOKED_KEY_SHARE = 0.2
 SETTLE_S = 9.0
-# The commit of the earlier build that `--builds` mixes in by default.
+# The earlier build that `--builds` mixes in by default: the commit that landed last.
 EARLIER_BUILD = "3943703"
 KEPT_PATH = Path(__file__).parent / "seeds.txt"
 # Equal to RevokeMs and VersionMs in the stand-in's settings; DrainMs is the platform's.
--- a/features/standin/__init__.py
+++ b/features/standin/__init__.py
@@ -1,4 +1,4 @@
-"""A small stand-in of the users' platform, written from its protocol page.
+"""A small stand-in for the users' platform, written from the description of its protocol.
 
-It knows the platform's names, so it lies with the tests: nothing of the product does.
+It contains the platform's names, so it belongs to the tests: the product contains none of them.
 """
--- a/features/standin/connections.py
+++ b/features/standin/connections.py
@@ -1,11 +1,11 @@
-"""Harm to single connections."""
+"""Fault injection for single connections."""
 
 import socket
 import struct
 
 
 def reset(transport):
-    """Close a connection with a reset, which its peer can tell from an end."""
+    """Close a connection with a TCP reset, which its peer can tell from an orderly close."""
     if transport.is_closing():
         return
     connection = transport.get_extra_info("socket")
--- a/features/standin/deployment.py
+++ b/features/standin/deployment.py
@@ -1,4 +1,4 @@
-"""Starts the stand-in platform and nodes as separate processes, and calls as clients do."""
+"""Starts the stand-in platform and separate node processes, and sends requests as clients do."""
 
 import asyncio
 import itertools
@@ -134,7 +134,7 @@
             str(self.root / "platform" / "serve.py"),
             env={
                 **os.environ,
-                # Another build must not find this one's modules first.
+                # A node of another build must not import the modules of this one.
                 "PYTHONPATH": str(self.root),
                 "LIFTRILL_BOOT": str(self.settings_path),
                 SLEPT_FILE: str(self.slept_path),
@@ -157,7 +157,7 @@
         self.process.send_signal(number)
 
     def wake(self, slept_s):
-        """Let a node go on that was stopped, as if its machine had slept for so long."""
+        """Resume a stopped node as if its machine had been suspended for `slept_s` seconds."""
         self.slept_s += slept_s
         self.slept_path.write_text(str(self.slept_s))
         self.signal(signal.SIGUSR1)
@@ -200,7 +200,7 @@
         return engine
 
     async def add_engine_at(self, name, service, port):
-        """Add an engine at a port that another one had."""
+        """Add an engine at a port that another engine used before; write no record for it."""
         engine = StandInEngine(name, service)
         await engine.start(port)
         self.engines[name] = engine
@@ -218,7 +218,7 @@
     async def add_node(self, name, wrapper=(), changes=None, root=ROOT, **options):
         if not self.ports:
             self.ports = dict(zip(PORTS, free_ports(len(PORTS)), strict=True))
-        # As on the platform, each machine has an address of its own and ports are alike.
+        # As on the platform, each machine has its own address and all use the same ports.
         node = Node(name, self.directory, f"127.0.1.{len(self.nodes) + 1}", self.ports)
         node.write_settings(
             self.store.address_for(node.ip), self.nodes, self.bounds, **(changes or {})
@@ -235,7 +235,7 @@
             found = await condition()
             if found:
                 return found
-            assert loop.time() < until, "it did not come about in time"
+            assert loop.time() < until, f"condition not met within {seconds} s"
             await asyncio.sleep(0.03)
 
     async def ready(self, node):
@@ -256,7 +256,7 @@
             return await answer.json()
 
     async def call(self, node, path, method="POST", key=KEY, model="", body=b"body", **headers):
-        """Return status, headers, body and whether the body was complete."""
+        """Send a request; return its status, headers, body and whether the body was complete."""
         sent = {
             "Host": HOST,
             "X-Attempt-Id": f"{next(_ids):016x}",
--- a/features/standin/earlier_build.py
+++ b/features/standin/earlier_build.py
@@ -1,4 +1,4 @@
-"""Trees of earlier commits, written out of the repository's own history."""
+"""Source trees of earlier commits, extracted from the repository's history."""
 
 import io
 import subprocess
@@ -6,12 +6,12 @@
 from pathlib import Path
 
 ROOT = Path(__file__).resolve().parent.parent.parent
-# What a node is started from.
+# The folders that a node needs to run.
 PARTS = ("liftrill", "platform")
 
 
 def extract_tree(commit, directory):
-    """Write a commit's tree to a folder and return it, or None where the history lacks it."""
+    """Extract a commit's tree and return its folder, or None if the history lacks the commit."""
     archived = subprocess.run(
         ["git", "-C", str(ROOT), "archive", commit, *PARTS], capture_output=True, check=False
     )
--- a/features/standin/engine.py
+++ b/features/standin/engine.py
@@ -1,4 +1,4 @@
-"""An engine of the platform: whole answers, streams, orders, and faults set from a test."""
+"""Stand-in engine of the platform: whole answers, streams, orders, and faults that tests set."""
 
 import asyncio
 import json
@@ -11,8 +11,8 @@
 from features.standin.connections import reset
 
 SIGNATURE = "stand-in-signature"
-# A longer rest is a mistake of whoever asks for it.
-LONGEST_REST_S = 600.0
+# A longer `Retry-After` counts as a mistake of the engine, and nodes need not obey it.
+MAX_RETRY_AFTER_S = 600.0
 
 
 @dataclass
@@ -20,12 +20,16 @@
     """One request that reached an engine.
 
     Attributes:
-        at: when its head arrived (steady clock, seconds).
-        version: of the weights on which it began, where it names a model.
+        at: when its head arrived, in seconds of the monotonic clock.
+        version: the weight version on which it began, if it names a model.
+        refused: whether it was refused and not run.
+        ran: whether it was run.
+        finished: whether its answer was complete.
+        cut: whether its connection was closed before the answer was complete.
         answered_at: when the head of the answer was written, or None.
-        announced_leaving: whether the answer said that the engine leaves.
-        retry_after_s: the rest that the answer asked for, or 0.
-        limit: the requests a second that the answer named, or "".
+        announced_leaving: whether the answer announced that the engine leaves.
+        retry_after_s: the valid `Retry-After` of the answer, or 0.
+        limit: the rate limit in the answer, in requests per second, or "".
     """
 
     attempt_id: str
@@ -44,48 +48,48 @@
     retry_after_s: float = 0.0
     limit: str = ""
 
-    def tell(self, headers):
-        """Note what an answer says that is about to be written."""
+    def note_answer(self, headers):
+        """Record what the answer that is about to be written announces."""
         self.answered_at = time.monotonic()
         self.limit = headers.get("Server-Limit", "")
         self.announced_leaving = headers.get("Server-Leaving") == "1"
         with suppress(ValueError):
             retry_after_s = float(headers.get("Retry-After", 0))
-            self.retry_after_s = retry_after_s if 0 < retry_after_s <= LONGEST_REST_S else 0.0
+            self.retry_after_s = retry_after_s if 0 < retry_after_s <= MAX_RETRY_AFTER_S else 0.0
 
 
-# An engine that ends under a request does so this long after it has begun (own choice).
-ENDS_AFTER_S = 0.05
+# An engine that crashes on a request does so this long after the request has begun.
+CRASHES_AFTER_S = 0.05
 
 
-# The kinds of answers in which an engine may say that it leaves.
+# The kinds of answers in which an engine may announce that it leaves.
 ANSWER_KINDS = frozenset(("whole", "head", "refusal", "report", "order"))
-# Those of them that answer a caller's request.
-LIMITED_ANSWERS = frozenset(("whole", "head", "refusal"))
+# The kinds that answer a caller's request.
+REQUEST_ANSWERS = frozenset(("whole", "head", "refusal"))
 
-# Copies of runs that engines hold for each other, as ADDRESS/ID.
-copies = set()
+# The cache backups that engines hold for each other, as ADDRESS/ID.
+held_backups = set()
 
 
 @dataclass
 class StandInEngine:
-    """One incarnation.
+    """One incarnation of an engine.
 
     Attributes:
         fault: applied to the next request: "shed", "shed_without_id", "close", "crossed",
             "extra", "extra_late", "reset_unframed", "torn", "hang", "fail".
         refuses_orders: whether it answers orders as if it were busy.
-        crashes_on: the bodies of requests under which it ends.
-        born_unix_ms: when it started, told in its record, or 0 where it is not told.
-        ended: set once it has crashed, with the time in `crashed_at`.
-        crashed_on: the body of the request under which it ended, or None.
-        event_bytes: by which each event is longer than a short one.
-        leaving_in: in which of its answers it says that it leaves: ANSWERS or some of them.
-        rest: what it says in `Retry-After` to each request, all of which it turns away, or "".
-        limit: what it says in `Server-Limit`, or "".
-        limit_in: in which of its answers it says that.
-        refused_of_ten: of ten requests, how many it turns away.
-        limit_periods: since when, until when and which number it named, where a soak lets it.
+        crashes_on: the bodies of the requests that crash it.
+        born_unix_ms: its start time in its record, or 0 to leave it out.
+        crashed: set once it has crashed, with the time in `crashed_at`.
+        crashed_on: the body of the request that crashed it, or None.
+        event_bytes: the number of filler bytes added to each event.
+        leaving_in: the kinds of its answers that announce its leaving, a subset of ANSWER_KINDS.
+        retry_after: the `Retry-After` with which it refuses every request, or "".
+        limit: the `Server-Limit` in its answers, or "".
+        limit_in: the kinds of its answers that contain the limit.
+        refused_of_ten: how many of ten requests it refuses.
+        limit_periods: the start, the end and the value of each limit that a soak set.
     """
 
     engine_id: str
@@ -107,7 +111,7 @@
     leaving_in: frozenset = frozenset()
     retry_after: str = ""
     limit: str = ""
-    limit_in: frozenset = LIMITED_ANSWERS
+    limit_in: frozenset = REQUEST_ANSWERS
     refused_of_ten: int = 0
     limit_periods: list = field(default_factory=list)
 
@@ -132,13 +136,13 @@
     async def stop(self):
         await self._runner.cleanup()
 
-    async def _end_under(self, body):
+    async def _crash_on(self, body):
         if not self.crashed.is_set():
             self.crashed_on = body
             await self.crash()
 
     async def crash(self):
-        """Take no more connections and reset those that are open, as when a process dies."""
+        """Stop listening and reset the open connections, as when the process dies."""
         for site in list(self._runner.sites):
             await site.stop()
         for handler in list(self._server.connections):
@@ -170,7 +174,7 @@
             return self._misdirected(request)
         if request.path == "/liftrill/report":
             self.reports.append(arrived_at)
-            return web.json_response(self._report(), headers=self._said("report"))
+            return web.json_response(self._report(), headers=self._announcements("report"))
         if request.path == "/liftrill/order":
             return self._order(json.loads(await request.read()))
         arrival = Arrival(
@@ -198,13 +202,13 @@
         }
         return web.Response(status=421, headers=headers)
 
-    def _said(self, answer):
+    def _announcements(self, answer):
         leaving = {"Server-Leaving": "1"} if answer in self.leaving_in else {}
         limit = {"Server-Limit": self.limit} if self.limit and answer in self.limit_in else {}
         return leaving | limit
 
     def _shed(self, attempt_id):
-        headers = {"X-Not-Executed": "1", **self._said("refusal")}
+        headers = {"X-Not-Executed": "1", **self._announcements("refusal")}
         if self.retry_after:
             headers["Retry-After"] = self.retry_after
         if attempt_id:
@@ -217,16 +221,16 @@
 
     def _order(self, body):
         if body["Fence"] < self.highest_fence:
-            return web.Response(status=412, headers=self._said("order"))
+            return web.Response(status=412, headers=self._announcements("order"))
         is_busy = self.loading or self.refuses_orders
         if body.get("Expected") not in (None, self.sequence) or is_busy:
-            return web.Response(status=409, headers=self._said("order"))
+            return web.Response(status=409, headers=self._announcements("order"))
         self.highest_fence = body["Fence"]
         self.orders.append(body)
         self.sequence += 1
         self.loading = True
         asyncio.get_running_loop().call_later(self.load_seconds, self._loaded, body)
-        return web.Response(status=202, headers=self._said("order"))
+        return web.Response(status=202, headers=self._announcements("order"))
 
     def _loaded(self, body):
         self.loading = False
@@ -241,22 +245,22 @@
 
     async def _serve(self, request, arrival):
         fault = self._take_fault()
-        # 3 and 10 have no common divisor: those that are turned away are spread over the ten.
-        is_turned_away = 3 * len(self.arrivals) % 10 < self.refused_of_ten
-        if fault in ("shed", "shed_without_id") or self.retry_after or is_turned_away:
+        # 3 and 10 have no common divisor, so the refused requests are spread over the ten.
+        is_refused = 3 * len(self.arrivals) % 10 < self.refused_of_ten
+        if fault in ("shed", "shed_without_id") or self.retry_after or is_refused:
             arrival.refused = True
             answer = self._shed("" if fault == "shed_without_id" else arrival.attempt_id)
-            arrival.tell(answer.headers)
+            arrival.note_answer(answer.headers)
             return answer
         version = request.headers.get("X-Expect-Version")
         model = request.headers.get("X-Model")
         if version is not None and int(version) != self.weights.get(model):
             return self._misdirected(request)
-        handle = request.headers.get("Kv-From")
-        if handle is not None and handle not in copies:
+        backup = request.headers.get("Kv-From")
+        if backup is not None and backup not in held_backups:
             return self._shed(arrival.attempt_id)
         if "X-Kv-Backup" in request.headers:
-            copies.add(f"{request.headers['X-Kv-Backup']}/{arrival.attempt_id}")
+            held_backups.add(f"{request.headers['X-Kv-Backup']}/{arrival.attempt_id}")
         arrival.version = self.weights.get(model)
         arrival.ran = True
         if arrival.body in self.crashes_on:
@@ -276,16 +280,16 @@
         if fault == "reset_unframed":
             return await self._reset_unframed(request, headers)
         if fault == "end":
-            await asyncio.sleep(ENDS_AFTER_S)
-            await self._end_under(await request.read())
+            await asyncio.sleep(CRASHES_AFTER_S)
+            await self._crash_on(await request.read())
         request.transport.close()
         return web.Response()
 
     async def _whole(self, request, arrival, headers, fault):
         if fault == "crossed":
             headers["X-Attempt-Id"] = "0000000000000000"
-        headers = {**headers, **self._said("whole")}
-        arrival.tell(headers)
+        headers = {**headers, **self._announcements("whole")}
+        arrival.note_answer(headers)
         response = web.Response(body=f"answer to {arrival.attempt_id}".encode(), headers=headers)
         if fault in ("extra", "extra_late"):
             await self._send_twice(request, response, 0.05 if fault == "extra_late" else 0.0)
@@ -310,8 +314,8 @@
 
     async def _stream(self, request, arrival, headers, fault):
         first = int(request.headers.get("Last-Event-Id", "0")) + 1
-        headers = {**headers, **self._said("head"), "Content-Type": "text/event-stream"}
-        arrival.tell(headers)
+        headers = {**headers, **self._announcements("head"), "Content-Type": "text/event-stream"}
+        arrival.note_answer(headers)
         response = web.StreamResponse(headers=headers)
         await response.prepare(request)
         for number in range(first, self.events + 1):
--- a/features/standin/sleeper.py
+++ b/features/standin/sleeper.py
@@ -1,8 +1,8 @@
-"""Runs the platform's program with a steady clock that stands while the machine sleeps.
+"""Runs the platform's program with a monotonic clock that stops while the machine is suspended.
 
-The test stops the process for the time of the sleep, writes how long it has slept in all into
-the file named by SLEPT_FILE, and sends SIGUSR1 before it lets the process go on. It shows what
-the program reads of clocks; timers of the event loop fire earlier than after a real sleep.
+To simulate a suspension, the test stops the process, writes the total suspended time into the file
+named by SLEPT_FILE, and sends SIGUSR1 before it lets the process continue. This simulates the
+clocks that the program reads; timers of the event loop fire earlier than after a real suspension.
 """
 
 import os
@@ -19,12 +19,12 @@
 
 
 def adjusted_monotonic():
-    """Return the steady clock less the time slept."""
+    """Return the monotonic clock less the time suspended."""
     return real_monotonic() - slept_s
 
 
-def wake(signal_number, frame):
-    """Take in how long the process has slept."""
+def read_slept(signal_number, frame):
+    """Read the total time suspended; the handler of SIGUSR1."""
     global slept_s
     slept_s = float(Path(os.environ[SLEPT_FILE]).read_text())
 
@@ -32,7 +32,7 @@
 def main():
     Path(os.environ[SLEPT_FILE]).write_text("0")
     time.monotonic = adjusted_monotonic
-    signal.signal(signal.SIGUSR1, wake)
+    signal.signal(signal.SIGUSR1, read_slept)
     program = sys.argv[1]
     sys.path.insert(0, str(Path(program).parent))
     sys.argv = [program]
--- a/features/standin/store.py
+++ b/features/standin/store.py
@@ -1,4 +1,4 @@
-"""The platform's metadata store: items, leases, watches, and faults set from a test."""
+"""Stand-in metadata store of the platform: items, leases, watches, and faults that tests set."""
 
 import asyncio
 import base64
@@ -10,23 +10,23 @@
 
 from features.standin.connections import reset
 
-MOST_NODES = 12
-# Numbers of leases are of another kind than revisions, and far larger.
+MAX_NODES = 12
+# Lease numbers are not revisions and are far larger.
 FIRST_LEASE = 1 << 62
-# How often a waiting watch looks for leases that ran out (own choice).
+# How often a waiting watch checks for expired leases.
 LEASE_CHECK_S = 0.5
-# How often a silent call looks whether its caller has closed the connection (own choice).
+# How often a silenced call checks whether its caller has closed the connection.
 SILENT_CHECK_S = 0.2
 
 
 class StandInStore:
-    """Linearizable, in memory, on one port.
+    """A linearizable store in memory, on one port.
 
     Attributes:
         fault: "" or one of "down" (503), "silent" (no answer), "reset".
-        unanswered_writes: how many writes are done without an answer.
-        refused_ips: addresses of nodes that get 503; a node calls at its own address.
-        era: told in all answers as text, or None where it is not told.
+        unanswered_writes: how many of the next writes take effect but get no answer.
+        refused_ips: the addresses of nodes whose calls get 503; a node calls at its own address.
+        era: the `Store-Era` in all answers, or None to leave it out.
     """
 
     def __init__(self):
@@ -42,7 +42,7 @@
         self.address = ""
         self.port = 0
         self._previous_era_until = 0.0
-        self._turns = itertools.count()
+        self._answer_numbers = itertools.count()
         self._copies = []
         self._changed = asyncio.Event()
         self._runner = None
@@ -58,8 +58,8 @@
         await self._runner.setup()
         await web.TCPSite(self._runner, "127.0.0.1", 0).start()
         self.port = self._runner.addresses[0][1]
-        # Each node calls at its own address, which tells whose a call is.
-        for number in range(1, MOST_NODES + 1):
+        # Each node calls the store at its own address, which identifies the calling node.
+        for number in range(1, MAX_NODES + 1):
             await web.TCPSite(self._runner, f"127.0.1.{number}", self.port).start()
         self.address = self.address_for("127.0.0.1")
 
@@ -94,10 +94,10 @@
         return base64.b64decode(row["Value"]) if row else None
 
     def restore(self, seconds):
-        """Go back to what was held some seconds ago: later changes and all leases are gone."""
+        """Restore the items of some time ago in a new era; later changes and all leases are lost."""
         until = time.monotonic() - seconds
-        known = [copy for copy in self._copies if copy[0] <= until]
-        _, self.revision, items = known[-1] if known else self._copies[0]
+        older = [copy for copy in self._copies if copy[0] <= until]
+        _, self.revision, items = older[-1] if older else self._copies[0]
         self.items = {key: row for key, row in items.items() if not row["Lease"]}
         self.leases, self._copies = {}, [(0.0, self.revision, dict(self.items))]
         self.era = str(int(self.era) + 1)
@@ -106,30 +106,30 @@
             reset(transport)
 
     def alternate_eras(self, until):
-        """Tell the era before in every other answer until a time, from the second one on."""
-        self._previous_era_until, self._turns = until, itertools.count()
+        """Send the previous era in every second answer until a time, beginning with the second."""
+        self._previous_era_until, self._answer_numbers = until, itertools.count()
 
     def forget_history(self):
-        """Drop the history and cut the watches."""
+        """Compact the history: watches from an earlier revision get 410."""
         self.history = [(self.revision, None)]
         self._wake()
 
     def stall_watches(self):
-        """Answer no watch until `cut_watches`; key and range reads go on."""
+        """Answer no watch until `cut_watches`; key and range reads still work."""
         self._watches_stalled = True
 
     def cut_watches(self):
-        """Reset the connections of watches, drop the history and end the watches' deafness."""
+        """Reset the connections of watches, compact the history and answer watches again."""
         for transport in self._watching:
             reset(transport)
         self._watches_stalled = False
         self.forget_history()
 
     def silence_connections(self):
-        """Never again answer on the connections that are open now; new ones work.
+        """Never answer again on the connections that are open now; new connections work.
 
-        What arrives on them later has no effect either. A call that is in flight may have had
-        its effect, or have it yet.
+        Calls that arrive on them later have no effect. A call that is in flight may already have
+        taken effect, or may still do so.
         """
         self._silent = {t for t in self._silent if not t.is_closing()}
         handlers = self._runner.server.connections
@@ -151,9 +151,9 @@
         self.calls.append((call, time.monotonic()))
         transport = request.transport
         if transport in self._silent:
-            return await _keep_silent(transport)
-        called_at = transport.get_extra_info("sockname")[0]
-        if self.fault == "down" or called_at in self.refused_ips:
+            return await _never_answer(transport)
+        local_ip = transport.get_extra_info("sockname")[0]
+        if self.fault == "down" or local_ip in self.refused_ips:
             return web.Response(status=503, headers=self._era_headers())
         if self.fault == "silent":
             await asyncio.sleep(30)
@@ -165,14 +165,16 @@
             self.unanswered_writes -= 1
             request.transport.abort()
         if transport in self._silent:
-            return await _keep_silent(transport)
+            return await _never_answer(transport)
         return web.json_response(body, status=status, headers=self._era_headers())
 
     def _era_headers(self):
         if self.era is None:
             return {}
-        is_before = time.monotonic() < self._previous_era_until and next(self._turns) % 2
-        return {"Store-Era": str(int(self.era) - 1) if is_before else self.era}
+        use_previous = (
+            time.monotonic() < self._previous_era_until and next(self._answer_numbers) % 2
+        )
+        return {"Store-Era": str(int(self.era) - 1) if use_previous else self.era}
 
     async def _answer(self, call, request):
         query = request.query
@@ -261,8 +263,8 @@
             self.remove(key)
 
 
-async def _keep_silent(transport):
-    """Answer nothing as long as the caller keeps the connection."""
+async def _never_answer(transport):
+    """Wait without an answer until the caller closes the connection."""
     while True:
         if transport.is_closing():
             return web.Response()
