--- a/features/environment.py
+++ b/features/environment.py
@@ -1,4 +1,4 @@
-"""Gives each scenario an event loop of its own and stops what it started."""
+"""Gives each scenario its own event loop and folder, and stops what the scenario started."""
 
 import asyncio
 import tempfile
@@ -22,7 +22,7 @@
 
 
 async def cancel_tasks():
-    """End what a scenario left running, such as calls that wait for an answer."""
+    """Cancel tasks that a scenario left running, such as calls that wait for an answer."""
     tasks = asyncio.all_tasks() - {asyncio.current_task()}
     for task in tasks:
         task.cancel()
--- a/features/run.py
+++ b/features/run.py
@@ -1,10 +1,9 @@
 """Runs the features with behave and prints `N passed, N failed` from behave's own counts.
 
-Files of features are dealt to processes that run beside each other, the longest first; a
-process that ends without telling of its scenarios fails the run. Scenarios listed in
-KNOWN-RED.txt (one a line: `scenario | cause | issue`, at most three) may fail without
-failing the run; they are printed, and a listed scenario that passes fails the run, so that
-the list cannot go stale.
+Feature files are distributed to parallel processes, the slowest first. A process that ends without
+results fails the run. Scenarios listed in KNOWN-RED.txt (one a line: `scenario | cause | issue`,
+at most three) may fail without failing the run. They are printed, and a listed scenario that
+passes fails the run, so that the list cannot become outdated.
 """
 
 import json
@@ -26,15 +25,15 @@
 ROOT = Path(__file__).resolve().parent.parent
 KNOWN_RED_PATH = ROOT / "KNOWN-RED.txt"
 KNOWN_RED_LIMIT = 3
-# Half of the cores: many features run several processes and check times.
+# Half of the cores: many features start several processes and check durations.
 WORKERS = max(1, (os.cpu_count() or 1) // 2)
-# Each worker's processes take ports of their own.
+# The processes of each worker use their own range of ports.
 FIRST_PORT, PORTS_OF_A_WORKER = 10_000, 2_000
 RESULTS_OPTION = "--results="
-# Characters of a failed check that are told beside the scenario's name: its first lines.
-LONGEST_REASON = 600
-# The files that take longest, begun first: 340 to 50 s beside a load of 20 (measured).
-LONGEST = (
+# Characters of a failed check that are printed with the scenario's name: its first lines.
+MAX_REASON_LENGTH = 600
+# The slowest feature files, started first: they take 340 to 50 s at a system load of 20.
+SLOWEST_FEATURES = (
     "promises",
     "quotas",
     "builds",
@@ -57,7 +56,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Result:
-    """How one scenario ended, and the step and check that failed."""
+    """The status of one scenario, and the failed step with its error."""
 
     name: str
     location: str
@@ -66,7 +65,7 @@
 
 
 def known_red() -> dict[str, str]:
-    """Return the listed scenarios and their lines."""
+    """Return the lines of KNOWN-RED.txt by scenario."""
     if not KNOWN_RED_PATH.exists():
         return {}
     lines = [line.strip() for line in KNOWN_RED_PATH.read_text().splitlines()]
@@ -77,7 +76,7 @@
 
 
 def run_features(options: list[str], paths: list[str]) -> list[Result]:
-    """Run features in this process and return how their scenarios ended."""
+    """Run features in this process and return the results of their scenarios."""
     configuration = Configuration(["--format=progress3", "--no-capture", *options, *paths])
     runner = Runner(configuration)
     runner.run()
@@ -87,21 +86,21 @@
 
 def _result(scenario: Scenario) -> Result:
     failed = [s for s in scenario.all_steps if s.error_message]
-    reason = "".join(f"{s.name}: {s.error_message}"[:LONGEST_REASON] for s in failed[:1])
+    reason = "".join(f"{s.name}: {s.error_message}"[:MAX_REASON_LENGTH] for s in failed[:1])
     return Result(scenario.name, str(scenario.location), scenario.status.name, reason)
 
 
-def work(target: Path, arguments: list[str]) -> int:
-    """Run features as one worker, and write how they ended."""
+def run_as_worker(target: Path, arguments: list[str]) -> int:
+    """Run features as one worker and write their results to a file."""
     options, paths = _split(arguments)
     results = run_features(options, paths)
     target.write_text(json.dumps([asdict(result) for result in results]))
     return 0
 
 
-def run_beside(options: list[str], paths: list[str]) -> list[Result]:
-    """Run each file in a process of its own, a few at a time."""
-    ordered = sorted(paths, key=_place)
+def run_in_parallel(options: list[str], paths: list[str]) -> list[Result]:
+    """Run each file in its own process, at most `WORKERS` at a time."""
+    ordered = sorted(paths, key=_rank)
     slots = list(range(WORKERS))
 
     def run_one(path: str) -> list[Result]:
@@ -115,9 +114,9 @@
         return [result for results in pool.map(run_one, ordered) for result in results]
 
 
-def _place(path: str) -> int:
+def _rank(path: str) -> int:
     name = Path(path).stem
-    return LONGEST.index(name) if name in LONGEST else len(LONGEST)
+    return SLOWEST_FEATURES.index(name) if name in SLOWEST_FEATURES else len(SLOWEST_FEATURES)
 
 
 def _run_worker(slot: int, options: list[str], path: str) -> list[Result]:
@@ -126,7 +125,7 @@
     with tempfile.TemporaryDirectory(prefix="liftrill-results-") as directory:
         target = Path(directory) / "results.json"
         command = [sys.executable, "-m", "features.run", f"{RESULTS_OPTION}{target}"]
-        done = subprocess.run(
+        process = subprocess.run(
             [*command, *options, path],
             cwd=ROOT,
             env={**os.environ, PORTS_VARIABLE: ports},
@@ -135,7 +134,7 @@
             text=True,
             check=False,
         )
-        print(done.stdout, flush=True)
+        print(process.stdout, flush=True)
         if not target.exists():
             return [Result(f"the process that ran {path}", path, "ended without results")]
         return [Result(**row) for row in json.loads(target.read_text())]
@@ -148,30 +147,30 @@
 
 
 def report(results: list[Result], listed: dict[str, str]) -> int:
-    """Print how the run ended and return the exit code."""
+    """Print the results and return the exit code."""
     passed = [r for r in results if r.status == Status.passed.name]
     failed = [r for r in results if r.status not in (Status.passed.name, Status.skipped.name)]
     unexpected = [r for r in failed if r.name not in listed]
-    mended = [r for r in passed if r.name in listed]
+    fixed = [r for r in passed if r.name in listed]
     for result in unexpected:
         print(f"FAILED {result.location} {result.name} ({result.status})")
         print(f"  {result.reason}")
     for row in listed.values():
         print(f"KNOWN RED {row}")
-    for result in mended:
+    for result in fixed:
         print(f"LISTED BUT PASSING {result.name}: remove it from KNOWN-RED.txt")
     print(f"{len(passed)} passed, {len(failed)} failed")
-    return 1 if unexpected or mended or not passed else 0
+    return 1 if unexpected or fixed or not passed else 0
 
 
 def main() -> int:
-    """Run everything and return the exit code."""
+    """Run all features, or the given ones, and return the exit code."""
     arguments = sys.argv[1:]
     if arguments and arguments[0].startswith(RESULTS_OPTION):
-        return work(Path(arguments[0].removeprefix(RESULTS_OPTION)), arguments[1:])
+        return run_as_worker(Path(arguments[0].removeprefix(RESULTS_OPTION)), arguments[1:])
     listed = known_red()
     options, paths = _split(arguments)
-    return report(run_beside(options, paths), listed)
+    return report(run_in_parallel(options, paths), listed)
 
 
 if __name__ == "__main__":
--- a/features/standin/store.py
+++ b/features/standin/store.py
@@ -94,7 +94,7 @@
         return base64.b64decode(row["Value"]) if row else None
 
     def restore(self, seconds):
-        """Restore the items of some time ago in a new era; later changes and all leases are lost."""
+        """Restore the items of an earlier time in a new era; later changes and leases are lost."""
         until = time.monotonic() - seconds
         older = [copy for copy in self._copies if copy[0] <= until]
         _, self.revision, items = older[-1] if older else self._copies[0]
--- a/features/support.py
+++ b/features/support.py
@@ -1,4 +1,4 @@
-"""Helpers that several step modules use."""
+"""Helpers shared by step modules."""
 
 import asyncio
 from dataclasses import replace
@@ -19,7 +19,7 @@
 
 
 def start_deployment(context, deployment, **options):
-    """Start the processes of a deployment, unconfigured."""
+    """Start the processes of a deployment without a configuration."""
     cluster = Cluster(deployment, context.directory, **options)
     context.cluster = context.run(context.stack.enter_async_context(cluster))
     context.generator = WorkloadGenerator(deployment, seed=7)
@@ -29,7 +29,7 @@
 
 
 def planned_requests(context, count, workload_name=None, **changes):
-    """Return planned requests, all of one workload if it is named."""
+    """Return `count` planned requests, all of one workload if it is given."""
     found = []
     number = 0
     while len(found) < count:
