--- a/features/soak.feature
+++ b/features/soak.feature
@@ -1,11 +1,11 @@
-Feature: A randomized soak over real processes, checked from what callers and engines saw
+Feature: Randomized soak test over real processes, checked from the requests that callers and engines saw
 
-  Scenario Outline: The check finds each broken promise in a history
+  Scenario Outline: The check finds each violated guarantee in a history
     Given a history in which <what>
-    Then the check finds "<promise>" broken, and nothing in the history without it
+    Then the check finds a violation of "<guarantee>", and none in a correct history
 
     Examples:
-      | what                                      | promise                      |
+      | what                                      | guarantee                    |
       | a request was begun on two engines        | at most once                 |
       | a refused request ran                     | not run means not run        |
       | a caller got another one's answer         | own answer                   |
@@ -17,12 +17,12 @@
       | a key was passed on to an engine          | tenant and key               |
       | two nodes ordered with one fence          | one holder of orders         |
 
-  Scenario Outline: The check finds what comes late, and excuses only what had a reason
+  Scenario Outline: The check finds late requests, and excuses only those of impaired nodes
     Given a history with <what>
-    Then the check finds it <judged>
+    Then the check's verdict is <verdict>
 
     Examples:
-      | what                                                                   | judged                  |
+      | what                                                                   | verdict                 |
       | a request 2.1 s after its engine left                                  | too late at its engine  |
       | a request that did not run 2.1 s after its engine left                 | too late at its engine  |
       | a request 1.9 s after its engine left                                  | in time                 |
@@ -44,37 +44,37 @@
       | a request on version 1 12 s after, 7.9 s after another node's trouble  | too late on its weights |
       | a request on version 1 12 s after, 7.9 s after connections went silent | in time                 |
 
-  Scenario Outline: The check finds what a node that was told to stop left unanswered
-    Given a history with a call <sent> s before its node was gone, which <what>
-    Then the check finds the stop <judged>
+  Scenario Outline: The check finds requests that a stopping node leaves unanswered
+    Given a call <sent> s before its node exited, which <what>
+    Then the guarantee for stopping nodes is <verdict>
 
     Examples:
-      | sent | what                                       | judged |
-      | 1.0  | got no answer                              | broken |
-      | 0.05 | got no answer                              | kept   |
-      | 3.1  | got no answer                              | kept   |
-      | 1.0  | was answered                               | kept   |
-      | 1.0  | got no answer, and its caller did not wait | kept   |
-      | 1.0  | got no answer, and the machine slept       | kept   |
-
-  Scenario Outline: The check finds what requests under which engines end do beyond the bound
-    Given three engines ended under a request, <what>
-    Then the check of such requests finds "<found>"
+      | sent | what                                       | verdict |
+      | 1.0  | got no answer                              | broken  |
+      | 0.05 | got no answer                              | kept    |
+      | 3.1  | got no answer                              | kept    |
+      | 1.0  | was answered                               | kept    |
+      | 1.0  | got no answer, and its caller did not wait | kept    |
+      | 1.0  | got no answer, and the machine slept       | kept    |
+
+  Scenario Outline: The check finds crash requests that are sent too often, and wrongly quarantined requests
+    Given a request on which three engines crashed, <what>
+    Then the check of crash requests finds "<violation>"
 
     Examples:
-      | what                                                  | found                                              |
+      | what                                                  | violation                                          |
       | which was sent 4 times more, 3.1 s after the third    | a request under which engines end is sent no more  |
       | which was sent 3 times more, 3.1 s after the third    | nothing                                            |
       | which was sent 4 times more, 2.9 s after the third    | nothing                                            |
       | and another request is kept from engines              | no other request is kept from engines              |
       | and the request itself is kept from engines           | nothing                                            |
 
-  Scenario Outline: The check finds what engines get against their word
-    Given engines that spoke, and <what>
-    Then the check of their words finds "<found>"
+  Scenario Outline: The check finds requests sent against an engine's announcement
+    Given an engine that made an announcement, and <what>
+    Then the check of announcements finds "<violation>"
 
     Examples:
-      | what                                                   | found                                 |
+      | what                                                   | violation                             |
       | a request 2.1 s after its engine's word                | no request after an engine's word     |
       | a request 1.9 s after its engine's word                | nothing                               |
       | a request after the word of a lost answer              | nothing                               |
@@ -84,12 +84,12 @@
       | two requests within a rest                             | nothing                               |
       | three requests within a rest, its node cut off         | nothing                               |
 
-  Scenario Outline: The check misses or invents an engine's limit that is exceeded
-    Given an engine that named a limit of 1 a second, and then got <what>
-    Then the check of limits finds it <judged>
+  Scenario Outline: The check finds an exceeded limit of an engine, and no other
+    Given an engine that announced a limit of 1 request per second, and then got <what>
+    Then the check of limits finds the limit <verdict>
 
     Examples:
-      | what                                     | judged   |
+      | what                                     | verdict  |
       | 12 requests in 4 s                       | exceeded |
       | 11 requests in 4 s                       | kept     |
       | 12 requests before 3 s are over          | kept     |
@@ -97,12 +97,12 @@
       | 12 requests, its node killed between     | kept     |
       | 12 requests, another node killed between | exceeded |
 
-  Scenario: A short soak breaks no promise, and all nodes serve again after it
-    When seed 1 is played for 12 s
+  Scenario: A short soak violates no guarantee, and all nodes serve again after it
+    When the soak runs seed 1 for 12 s
     Then it had faults and served requests, and broke no promise
 
-  Scenario Outline: A seed that failed once breaks no promise any more
-    When seed <seed> is played for 12 s
+  Scenario Outline: A seed that once failed violates no guarantee
+    When the soak runs seed <seed> for 12 s
     Then it had faults and served requests, and broke no promise
 
     Examples:
@@ -110,8 +110,8 @@
       | 401  | watches were cut together, and a record that went in the gap had a grace of its own |
       | 2278 | a watch's connection went silent, and the proof by another one hid it               |
 
-  Scenario Outline: Requests under which engines end are kept from them, and nobody else's
-    When seed <seed> is played for 12 s with requests under which engines end
+  Scenario Outline: Crash requests are quarantined, and no other requests
+    When the soak runs seed <seed> for 12 s with requests that crash engines
     Then it had faults and served requests, and broke no promise
 
     Examples:
@@ -119,25 +119,25 @@
       | 36204 | a node that had just started heard of a popular request's losses, not of its service |
       | 37208 | two engines ended within 50 ms, one under a deadly request and one of a crash       |
 
-  Scenario: A short soak in which machines sleep breaks no promise
-    When seed 39100 is played for 12 s with machines that sleep
+  Scenario: A short soak with suspended machines violates no guarantee
+    When the soak runs seed 39100 for 12 s with suspended machines
     Then it had faults and served requests, and broke no promise
 
-  Scenario: A short soak in which engines speak of themselves breaks no promise
-    When seed 46100 is played for 12 s with engines that speak of themselves
+  Scenario: A short soak in which engines announce leaving and pauses violates no guarantee
+    When the soak runs seed 46100 for 12 s with engines that announce leaving and pauses
     Then it had faults and served requests, and broke no promise
-    And engines said that they leave, and asked for rest
+    And engines announced that they leave, and asked for a pause
 
-  Scenario: Limits of engines are exceeded in a short soak
-    When seed 53000 is played for 12 s with engines that name limits
+  Scenario: A short soak in which engines announce limits violates no guarantee
+    When the soak runs seed 53000 for 12 s with engines that announce limits
     Then it had faults and served requests, and broke no promise
 
-  Scenario: A short soak in which the store comes back from older copies breaks no promise
-    When seed 47100 is played for 12 s with a store that comes back from older copies
+  Scenario: A short soak in which the store is restored from older copies violates no guarantee
+    When the soak runs seed 47100 for 12 s with a store that is restored from older copies
     Then it had faults and served requests, and broke no promise
-    And the store came back 2 times at least
+    And the store was restored at least 2 times
 
-  Scenario: A short soak under hard load breaks no promise
-    When seed 4100 is played for 14 s under hard load
+  Scenario: A short soak under heavy load violates no guarantee
+    When the soak runs seed 4100 for 14 s under heavy load
     Then it had faults and served requests, and broke no promise
-    And each trouble of hard load came up
+    And each condition of heavy load occurred
--- a/features/steps/soak_steps.py
+++ b/features/steps/soak_steps.py
@@ -1,4 +1,4 @@
-"""Steps on the soak: its check on made-up histories, and one short play."""
+"""Steps for the soak: its check on constructed histories, and short runs."""
 
 from dataclasses import replace
 from types import SimpleNamespace
@@ -77,30 +77,30 @@
     ),
 }
 
-JUDGEMENTS = {
+VIOLATED = {
     "in time": set(),
     "too late at its engine": {"no request to an engine that left"},
     "too late on its weights": {"no request on replaced weights"},
 }
-# Seconds after an engine left, or after version 2 was named.
-SINCE = 100.0
+# When the engine left, or when version 2 was set as the target.
+CHANGED_AT = 100.0
 
 
 def late(late_s, **changes):
-    """Return the calls and engines of one request that is late."""
-    return [call("r1")], [engine("e1", arrival("r1", at=SINCE + late_s, **changes))]
+    """Return the calls and engines of one request that arrives `late_s` after the change."""
+    return [call("r1")], [engine("e1", arrival("r1", at=CHANGED_AT + late_s, **changes))]
 
 
 def impairment(until_s, node="n1", lasting_s=1.0, **changes):
-    """Return a trouble that ended some time after the news."""
-    return Impairment(node, SINCE + until_s - lasting_s, SINCE + until_s, **changes)
+    """Return an impairment that ended `until_s` after the change."""
+    return Impairment(node, CHANGED_AT + until_s - lasting_s, CHANGED_AT + until_s, **changes)
 
 
 def silence(at_s):
     return impairment(at_s, "", 0.0, recovery_s=SILENCE_RECOVERY_S)
 
 
-# What is late, and the troubles meanwhile.
+# By description: the late request, and the impairments meanwhile.
 LATE = {
     "a request 2.1 s after its engine left": (late(2.1), []),
     "a request that did not run 2.1 s after its engine left": (late(2.1, ran=False), []),
@@ -146,23 +146,25 @@
 }
 
 
-@given("a history with a call {sent:g} s before its node was gone, which {what}")
+@given("a call {sent:g} s before its node exited, which {what}")
 def step_stop(context, sent, what):
     timeline = Timeline()
-    timeline.stops.append(Stop("n1", SINCE, SINCE + 3.0))
-    timeline.impairments.append(Impairment("n1", SINCE, SINCE + 4.0, halted=True))
+    timeline.stops.append(Stop("n1", CHANGED_AT, CHANGED_AT + 3.0))
+    timeline.impairments.append(Impairment("n1", CHANGED_AT, CHANGED_AT + 4.0, halted=True))
     if "slept" in what:
-        timeline.impairments.append(Impairment("n1", SINCE + 1.0, SINCE + 1.5, halted=True))
+        timeline.impairments.append(
+            Impairment("n1", CHANGED_AT + 1.0, CHANGED_AT + 1.5, halted=True)
+        )
     status = 200 if what == "was answered" else None
-    known = call("r1", "safe", status, sent_at=SINCE + 3.0 - sent, complete=status is not None)
+    known = call("r1", "safe", status, sent_at=CHANGED_AT + 3.0 - sent, complete=status is not None)
     calls = [replace(known, waited="did not wait" not in what)]
     context.found = check(calls, [engine("e1")], timeline, BOUNDS)
 
 
-@then("the check finds the stop {judged}")
-def step_stop_judged(context, judged):
-    promises = {violation.guarantee for violation in context.found}
-    assert promises == ({"a node that stops answers"} if judged == "broken" else set()), promises
+@then("the guarantee for stopping nodes is {verdict}")
+def step_stop_verdict(context, verdict):
+    violated = {violation.guarantee for violation in context.found}
+    assert violated == ({"a node that stops answers"} if verdict == "broken" else set()), violated
 
 
 @given("a history in which {what}")
@@ -178,64 +180,64 @@
     (calls, engines), impairments = LATE[what]
     is_on_weights = engines[0].arrivals[0].version is not None
     timeline = Timeline(
-        left_at={} if is_on_weights else {"e1": SINCE},
-        version_set_at={1: 0.0, 2: SINCE} if is_on_weights else {},
+        left_at={} if is_on_weights else {"e1": CHANGED_AT},
+        version_set_at={1: 0.0, 2: CHANGED_AT} if is_on_weights else {},
         impairments=impairments,
     )
     context.found = check(calls, engines, timeline, BOUNDS)
 
 
-@then("the check finds it {judged}")
-def step_judged(context, judged):
+@then("the check's verdict is {verdict}")
+def step_verdict(context, verdict):
     found = {violation.guarantee for violation in context.found}
-    assert found == JUDGEMENTS[judged], context.found
+    assert found == VIOLATED[verdict], context.found
 
 
-@then('the check finds "{guarantee}" broken, and nothing in the history without it')
+@then('the check finds a violation of "{guarantee}", and none in a correct history')
 def step_found(context, guarantee):
     assert {violation.guarantee for violation in context.found} == {guarantee}, context.found
     assert context.found_in_good == [], context.found_in_good
 
 
 MODES = {
-    "with requests under which engines end": Modes(deadly=True),
-    "with machines that sleep": Modes(sleeps=True),
-    "under hard load": Modes(hard=True),
-    "with engines that speak of themselves": Modes(words=True),
-    "with engines that name limits": Modes(limits=True),
-    "with a store that comes back from older copies": Modes(returns=True),
+    "with requests that crash engines": Modes(deadly=True),
+    "with suspended machines": Modes(sleeps=True),
+    "under heavy load": Modes(hard=True),
+    "with engines that announce leaving and pauses": Modes(words=True),
+    "with engines that announce limits": Modes(limits=True),
+    "with a store that is restored from older copies": Modes(returns=True),
 }
 
 
-@when("seed {seed:d} is played for {seconds:g} s")
-def step_play(context, seed, seconds):
-    play(context, seed, seconds, Modes())
+@when("the soak runs seed {seed:d} for {seconds:g} s")
+def step_run_seed(context, seed, seconds):
+    run_seed(context, seed, seconds, Modes())
 
 
-@when("seed {seed:d} is played for {seconds:g} s {how}")
-def step_play_mode(context, seed, seconds, how):
-    play(context, seed, seconds, MODES[how])
+@when("the soak runs seed {seed:d} for {seconds:g} s {how}")
+def step_run_seed_with_mode(context, seed, seconds, how):
+    run_seed(context, seed, seconds, MODES[how])
 
 
-def play(context, seed, seconds, modes):
+def run_seed(context, seed, seconds, modes):
     context.soak = Soak(seed, seconds, context.directory, modes=modes)
     context.found, context.alive = context.run(context.soak.run())
 
 
-@then("the store came back {count:d} times at least")
-def step_returns(context, count):
+@then("the store was restored at least {count:d} times")
+def step_restores(context, count):
     assert context.soak.restores.counts["restore"] >= count, context.soak.restores.counts
 
 
-@then("engines said that they leave, and asked for rest")
-def step_words_kinds(context):
+@then("engines announced that they leave, and asked for a pause")
+def step_announcement_kinds(context):
     assert set(context.soak.announcements.counts) == {"leave", "pause"}, (
         context.soak.announcements.counts
     )
 
 
-@then("each trouble of hard load came up")
-def step_hard_kinds(context):
+@then("each condition of heavy load occurred")
+def step_load_kinds(context):
     assert len(context.soak.hard_load.counts) == 5, context.soak.hard_load.counts
 
 
@@ -250,129 +252,143 @@
     assert context.alive
 
 
-DEADLY = b"deadly 0"
+CRASH_BODY = b"deadly 0"
 
 
-@given("three engines ended under a request, {what}")
-def step_deadly_history(context, what):
-    ended = [
-        SimpleNamespace(crashed_at=float(at), crashed_on=DEADLY, arrivals=[]) for at in (1, 2, 3)
+@given("a request on which three engines crashed, {what}")
+def step_crash_history(context, what):
+    crashed = [
+        SimpleNamespace(crashed_at=float(at), crashed_on=CRASH_BODY, arrivals=[])
+        for at in (1, 2, 3)
     ]
     late_s = 3.1 if "3.1 s" in what else 2.9
     sends = int(what.split(" times")[0].split()[-1]) if " times" in what else 0
     arrivals = [
-        SimpleNamespace(body=DEADLY, at=3.0 + late_s, attempt_id=f"send {n}") for n in range(sends)
+        SimpleNamespace(body=CRASH_BODY, at=3.0 + late_s, attempt_id=f"send {n}")
+        for n in range(sends)
     ]
     calls = [
-        Call(a.attempt_id, "stream", "key", a.at, 502, b"", True, "n1", DEADLY) for a in arrivals
+        Call(a.attempt_id, "stream", "key", a.at, 502, b"", True, "n1", CRASH_BODY)
+        for a in arrivals
     ]
     if "kept from engines" in what:
-        body = b"another" if "another" in what else DEADLY
+        body = b"another" if "another" in what else CRASH_BODY
         refusal = b'{"Error": "kept", "Code": 2013}'
         calls.append(Call("refused", "stream", "key", 9.0, 503, refusal, True, "n1", body))
-    sound = SimpleNamespace(crashed_at=None, crashed_on=None, arrivals=arrivals)
-    context.found = list(check_crash_requests(calls, [*ended, sound], Timeline(), {DEADLY}))
+    intact = SimpleNamespace(crashed_at=None, crashed_on=None, arrivals=arrivals)
+    context.found = list(check_crash_requests(calls, [*crashed, intact], Timeline(), {CRASH_BODY}))
 
 
-@then('the check of such requests finds "{found}"')
-def step_deadly_found(context, found):
-    expected = set() if found == "nothing" else {found}
+@then('the check of crash requests finds "{violation}"')
+def step_crash_violation(context, violation):
+    expected = set() if violation == "nothing" else {violation}
     assert {violation.guarantee for violation in context.found} == expected, context.found
 
 
-# What engines told a node 100 s after the beginning, what it sent them later, and its troubles.
-TOLD_AT = 100.0
+# When the engine's announcement reached the node, in seconds.
+ANNOUNCED_AT = 100.0
 
 
-def told(at=TOLD_AT, **says):
-    """Return a request whose answer says something."""
-    fields = {"announced_leaving": False, "retry_after_s": 0.0, "cut": False, **says}
+def answered(at=ANNOUNCED_AT, **announced):
+    """Return a request whose answer may contain announcements."""
+    fields = {"announced_leaving": False, "retry_after_s": 0.0, "cut": False, **announced}
     return SimpleNamespace(attempt_id="r1", at=at, answered_at=at, **fields)
 
 
-WORDS = {
-    "a request 2.1 s after its engine's word": ([told(announced_leaving=True), told(102.1)], []),
-    "a request 1.9 s after its engine's word": ([told(announced_leaving=True), told(101.9)], []),
+# By description: the requests of a node to the engine, and the node's impairments.
+ANNOUNCEMENTS = {
+    "a request 2.1 s after its engine's word": (
+        [answered(announced_leaving=True), answered(102.1)],
+        [],
+    ),
+    "a request 1.9 s after its engine's word": (
+        [answered(announced_leaving=True), answered(101.9)],
+        [],
+    ),
     "a request after the word of a lost answer": (
-        [told(announced_leaving=True, cut=True), told(109)],
+        [answered(announced_leaving=True, cut=True), answered(109)],
         [],
     ),
     "a request 9 s after the word, its node killed between": (
-        [told(announced_leaving=True), told(109)],
+        [answered(announced_leaving=True), answered(109)],
         [Impairment("n1", 103.0, 104.0, halted=True)],
     ),
     "a request 9 s after the word, its node cut off between": (
-        [told(announced_leaving=True), told(109)],
+        [answered(announced_leaving=True), answered(109)],
         [Impairment("n1", 103.0, 104.0)],
     ),
     "three requests within a rest": (
-        [told(retry_after_s=3.0), told(101), told(102), told(102.9)],
+        [answered(retry_after_s=3.0), answered(101), answered(102), answered(102.9)],
         [],
     ),
     "two requests within a rest": (
-        [told(retry_after_s=3.0), told(101), told(102), told(103.1)],
+        [answered(retry_after_s=3.0), answered(101), answered(102), answered(103.1)],
         [],
     ),
     "three requests within a rest, its node cut off": (
-        [told(retry_after_s=3.0), told(101), told(102), told(102.9)],
+        [answered(retry_after_s=3.0), answered(101), answered(102), answered(102.9)],
         [Impairment("n1", 101.0, 101.5)],
     ),
 }
 
 
-@given("engines that spoke, and {what}")
-def step_words_history(context, what):
-    arrivals, impairments = WORDS[what]
-    spoke = SimpleNamespace(engine_id="e1", arrivals=arrivals)
+@given("an engine that made an announcement, and {what}")
+def step_announcement_history(context, what):
+    arrivals, impairments = ANNOUNCEMENTS[what]
+    announcing = SimpleNamespace(engine_id="e1", arrivals=arrivals)
     calls = [call("r1")]
-    context.found = list(check_announcements(calls, [spoke], Timeline(impairments=impairments)))
+    context.found = list(
+        check_announcements(calls, [announcing], Timeline(impairments=impairments))
+    )
 
 
-@then('the check of their words finds "{found}"')
-def step_words_found(context, found):
-    expected = set() if found == "nothing" else {found}
+@then('the check of announcements finds "{violation}"')
+def step_announcement_violation(context, violation):
+    expected = set() if violation == "nothing" else {violation}
     assert {violation.guarantee for violation in context.found} == expected, context.found
 
 
 def limited(node, at, limit="1"):
-    arrival = told(at)
+    arrival = answered(at)
     arrival.attempt_id, arrival.limit, arrival.answered_at = node, limit, at + 0.01
     return arrival
 
 
-def named_and(count, first=103.5, node="n1"):
-    """Return an answer that names a limit to two nodes, and later requests of one of them."""
+def limited_then(count, first=103.5, node="n1"):
+    """Return the announcements of a limit to two nodes, and later requests of one node."""
     later = [limited(node, first + 0.1 * number) for number in range(count)]
     return [limited("n1", 100.0), limited("n2", 100.0), *later]
 
 
 LIMITS = {
-    "12 requests in 4 s": (named_and(12), []),
-    "11 requests in 4 s": (named_and(11), []),
-    "12 requests before 3 s are over": (named_and(12, first=101.5), []),
-    "12 requests of a node that was not told": (named_and(12, node="n3")[:14], []),
+    "12 requests in 4 s": (limited_then(12), []),
+    "11 requests in 4 s": (limited_then(11), []),
+    "12 requests before 3 s are over": (limited_then(12, first=101.5), []),
+    "12 requests of a node that was not told": (limited_then(12, node="n3")[:14], []),
     "12 requests, its node killed between": (
-        named_and(12),
+        limited_then(12),
         [Impairment("n1", 102.0, 103.0, halted=True)],
     ),
     "12 requests, another node killed between": (
-        named_and(12),
+        limited_then(12),
         [Impairment("n2", 102.0, 103.0, halted=True)],
     ),
 }
 
 
-@given("an engine that named a limit of 1 a second, and then got {what}")
+@given("an engine that announced a limit of 1 request per second, and then got {what}")
 def step_limit_history(context, what):
     arrivals, impairments = LIMITS[what]
     if "not told" in what:
         for arrival in arrivals[2:]:
             arrival.limit = ""
-    spoke = SimpleNamespace(engine_id="e1", arrivals=arrivals, limit_periods=[(99.0, 120.0, "1")])
+    announcing = SimpleNamespace(
+        engine_id="e1", arrivals=arrivals, limit_periods=[(99.0, 120.0, "1")]
+    )
     calls = [replace(call(node), node=node) for node in ("n1", "n2", "n3")]
-    context.found = list(check_limits(calls, [spoke], Timeline(impairments=impairments)))
+    context.found = list(check_limits(calls, [announcing], Timeline(impairments=impairments)))
 
 
-@then("the check of limits finds it {judged}")
-def step_limit_found(context, judged):
-    assert bool(context.found) == (judged == "exceeded"), context.found
+@then("the check of limits finds the limit {verdict}")
+def step_limit_verdict(context, verdict):
+    assert bool(context.found) == (verdict == "exceeded"), context.found
