--- a/features/model_checking.feature
+++ b/features/model_checking.feature
@@ -1,6 +1,6 @@
-Feature: The core protocols hold in their models
+Feature: The models of the core protocols keep their invariants
 
-  Scenario Outline: Every reachable state of <model> keeps its invariants
+  Scenario Outline: Every invariant of <model> holds in all reachable states
     When the model <model> is checked
     Then every invariant holds in all reachable states
 
@@ -16,9 +16,9 @@
       | mirror relay         |
       | mirror relay, path told |
 
-  Scenario Outline: The checker finds what breaks without <rule>
+  Scenario Outline: <model> violates <invariant> without <rule>
     When the model <model> is checked without <rule>
-    Then the checker shows how <invariant> breaks
+    Then the checker finds a violation of <invariant>
 
     Examples:
       | model                | rule                      | invariant                      |
--- a/features/soak.feature
+++ b/features/soak.feature
@@ -1,4 +1,4 @@
-Feature: Randomized soak test over real processes, checked from the requests that callers and engines saw
+Feature: Randomized soak test over real processes, checked by what callers and engines saw
 
   Scenario Outline: The check finds each violated guarantee in a history
     Given a history in which <what>
--- a/features/soak/history.py
+++ b/features/soak/history.py
@@ -121,7 +121,9 @@
     since = timeline.revoked_at.get(call.key)
     if since is not None and call.sent_at > since + bound_s and call.request_id in runs:
         late_s = call.sent_at - since
-        yield Violation("a revoked key is not served", call.request_id, f"{late_s:.2f} s late")
+        yield Violation(
+            "a revoked key is not served", call.request_id, f"{late_s:.2f} s after its revocation"
+        )
 
 
 def _check_runs(call, request_id, runs):
--- a/features/steps/clock_steps.py
+++ b/features/steps/clock_steps.py
@@ -1,4 +1,4 @@
-"""Steps about the clock that counts suspension."""
+"""Steps for the clock that includes the time of suspensions."""
 
 from behave import given, then, when
 
@@ -7,16 +7,16 @@
 
 @given("a clock on a system {which}")
 def step_clock(context, which):
-    context.steady_s, context.counted_s = 1000.0, 5000.0
-    counting = None if "does not" in which else lambda: context.counted_s
-    context.clock = ElapsedClock(lambda: context.steady_s, counting)
+    context.monotonic_s, context.elapsed_s = 1000.0, 5000.0
+    counting = None if "does not" in which else lambda: context.elapsed_s
+    context.clock = ElapsedClock(lambda: context.monotonic_s, counting)
     context.began_s = context.clock.now_s()
 
 
 @when("the steady clock goes on by {steady:g} s and the other by {counted:g} s")
 def step_pass(context, steady, counted):
-    context.steady_s += steady
-    context.counted_s += counted
+    context.monotonic_s += steady
+    context.elapsed_s += counted
     context.clock.now_s()
 
 
--- a/features/steps/model_steps.py
+++ b/features/steps/model_steps.py
@@ -1,4 +1,4 @@
-"""Steps that check the models under spec/."""
+"""Steps that check the models in spec/."""
 
 from behave import then, when
 from minicheck import check_safety
@@ -13,7 +13,7 @@
 
 STATE_LIMIT = 1_000_000
 GROUP_CHANGE = {"old": frozenset({0}), "new": frozenset({1})}
-ROOT_ALONE = {"path_told": False}
+ROOT_ONLY = {"path_told": False}
 MODELS = {
     "claims": (claim_model, ClaimRules, {}),
     "claims, group change": (claim_model, ClaimRules, GROUP_CHANGE),
@@ -22,24 +22,24 @@
     "order holder": (holder_model, HolderRules, {}),
     "configuration adoption": (adoption_model, AdoptionRules, {}),
     "restored store": (restore_model, RestoreRules, {}),
-    "mirror relay": (relay_model, RelayRules, ROOT_ALONE),
+    "mirror relay": (relay_model, RelayRules, ROOT_ONLY),
     "mirror relay, path told": (path_model, RelayRules, {}),
 }
 
 
-def build(name, **rules):
+def build_model(name, **rules):
     model, rules_type, setting = MODELS[name]
     return model(rules_type(**setting, **rules))
 
 
 @when("the model {name} is checked without {rule}")
 def step_check_without(context, name, rule):
-    context.result = check_safety(build(name, **{rule: False}), max_states=STATE_LIMIT)
+    context.result = check_safety(build_model(name, **{rule: False}), max_states=STATE_LIMIT)
 
 
 @when("the model {name} is checked")
 def step_check(context, name):
-    context.result = check_safety(build(name), max_states=STATE_LIMIT)
+    context.result = check_safety(build_model(name), max_states=STATE_LIMIT)
     print(f"{name}: {context.result['reachable_states']} states")
 
 
@@ -50,8 +50,8 @@
         assert verdict["holds"] is True, (name, verdict)
 
 
-@then("the checker shows how {invariant} breaks")
-def step_breaks(context, invariant):
+@then("the checker finds a violation of {invariant}")
+def step_violated(context, invariant):
     verdict = context.result["properties"][invariant]
     assert verdict["holds"] is False, verdict
     assert len(verdict["counterexample"]) > 1
--- a/spec/claims.py
+++ b/spec/claims.py
@@ -1,12 +1,12 @@
 """Model of the claim protocol: `liftrill.coordination.claims`.
 
-One key, two attempts (two callers, or one caller through two nodes). A message may be
-late, also until after its attempt gave up, and any answer may be lost. A member may
-crash and forget, or pause, which is the same as answering late. The group changes from
-OLD through a joint epoch to NEW; an attempt uses the epoch it knew when it began.
+There is one key and two attempts (two callers, or one caller through two nodes). A message may
+arrive late, even after its attempt gave up, and any answer may be lost. A member may crash and
+lose its state. It may also pause, which is the same as answering late. The group changes from
+`old` through a joint epoch to `new`; an attempt uses the epoch that it knew when it began.
 
-The key comes into being at any moment: a member that restarted or changed its epoch
-since then abstains for it if it does not know it.
+The key may be created at any moment. A member that restarted or changed its epoch since then
+abstains for the key if it does not know it.
 """
 
 from dataclasses import dataclass, replace
@@ -20,7 +20,7 @@
 
 @dataclass(frozen=True)
 class ClaimRules:
-    """Which rules the model follows; each one switched off must break an invariant."""
+    """The rules that the model follows; without any one of them an invariant is violated."""
 
     restarted_members_abstain: bool = True
     joint_epoch: bool = True
@@ -37,13 +37,13 @@
         return len(self.old | self.new)
 
     def quorum_sets(self, epoch: int) -> tuple[frozenset, ...]:
-        """Return the sets of which an epoch needs a majority each."""
+        """Return the sets of members that must each give a majority in an epoch."""
         return {1: (self.old,), 2: (self.old, self.new), 3: (self.new,)}[epoch]
 
 
 @dataclass(frozen=True)
 class Member:
-    """A member: who holds the key, whether it may have forgotten, and its epoch."""
+    """A member: the attempt that holds the key, whether grants may be lost, and the epoch."""
 
     holder: int = FREE
     forgetful: bool = False
@@ -52,7 +52,7 @@
 
 @dataclass(frozen=True)
 class Attempt:
-    """An attempt: phase, members asked and not yet reached, members that granted."""
+    """An attempt: its phase, the members not yet reached, and the members that granted the key."""
 
     phase: str = "idle"
     epoch: int = 0
@@ -62,7 +62,7 @@
 
 
 def claim_model(rules: ClaimRules) -> Protocol:
-    """Return the model."""
+    """Return the model of the claim protocol."""
     initial = (
         False,
         rules.crashes,
@@ -72,7 +72,7 @@
     return Protocol(
         name="claims",
         candidate=False,
-        fields=("key_made", "crashes", "members", "attempts"),
+        fields=("key_created", "crashes", "members", "attempts"),
         initial=initial,
         transitions=lambda state: list(_steps(rules, *state)),
         invariants={"at_most_one_dispatch": _at_most_one_dispatch},
@@ -83,32 +83,32 @@
     return sum(attempt.dispatched for attempt in state["attempts"]) <= 1
 
 
-def _steps(rules, key_made, crashes, members, attempts):
-    if not key_made:
-        yield "make key", (True, crashes, members, attempts)
-    yield from _member_steps(rules, key_made, crashes, members, attempts)
-    if not key_made:
+def _steps(rules, key_created, crashes, members, attempts):
+    if not key_created:
+        yield "create key", (True, crashes, members, attempts)
+    yield from _member_steps(rules, key_created, crashes, members, attempts)
+    if not key_created:
         return
     for number, attempt in enumerate(attempts):
         for label, new_members, new_attempt in _attempt_steps(rules, members, number, attempt):
             changed = (*attempts[:number], new_attempt, *attempts[number + 1 :])
-            yield f"attempt {number} {label}", (key_made, crashes, new_members, changed)
+            yield f"attempt {number} {label}", (key_created, crashes, new_members, changed)
 
 
-def _member_steps(rules, key_made, crashes, members, attempts):
+def _member_steps(rules, key_created, crashes, members, attempts):
     for number, member in enumerate(members):
         if crashes:
-            forgetful = key_made and rules.restarted_members_abstain
+            forgetful = key_created and rules.restarted_members_abstain
             restarted = Member(FREE, forgetful or member.forgetful, member.epoch)
             yield (
                 f"member {number} restarts",
-                (key_made, crashes - 1, _with(members, number, restarted), attempts),
+                (key_created, crashes - 1, _with(members, number, restarted), attempts),
             )
         for epoch in _next_epochs(rules, members, member):
-            adopted = replace(member, epoch=epoch, forgetful=key_made or member.forgetful)
+            adopted = replace(member, epoch=epoch, forgetful=key_created or member.forgetful)
             yield (
                 f"member {number} adopts epoch {epoch}",
-                (key_made, crashes, _with(members, number, adopted), attempts),
+                (key_created, crashes, _with(members, number, adopted), attempts),
             )
 
 
@@ -119,8 +119,8 @@
         return [FINAL_EPOCH]
     if member.epoch == 1:
         return [2]
-    aware = sum(members[number].epoch >= 2 for number in rules.old)
-    return [FINAL_EPOCH] if aware > len(rules.old) // 2 else []
+    adopted = sum(members[number].epoch >= 2 for number in rules.old)
+    return [FINAL_EPOCH] if adopted > len(rules.old) // 2 else []
 
 
 def _attempt_steps(rules, members, number, attempt):
@@ -141,7 +141,7 @@
 
 
 def _deliver(rules, members, number, attempt, target):
-    """Let a proposal arrive; its answer arrives too, or is lost."""
+    """Deliver a proposal; its answer is delivered or lost."""
     member = members[target]
     reached = replace(attempt, asked=attempt.asked - {target})
     if not _grants(rules, member, number, attempt):
@@ -150,8 +150,8 @@
     granting = _with(members, target, replace(member, holder=number))
     yield f"loses the answer of {target}", granting, reached
     if attempt.phase == "asking":
-        heard = replace(reached, granted=attempt.granted | {target})
-        yield f"is granted by {target}", granting, heard
+        answered = replace(reached, granted=attempt.granted | {target})
+        yield f"is granted by {target}", granting, answered
 
 
 def _grants(rules, member, number, attempt):
@@ -163,14 +163,14 @@
 
 
 def _withdrawals(rules, members, number, attempt):
-    """Give up: every member that granted releases the key, or does not hear of it."""
+    """Give up: every member that granted the key releases it, or does not get the withdrawal."""
     released = tuple(
         replace(member, holder=FREE) if member.holder == number else member for member in members
     )
     phase = "done" if rules.withdrawal_is_final else "asking"
     yield "withdraws", released, replace(attempt, phase=phase)
     if rules.withdrawal_is_final:
-        yield "withdraws unheard", members, replace(attempt, phase=phase)
+        yield "withdraws, but the withdrawal is lost", members, replace(attempt, phase=phase)
 
 
 def _with(members, number, member):
--- a/spec/commit.py
+++ b/spec/commit.py
@@ -1,9 +1,8 @@
-"""Model of confirming plans: `liftrill.planning.commit` and the replicas.
+"""Model of the confirmation of plans: `liftrill.planning.commit` and the replicas.
 
-Two operators confirm plans made from the same generation. A write may take effect and
-lose its answer, or take effect after its sender gave up on it. Replicas adopt higher
-generations only. The store may be restored once from the empty copy; a replica then
-puts the confirmed head back.
+Two operators confirm plans made from the same generation. A write may take effect while its
+answer is lost, or take effect after its sender gave up. Replicas adopt only higher generations.
+The store may be restored once, from an empty copy; a replica then writes the confirmed head back.
 """
 
 from dataclasses import dataclass, replace
@@ -16,7 +15,7 @@
 
 @dataclass(frozen=True)
 class CommitRules:
-    """Which rules the model follows."""
+    """The rules that the model follows."""
 
     swap_checks_revision: bool = True
     plan_is_looked_up: bool = True
@@ -26,7 +25,7 @@
 
 @dataclass(frozen=True)
 class Head:
-    """The stored head: content is the plan that made the generation, -1 for none."""
+    """The stored head: its generation, the plan that made it (-1 for none), and its revision."""
 
     generation: int = 0
     plan: int = -1
@@ -35,7 +34,7 @@
 
 @dataclass(frozen=True)
 class Operator:
-    """An operator's confirmation: what it read, writes in flight, and what it was told."""
+    """An operator's confirmation: the head it read, its writes in flight, and the result."""
 
     phase: str = "reading"
     read: Head = Head()
@@ -44,7 +43,7 @@
 
 
 def commit_model(rules: CommitRules) -> Protocol:
-    """Return the model."""
+    """Return the model of plan confirmation."""
     initial = (
         Head(),
         rules.restores,
@@ -109,9 +108,9 @@
 
 
 def _all_replicas_adopted(head, replicas):
-    """Return whether every replica has the head; only then is a restore in the model.
+    """Return whether every replica has the head, which the model requires for a restore.
 
-    A restore before anybody adopted a confirmed head loses it; docs/PROOFS.md says so.
+    A restore before any replica adopted a confirmed head loses that head; see docs/PROOFS.md.
     """
     return all(replica.generation == head.generation for replica in replicas)
 
@@ -132,24 +131,24 @@
     if rules.plan_is_looked_up and head.plan == number:
         yield "finds its plan", head, replace(operator, told="confirmed"), False
     elif head.generation > 0 or any(r.generation > 0 for r in replicas):
-        mine = any(r.plan == number for r in replicas) and rules.plan_is_looked_up
-        told = "confirmed" if mine else "conflict"
+        is_confirmed = any(r.plan == number for r in replicas) and rules.plan_is_looked_up
+        told = "confirmed" if is_confirmed else "conflict"
         yield f"is told {told}", head, replace(operator, told=told), False
     else:
         yield "reads the head", head, replace(operator, phase="swapping", read=head), False
 
 
 def _arrive(rules, head, number, operator, read):
-    """Let a swap take effect or fail; the answer arrives, or is lost."""
+    """Deliver a swap, which takes effect or fails; its answer is delivered or lost."""
     rest = replace(operator, in_flight=operator.in_flight - {read})
     if rules.swap_checks_revision and head.revision != read.revision:
-        yield "has a late swap refused", head, rest, False
+        yield "gets a late swap refused", head, rest, False
         return
     written = Head(read.generation + 1, number, head.revision + 1)
-    yield "swaps and loses the answer", written, rest, True
+    yield "swaps, and the answer is lost", written, rest, True
     if operator.phase == "waiting":
         told = replace(rest, phase="done", told="confirmed")
-        yield "swaps and is told", written, told, True
+        yield "swaps and gets the answer", written, told, True
 
 
 def _replica_steps(rules, head, replica):
@@ -159,4 +158,4 @@
         yield "adopts the head", head, replace(head, revision=0)
     elif differs:
         repaired = replace(replica, revision=head.revision + 1)
-        yield "puts the head back", repaired, replica
+        yield "writes the head back", repaired, replica
--- a/spec/configuration_adoption.py
+++ b/spec/configuration_adoption.py
@@ -1,10 +1,10 @@
-"""Model of a node that adopts configurations and serves a key until it is taken away.
+"""Model of a node that adopts configurations and serves an API key until its revocation.
 
-The operator writes versions 1 to 3; version 2 takes the key away. The node asks the store
-now and then; a question is answered with the version of some moment after it was asked,
-and the answer may be held up for as long as it likes. A watch may also bring any version
-that ever was in force, late. The key must not be served once its removal is older than
-`REVOKE` ticks, and the version in force must never fall.
+The operator writes versions 1 to 3; version 2 removes the key. The node reads the store from time
+to time. A read returns the version at some moment after its request, and the response may be
+delayed without limit. A watch may also deliver any earlier version, late. The key must not be
+served once its removal is older than `REVOKE_LIMIT` ticks, and the adopted version must never
+decrease.
 """
 
 from dataclasses import dataclass, replace
@@ -12,16 +12,16 @@
 from minicheck import Protocol
 
 VERSIONS = 3
-REMOVAL = 2
-REVOKE = 3
-PROOF = REVOKE - 1
-OLD = REVOKE + 1
+REMOVED_IN = 2
+REVOKE_LIMIT = 3
+PROOF_LIMIT = REVOKE_LIMIT - 1
+MAX_AGE = REVOKE_LIMIT + 1
 NOT_READ = 0
 
 
 @dataclass(frozen=True)
 class AdoptionRules:
-    """Which rules the model follows."""
+    """The rules that the model follows."""
 
     only_forward: bool = True
     proof_from_question: bool = True
@@ -29,8 +29,8 @@
 
 
 @dataclass(frozen=True)
-class Question:
-    """A reading on its way: ticks since it was asked, and what the store answered."""
+class Read:
+    """A read in flight: ticks since its request, and the version that the store returned."""
 
     age: int = 0
     version: int = NOT_READ
@@ -38,23 +38,23 @@
 
 @dataclass(frozen=True)
 class Node:
-    """The version in force, ticks since its proof, and the question on its way."""
+    """The adopted version, ticks since its freshness proof, and the read in flight."""
 
     version: int = 0
-    proof_age: int = OLD
-    question: Question | None = None
+    proof_age: int = MAX_AGE
+    read: Read | None = None
 
 
 @dataclass(frozen=True)
 class Faults:
-    """What must never come about."""
+    """The faults that must never occur."""
 
-    fell: bool = False
+    decreased: bool = False
     served_after_removal: bool = False
 
 
 def adoption_model(rules: AdoptionRules) -> Protocol:
-    """Return the model."""
+    """Return the model of configuration adoption."""
     return Protocol(
         name="configuration adoption",
         candidate=False,
@@ -62,7 +62,7 @@
         initial=(1, 0, Node(), Faults()),
         transitions=lambda state: list(_steps(rules, *state)),
         invariants={
-            "never_back": lambda s: not s["faults"].fell,
+            "never_back": lambda s: not s["faults"].decreased,
             "removed_key_refused": lambda s: not s["faults"].served_after_removal,
         },
     )
@@ -71,29 +71,29 @@
 def _steps(rules, written, removal_age, node, faults):
     if written < VERSIONS:
         yield f"version {written + 1} is written", (written + 1, removal_age, node, faults)
-    yield "a tick passes", (written, _older_removal(written, removal_age), _older(node), faults)
+    yield "a tick passes", (written, _aged_removal(written, removal_age), _aged(node), faults)
     yield "the node restarts", (written, removal_age, Node(), faults)
-    if node.question is None:
-        yield "the node asks", (written, removal_age, replace(node, question=Question()), faults)
-    elif node.question.version == NOT_READ:
-        read = replace(node, question=replace(node.question, version=written))
-        yield "the store reads", (written, removal_age, read, faults)
+    if node.read is None:
+        yield "the node sends a read", (written, removal_age, replace(node, read=Read()), faults)
+    elif node.read.version == NOT_READ:
+        read = replace(node, read=replace(node.read, version=written))
+        yield "the store answers", (written, removal_age, read, faults)
     else:
-        yield "the answer comes", _answered(rules, written, removal_age, node, faults)
+        yield "the response arrives", _answered(rules, written, removal_age, node, faults)
     for version in range(1, written + 1):
         after, seen = _adopt(rules, node, version, faults)
-        yield f"the watch brings {version}", (written, removal_age, after, seen)
+        yield f"the watch delivers version {version}", (written, removal_age, after, seen)
     if _serves(rules, node):
-        late = written >= REMOVAL and removal_age > REVOKE
+        late = written >= REMOVED_IN and removal_age > REVOKE_LIMIT
         served = replace(faults, served_after_removal=faults.served_after_removal or late)
         yield "the key is served", (written, removal_age, node, served)
 
 
 def _answered(rules, written, removal_age, node, faults):
-    question = node.question
-    after, seen = _adopt(rules, replace(node, question=None), question.version, faults)
-    if question.version == after.version:
-        age = question.age if rules.proof_from_question else 0
+    read = node.read
+    after, seen = _adopt(rules, replace(node, read=None), read.version, faults)
+    if read.version == after.version:
+        age = read.age if rules.proof_from_question else 0
         after = replace(after, proof_age=min(after.proof_age, age))
     return written, removal_age, after, seen
 
@@ -101,21 +101,21 @@
 def _adopt(rules, node, version, faults):
     if rules.only_forward and version <= node.version:
         return node, faults
-    fell = faults.fell or version < node.version
-    return replace(node, version=version), replace(faults, fell=fell)
+    decreased = faults.decreased or version < node.version
+    return replace(node, version=version), replace(faults, decreased=decreased)
 
 
 def _serves(rules, node):
-    has_key = 0 < node.version < REMOVAL
-    return has_key and (node.proof_age <= PROOF or not rules.proof_required)
+    has_key = 0 < node.version < REMOVED_IN
+    return has_key and (node.proof_age <= PROOF_LIMIT or not rules.proof_required)
 
 
-def _older(node):
-    question = node.question
-    if question is not None:
-        question = replace(question, age=min(OLD, question.age + 1))
-    return replace(node, proof_age=min(OLD, node.proof_age + 1), question=question)
+def _aged(node):
+    read = node.read
+    if read is not None:
+        read = replace(read, age=min(MAX_AGE, read.age + 1))
+    return replace(node, proof_age=min(MAX_AGE, node.proof_age + 1), read=read)
 
 
-def _older_removal(written, removal_age):
-    return min(OLD, removal_age + 1) if written >= REMOVAL else 0
+def _aged_removal(written, removal_age):
+    return min(MAX_AGE, removal_age + 1) if written >= REMOVED_IN else 0
--- a/spec/fenced_order.py
+++ b/spec/fenced_order.py
@@ -1,8 +1,8 @@
-"""Model of fenced orders: a lease holder may be paused past its lease.
+"""Model of fenced orders: a lease holder may be paused beyond the end of its lease.
 
-Two controllers take a lease in turn; each lease has a higher token than the one before.
-A paused holder still believes in its lease and may send late. The engine refuses tokens
-lower than the highest it has seen, and repeated order numbers change nothing.
+Two controllers acquire a lease in turn; each lease has a higher token than the one before. A paused
+holder still assumes that it has the lease, and may send orders late. The engine refuses tokens
+lower than the highest it has seen; a repeated order changes nothing.
 """
 
 from dataclasses import dataclass, replace
@@ -16,14 +16,14 @@
 
 @dataclass(frozen=True)
 class OrderRules:
-    """Which rules the model follows."""
+    """The rules that the model follows."""
 
     engine_checks_token: bool = True
 
 
 @dataclass(frozen=True)
 class Controller:
-    """What a controller believes: its token, 0 for none; and orders in flight by token."""
+    """A controller: the token of its assumed lease (0: none), and its orders in flight by token."""
 
     token: int = 0
     in_flight: frozenset = frozenset()
@@ -31,15 +31,15 @@
 
 @dataclass(frozen=True)
 class Engine:
-    """The highest token seen, the token of the order in force, and whether one came late."""
+    """The highest token seen, the current order's token, and whether an older order replaced it."""
 
     highest: int = 0
-    in_force: int = 0
+    current: int = 0
     overruled: bool = False
 
 
 def order_model(rules: OrderRules) -> Protocol:
-    """Return the model."""
+    """Return the model of fenced orders."""
     initial = (NOBODY, 0, tuple([Controller()] * CONTROLLERS), Engine())
     return Protocol(
         name="fenced order",
@@ -53,7 +53,7 @@
 
 def _steps(rules, holder, last_token, controllers, engine):
     if holder != NOBODY:
-        yield "lease lapses", (NOBODY, last_token, controllers, engine)
+        yield "lease expires", (NOBODY, last_token, controllers, engine)
     for number, controller in enumerate(controllers):
         if holder == NOBODY and last_token < LEASES:
             granted = _with(controllers, number, replace(controller, token=last_token + 1))
@@ -68,16 +68,16 @@
             rest = replace(controller, in_flight=controller.in_flight - {token})
             accepted = not rules.engine_checks_token or token >= engine.highest
             after = _accept(engine, token) if accepted else engine
-            # A refused holder learns that it lost its lease.
-            told = rest if accepted else replace(rest, token=0)
+            # A controller whose order is refused learns that it lost its lease.
+            informed = rest if accepted else replace(rest, token=0)
             yield (
                 f"order {token} of {number} arrives",
-                (holder, last_token, _with(controllers, number, told), after),
+                (holder, last_token, _with(controllers, number, informed), after),
             )
 
 
 def _accept(engine, token):
-    late = token < engine.in_force
+    late = token < engine.current
     return Engine(max(engine.highest, token), token, engine.overruled or late)
 
 
--- a/spec/order_holder.py
+++ b/spec/order_holder.py
@@ -1,11 +1,11 @@
-"""Model of the right to give orders: a lease in the store and a key that says "busy".
-
-Two nodes contend. A node may be paused for any time (it just does nothing), restart, and
-lose the answer to a renewal. Time passes in ticks for all steady clocks alike. Orders of
-two nodes must be `QUIET` ticks apart. A holder believes in its lease for one tick less
-than the store does; it must write that it is busy, on condition of its lease, before its
-first order; a successor of a busy holder waits `QUIET` ticks. A holder whose belief is over
-takes the lease up again, and waits no less, if the store still renews it.
+"""Model of leader election: a lease in the store and an activity key that says "busy".
+
+Two nodes compete for the lease. A node may be paused for any time (it does nothing), restart, or
+lose the answer to a renewal. Time passes in ticks, equally for all monotonic clocks. Orders of
+different nodes must be `QUIET` ticks apart. A holder assumes that its lease ends one tick earlier
+than in the store. It must write that it is busy, on condition that it still has the lease, before
+its first order. A successor of a busy holder waits `QUIET` ticks. A holder whose assumed lease has
+ended resumes the lease if the store still renews it; its wait is not shortened by that.
 """
 
 from dataclasses import dataclass, replace
@@ -14,16 +14,16 @@
 
 NODES = 2
 LEASE = 2
-BELIEF = LEASE - 1
+ASSUMED_LEASE = LEASE - 1
 QUIET = 3
 NOBODY = -1
 IDLE = -1
-OLD = QUIET
+MAX_AGE = QUIET
 
 
 @dataclass(frozen=True)
 class HolderRules:
-    """Which rules the model follows."""
+    """The rules that the model follows."""
 
     belief_ends_first: bool = True
     successor_waits: bool = True
@@ -33,7 +33,7 @@
 
 @dataclass(frozen=True)
 class Store:
-    """The holder, the ticks its lease has left, and who wrote that it is busy."""
+    """The holder, the remaining ticks of its lease, and the node that wrote that it is busy."""
 
     holder: int = NOBODY
     left: int = 0
@@ -42,30 +42,30 @@
 
 @dataclass(frozen=True)
 class Node:
-    """What a node believes: ticks left of its lease, to wait, and since its last order.
+    """A node: the ticks of its assumed lease, the ticks to wait, and those since its last order.
 
     Attributes:
-        knows_lease: whether it has the name of a lease that it took in this life.
+        knows_lease: whether it knows a lease that it acquired since its last restart.
     """
 
-    belief: int = 0
+    assumed: int = 0
     wait: int = 0
     active: bool = False
-    since_order: int = OLD
+    since_order: int = MAX_AGE
     knows_lease: bool = False
 
 
 @dataclass(frozen=True)
 class Orders:
-    """The node that gave the last order, the ticks since, and whether two came too close."""
+    """The node of the last order, the ticks since, and whether two orders were too close."""
 
     node: int = NOBODY
-    age: int = OLD
+    age: int = MAX_AGE
     clash: bool = False
 
 
 def holder_model(rules: HolderRules) -> Protocol:
-    """Return the model."""
+    """Return the model of leader election."""
     return Protocol(
         name="order holder",
         candidate=False,
@@ -90,29 +90,29 @@
 
 
 def _store_steps(rules, store, number, node):
-    belief = BELIEF if rules.belief_ends_first else LEASE + QUIET
+    assumed = ASSUMED_LEASE if rules.belief_ends_first else LEASE + QUIET
     if store.holder == NOBODY:
         must_wait = rules.successor_waits and store.busy not in (IDLE, number)
         wait = QUIET if must_wait else 0
         taken = replace(store, holder=number, left=LEASE)
-        yield f"{number} takes the lease", taken, Node(belief, wait, False, OLD, True)
+        yield f"{number} takes the lease", taken, Node(assumed, wait, False, MAX_AGE, True)
     if store.holder != number:
         return
-    if node.knows_lease and not node.belief:
-        again = replace(node, belief=belief)
-        yield f"{number} takes the lease up again", replace(store, left=LEASE), again
-    if node.belief:
-        yield f"{number} renews", replace(store, left=LEASE), replace(node, belief=belief)
-        yield f"{number} renews unheard", replace(store, left=LEASE), node
+    if node.knows_lease and not node.assumed:
+        resumed = replace(node, assumed=assumed)
+        yield f"{number} resumes the lease", replace(store, left=LEASE), resumed
+    if node.assumed:
+        yield f"{number} renews", replace(store, left=LEASE), replace(node, assumed=assumed)
+        yield f"{number} renews, and the answer is lost", replace(store, left=LEASE), node
         yield f"{number} writes busy", replace(store, busy=number), replace(node, active=True)
-    rested = not rules.rests_only_when_quiet or node.since_order >= QUIET
-    if node.belief and node.active and rested:
+    may_rest = not rules.rests_only_when_quiet or node.since_order >= QUIET
+    if node.assumed and node.active and may_rest:
         yield f"{number} writes idle", replace(store, busy=IDLE), replace(node, active=False)
 
 
 def _may_order(rules, node):
     active = node.active or not rules.writes_before_orders
-    return node.belief > 0 and node.wait == 0 and active
+    return node.assumed > 0 and node.wait == 0 and active
 
 
 def _tick(store, nodes, orders):
@@ -121,14 +121,14 @@
     older = tuple(
         replace(
             node,
-            belief=max(0, node.belief - 1),
+            assumed=max(0, node.assumed - 1),
             wait=max(0, node.wait - 1),
-            since_order=min(OLD, node.since_order + 1),
-            active=node.active and node.belief > 1,
+            since_order=min(MAX_AGE, node.since_order + 1),
+            active=node.active and node.assumed > 1,
         )
         for node in nodes
     )
-    return after, older, replace(orders, age=min(OLD, orders.age + 1))
+    return after, older, replace(orders, age=min(MAX_AGE, orders.age + 1))
 
 
 def _with(nodes, number, node):
--- a/spec/restored_store.py
+++ b/spec/restored_store.py
@@ -1,11 +1,11 @@
-"""Model of leases and orders at a store that comes back from an older copy of itself.
+"""Model of leases and orders with a store that is restored from an older copy.
 
-Two nodes take the lease in turn; the store gives each a number, which is its fence too. Once, it
-comes back from its first copy: its numbers begin anew and its lease is gone, in a new era. A node
-does not hear of that before it calls the store itself; until then it may go on to send orders.
-The engine refuses fences lower than the highest it has seen.
+Two nodes acquire the lease in turn. The store gives each lease a number, which is also its fencing
+token. Once, the store is restored from its first copy: a new era begins, the numbers start again
+and the lease is lost. A node learns of the restore only when it calls the store; until then it may
+continue to send orders. The engine refuses fencing tokens lower than the highest it has seen.
 
-Left out: the time to live, and how long a successor waits (see order_holder).
+Not modelled: the time to live, and the waiting time of a successor (see order_holder).
 """
 
 from dataclasses import dataclass, replace
@@ -20,10 +20,10 @@
 
 @dataclass(frozen=True)
 class RestoreRules:
-    """Which rules the model follows.
+    """The rules that the model follows.
 
     Attributes:
-        fences_have_era: a fence is made of the era and the number, not of the number alone.
+        fences_have_era: a fencing token contains the era and the number, not the number alone.
         leases_have_era: a lease of an earlier era is not renewed.
     """
 
@@ -33,7 +33,7 @@
 
 @dataclass(frozen=True)
 class Store:
-    """What the store holds; a lease that it gave to nobody else has the holder NOBODY."""
+    """The store: its era, its last lease number, and the current lease's holder and number."""
 
     era: int = 0
     last: int = 0
@@ -43,7 +43,7 @@
 
 @dataclass(frozen=True)
 class Node:
-    """The lease that a node takes for its own: its era and number, 0 for none."""
+    """The lease that a node assumes to be its own: its era and number, 0 for none."""
 
     era: int = 0
     number: int = 0
@@ -51,7 +51,7 @@
 
 @dataclass(frozen=True)
 class Engine:
-    """The highest fence seen, and whether an order was taken from a former leader."""
+    """The highest token, the newest order, and whether an order of a former leader was accepted."""
 
     highest: tuple[int, int] = (0, 0)
     newest: tuple[int, int] = (0, 0)
@@ -59,7 +59,7 @@
 
 
 def restore_model(rules: RestoreRules) -> Protocol:
-    """Return the model."""
+    """Return the model of a restored store."""
     return Protocol(
         name="restored store",
         candidate=False,
@@ -69,7 +69,9 @@
         invariants={
             "newer_orders_stay": lambda s: not s["engine"].overruled,
             "leases_are_own": lambda s: not s["usurped"],
-            "leaders_are_heard": lambda s: _is_heard(rules, s["store"], s["nodes"], s["engine"]),
+            "leaders_are_heard": lambda s: _leader_is_accepted(
+                rules, s["store"], s["nodes"], s["engine"]
+            ),
         },
     )
 
@@ -78,8 +80,8 @@
     return (node.era if rules.fences_have_era else 0, node.number)
 
 
-def _is_heard(rules, store, nodes, engine):
-    """Return whether the engine takes the orders of the node that holds the lease."""
+def _leader_is_accepted(rules, store, nodes, engine):
+    """Return whether the engine accepts orders from the node that holds the lease."""
     if store.holder == NOBODY:
         return True
     return _fence(rules, Node(store.era, store.number)) >= engine.highest
@@ -87,9 +89,9 @@
 
 def _steps(rules, store, nodes, engine, usurped):
     if store.holder != NOBODY:
-        yield "the lease lapses", (replace(store, holder=NOBODY), nodes, engine, usurped)
+        yield "the lease expires", (replace(store, holder=NOBODY), nodes, engine, usurped)
     if store.era + 1 < ERAS and store.last:
-        yield "the store comes back", (Store(store.era + 1), nodes, engine, usurped)
+        yield "the store is restored", (Store(store.era + 1), nodes, engine, usurped)
     for number, node in enumerate(nodes):
         if store.holder == NOBODY and store.last < NUMBERS:
             granted = Store(store.era, store.last + 1, number, store.last + 1)
@@ -104,7 +106,7 @@
 
 
 def _renewal(rules, store, nodes, engine, usurped, number):
-    """Renew a node's lease: the store knows it by its number alone."""
+    """Renew a node's lease, which the store identifies by its number alone."""
     node = nodes[number]
     is_refused = rules.leases_have_era and node.era != store.era
     is_held = store.holder != NOBODY and store.number == node.number
@@ -119,7 +121,7 @@
     fence = _fence(rules, node)
     if fence < engine.highest:
         return engine
-    # What is newer in truth, whatever the fences say.
+    # The actual order of the leases, independent of the fencing tokens.
     order = (node.era, node.number)
     return Engine(fence, max(order, engine.newest), engine.overruled or order < engine.newest)
 
