--- a/spec/commit.py
+++ b/spec/commit.py
@@ -39,7 +39,7 @@
     phase: str = "reading"
     read: Head = Head()
     in_flight: frozenset = frozenset()
-    told: str = ""
+    result: str = ""
 
 
 def commit_model(rules: CommitRules) -> Protocol:
@@ -71,7 +71,7 @@
     return all(
         number in state["confirmed"]
         for number, operator in enumerate(state["operators"])
-        if operator.told == "confirmed"
+        if operator.result == "confirmed"
     )
 
 
@@ -79,7 +79,7 @@
     return all(
         number not in state["confirmed"]
         for number, operator in enumerate(state["operators"])
-        if operator.told == "conflict"
+        if operator.result == "conflict"
     )
 
 
@@ -116,7 +116,7 @@
 
 
 def _operator_steps(rules, head, replicas, number, operator):
-    if operator.phase == "reading" and not operator.told:
+    if operator.phase == "reading" and not operator.result:
         yield from _read(rules, head, replicas, number, operator)
     elif operator.phase == "swapping":
         sent = replace(operator, phase="waiting", in_flight=operator.in_flight | {operator.read})
@@ -129,11 +129,11 @@
 
 def _read(rules, head, replicas, number, operator):
     if rules.plan_is_looked_up and head.plan == number:
-        yield "finds its plan", head, replace(operator, told="confirmed"), False
+        yield "finds its plan", head, replace(operator, result="confirmed"), False
     elif head.generation > 0 or any(r.generation > 0 for r in replicas):
         is_confirmed = any(r.plan == number for r in replicas) and rules.plan_is_looked_up
-        told = "confirmed" if is_confirmed else "conflict"
-        yield f"is told {told}", head, replace(operator, told=told), False
+        result = "confirmed" if is_confirmed else "conflict"
+        yield f"gets the result {result}", head, replace(operator, result=result), False
     else:
         yield "reads the head", head, replace(operator, phase="swapping", read=head), False
 
@@ -147,8 +147,8 @@
     written = Head(read.generation + 1, number, head.revision + 1)
     yield "swaps, and the answer is lost", written, rest, True
     if operator.phase == "waiting":
-        told = replace(rest, phase="done", told="confirmed")
-        yield "swaps and gets the answer", written, told, True
+        answered = replace(rest, phase="done", result="confirmed")
+        yield "swaps and gets the answer", written, answered, True
 
 
 def _replica_steps(rules, head, replica):
