--- a/features/soak/proxy.py
+++ b/features/soak/proxy.py
@@ -1,4 +1,4 @@
-"""A loopback proxy that harms the connections that pass through it."""
+"""A loopback proxy that injects faults into the connections that pass through it."""
 
 import asyncio
 import enum
@@ -9,8 +9,8 @@
 CHUNK_BYTES = 65_536
 
 
-class Harm(enum.Enum):
-    """What a proxy does to bytes and connections."""
+class ProxyFault(enum.Enum):
+    """A fault that a proxy applies to its connections."""
 
     NONE = enum.auto()
     DELAY = enum.auto()
@@ -19,19 +19,19 @@
     SILENCE = enum.auto()
 
 
-class HarmfulProxy:
-    """Passes connections on to a target, as long as nothing else is asked of it.
+class FaultProxy:
+    """Forwards connections to a target, and applies a fault to them while one is set.
 
     Attributes:
-        harm: applies to open and to new connections.
-        delay_s: by which each piece is held up under `Harm.DELAY`.
+        fault: the current fault, for open and for new connections.
+        delay_s: the delay of each chunk under `ProxyFault.DELAY`.
     """
 
     def __init__(self, address, target, delay_s=0.3):
         self.address = address
         self.target = target
         self.delay_s = delay_s
-        self.harm = Harm.NONE
+        self.fault = ProxyFault.NONE
         self._server = None
         self._tasks = set()
 
@@ -50,34 +50,36 @@
         task.add_done_callback(self._tasks.discard)
         host, _, port = self.target.rpartition(":")
         try:
-            there_reader, there_writer = await asyncio.open_connection(host, int(port))
+            target_reader, target_writer = await asyncio.open_connection(host, int(port))
         except OSError:
             reset(writer)
             return
         with suppress(OSError, asyncio.CancelledError):
             await asyncio.gather(
-                self._pump(reader, there_writer, answers=False),
-                self._pump(there_reader, writer, answers=True),
+                self._pump(reader, target_writer, answers=False),
+                self._pump(target_reader, writer, answers=True),
             )
-        there_writer.close()
+        target_writer.close()
         writer.close()
 
     async def _pump(self, source, target, answers):
         while data := await source.read(CHUNK_BYTES):
-            if self.harm is Harm.DELAY:
+            if self.fault is ProxyFault.DELAY:
                 await asyncio.sleep(self.delay_s)
-            if self.harm is Harm.RESET:
+            if self.fault is ProxyFault.RESET:
                 reset(target)
                 return
-            lost = self.harm is Harm.SILENCE or (self.harm is Harm.DROP_ANSWERS and answers)
-            if not lost:
+            is_lost = self.fault is ProxyFault.SILENCE or (
+                self.fault is ProxyFault.DROP_ANSWERS and answers
+            )
+            if not is_lost:
                 target.write(data)
                 await target.drain()
         target.close()
 
 
 def reset(writer):
-    """Close a connection with a reset."""
+    """Close a connection with a TCP reset."""
     connection = writer.get_extra_info("socket")
     if connection is not None:
         linger = struct.pack("ii", 1, 0)
