--- a/features/steps/engine_limit_steps.py
+++ b/features/steps/engine_limit_steps.py
@@ -21,7 +21,7 @@
 from liftrill.node.membership_codec import GossipDecodeError, parse_message
 
 sys.path.append(str(Path(__file__).resolve().parent.parent.parent / "platform"))
-from engines import word_of
+from engines import parse_engine_signal
 
 WINDOW_S = 4.0
 KNOWN_AFTER_S = 0.5
@@ -256,7 +256,7 @@
 @then("they name a limit of {limit}, and {end} end one")
 def step_named(context, limit, end):
     permit = Permit("node-1", 1, 0.0, 0.0, 1.0)
-    word = word_of("request", ENGINE, context.status, context.headers, permit)
+    word = parse_engine_signal("request", ENGINE, context.status, context.headers, permit)
     if limit == "none":
         assert word is None or word.limit_per_s is None, word
     else:
--- a/features/steps/engine_send_steps.py
+++ b/features/steps/engine_send_steps.py
@@ -165,7 +165,7 @@
 @when("a node sends it what brings that answer")
 def step_sends(context):
     context.words = []
-    context.transport.heard = context.words.append
+    context.transport.on_engine_signal = context.words.append
     address = context.engines["e1"].address
     context.view = EngineView(engine_record("e1", weights={"model": 1}, address=address))
     context.run(send(context))
--- a/features/steps/engine_word_steps.py
+++ b/features/steps/engine_word_steps.py
@@ -21,7 +21,7 @@
 from liftrill.node.membership_codec import parse_message
 
 sys.path.append(str(Path(__file__).resolve().parent.parent.parent / "platform"))
-from engines import word_of
+from engines import parse_engine_signal
 
 SERVED = 200
 
@@ -168,7 +168,9 @@
 
 @then("it is not said to leave, and wants {seconds:g} s of rest")
 def step_no_word(context, seconds):
-    word = word_of("request", EngineAddress("a", "10.0.0.1:1", 1), context.status, context.headers)
+    word = parse_engine_signal(
+        "request", EngineAddress("a", "10.0.0.1:1", 1), context.status, context.headers
+    )
     assert (word is None) == (seconds == 0), word
     assert word is None or (not word.leaving and word.backoff_s == seconds), word
 
--- a/liftrill/gateway/gateway.py
+++ b/liftrill/gateway/gateway.py
@@ -80,7 +80,7 @@
 LAPSE_HEARTBEATS = 2
 # How long a node that stood still waits for current data of the store before it uses what it had:
 # after this time an outage is more likely than a slow response.
-STANDSTILL_STORE_WAIT_S = 2.0
+STALL_CATCH_UP_TIMEOUT_S = 2.0
 LEASE_RENEW_INTERVAL_SECONDS = 0.7
 LEASE_TIME_TO_LIVE_SECONDS = 2.0
 LEASE_RETRY_INTERVAL_SECONDS = 0.3
@@ -123,7 +123,7 @@
         )
         split = WeightedSplit()
         selector = EngineSelector(engines, targets, settings.zone)
-        self._beliefs = ClusterState(
+        self._cluster_state = ClusterState(
             decoder,
             self.view,
             engines,
@@ -133,37 +133,37 @@
             log,
             LAPSE_HEARTBEATS * bounds.heartbeat_seconds,
         )
-        self._beliefs.count_refused = metrics.refused_records.inc
-        self._beliefs.incarnation_ended = self._on_incarnation_ended
+        self._cluster_state.count_refused = metrics.refused_records.inc
+        self._cluster_state.incarnation_ended = self._on_incarnation_ended
         self._engines = engines
         self._allowance = self._new_allowance()
         self.admission = RequestAdmission(self.view, split)
         self._fleet = FleetSize()
         self._quotas = self._new_quotas()
-        self._standstill = StallDetector(STANDSTILL_STORE_WAIT_S)
+        self._stall_detector = StallDetector(STALL_CATCH_UP_TIMEOUT_S)
         self.capacity = NodeCapacity(settings.machine, HOUSEKEEPING_SECONDS)
         self._membership = self._new_membership()
-        self._reader_plan = ReaderSelection(self._membership.own)
+        self._reader_selection = ReaderSelection(self._membership.own)
         limits = ReaderLimits(settings.node, max_mirror_age_s(bounds.propagation_seconds))
         self._follower = StoreFollower(store, "", self, limits)
-        self._currency = FreshnessChecker(
+        self._freshness_checker = FreshnessChecker(
             store,
             self._follower,
-            self._beliefs,
+            self._cluster_state,
             self.view,
             self,
             bounds.propagation_seconds,
         )
         self._relay = RelayServer(self._follower, self.view, metrics.followers.set)
-        self._peer_silence = SilenceDetector()
-        self._load_board = LoadTable(engines)
+        self._silence_detector = SilenceDetector()
+        self._load_table = LoadTable(engines)
         self._speed_exchange = SpeedExchange(selector.speeds, settings.zone)
         self._node_capacities = NodeCapacities()
-        self._busy_node = LoadShedder()
-        self._caller_directory = NodeDirectory(self._node_capacities)
+        self._load_shedder = LoadShedder()
+        self._node_directory = NodeDirectory(self._node_capacities)
         callbacks = PeerCallbacks(
             self._on_member,
-            self._currency.note_peer_version,
+            self._freshness_checker.note_peer_version,
             self._on_notice,
             self._on_engine_update,
             self._on_loads,
@@ -176,11 +176,11 @@
             self._on_limit_message,
         )
         self._peers = PeerLink(self._membership, callbacks)
-        self._limits = selector.limits
+        self._engine_limits = selector.limits
         link = LimitMessenger(self._membership, self._fleet, self._peers, log, metrics)
-        self._limits.peers = link
+        self._engine_limits.peers = link
         self._gossip = EngineGossip(
-            engines, self._limits, self._membership, self._peers, log, metrics
+            engines, self._engine_limits, self._membership, self._peers, log, metrics
         )
         self._quarantine_records = QuarantineRecords(store, self._follower.mirror, log)
         self._quarantine = Quarantine(engines, log, metrics, self._peers, self._quarantine_records)
@@ -213,7 +213,7 @@
     @property
     def sheds_connections(self) -> bool:
         """Whether responses ask callers to close their connections."""
-        return self.stopping or self._busy_node.closes_connections
+        return self.stopping or self._load_shedder.closes_connections
 
     async def start(self) -> None:
         """Start listening to peers, following the store, and the background loops."""
@@ -221,7 +221,7 @@
         await self._relay.listen(self.settings.peer_address)
         for loop in (
             self._follower.run,
-            self._currency.run,
+            self._freshness_checker.run,
             self._peers.run,
             self._controller.run,
             self._run_housekeeping,
@@ -257,13 +257,13 @@
 
     async def admit(self, incoming: IncomingRequest) -> OpaqueRequest | AdmissionRefusal:
         """Return the request to deliver, or why it is refused."""
-        if self._busy_node.refuses_requests:
-            come_back_s = self._busy_node.retry_after_s(random.random())
+        if self._load_shedder.refuses_requests:
+            come_back_s = self._load_shedder.retry_after_s(random.random())
             why = f"lag_s={self.capacity.lag_s:.2f}"
             return AdmissionRefusal(ResultCode.NODE_BUSY, come_back_s, why)
         admitted = self.admission.admit(incoming, clock.now_s())
         if isinstance(admitted, AdmissionRefusal) and admitted.code is ResultCode.KEY_NOT_PROVEN:
-            await self._currency.wait_for_proof(constants.PROOF_WAIT_S)
+            await self._freshness_checker.wait_for_proof(constants.PROOF_WAIT_S)
             admitted = self.admission.admit(incoming, clock.now_s())
         if isinstance(admitted, AdmissionRefusal):
             return admitted
@@ -273,14 +273,14 @@
     def addresses_for(self, zone: str, caller: str = "") -> list[str]:
         """Return the addresses that a caller at an address in a zone should connect to."""
         now = clock.now_s()
-        members = self._caller_directory.nodes_for(self._usable_members(now), zone, caller, now)
+        members = self._node_directory.nodes_for(self._usable_members(now), zone, caller, now)
         self.metrics.named_nodes.set(len(members))
         return [self._front_address(member) for member in members]
 
     def _usable_members(self, now: float) -> list[Member]:
         """Return the members that accept callers."""
         members = [m for m in self._membership.members() if m.condition is Condition.ALIVE]
-        members = self._peer_silence.reporting_members(members, now)
+        members = self._silence_detector.reporting_members(members, now)
         if self.stopping:
             members = [m for m in members if m.node_id != self.settings.node]
         return members
@@ -359,17 +359,17 @@
 
     def _state_is_current(self, now: float) -> bool:
         """Return whether the node knows what changed while its process stood still."""
-        self._check_standstill(now)
-        return self._standstill.has_caught_up(now, self._follower.freshness.as_of)
+        self._check_stall(now)
+        return self._stall_detector.has_caught_up(now, self._follower.freshness.as_of)
 
-    def _check_standstill(self, now: float) -> None:
+    def _check_stall(self, now: float) -> None:
         """Query the store at once after a standstill: engines may have left meanwhile."""
-        if self._standstill.tick(now):
+        if self._stall_detector.tick(now):
             slept_s = clock.slept_s()
             self.metrics.standstills.inc()
             self.log.state_changed(
                 "woken",
-                stood_still_s=round(self._standstill.stall_s, 3),
+                stood_still_s=round(self._stall_detector.stall_s, 3),
                 slept_s=round(slept_s - self._total_slept_s, 3),
                 counts_sleep=clock.counts_sleep(),
                 mirror_age_s=rounded_age(self._follower.freshness.age_s(now)),
@@ -377,7 +377,7 @@
             self._total_slept_s = slept_s
             # Timers do not advance while the machine sleeps.
             self.forwarder.refresh_begin_deadlines()
-            self._currency.request_proof()
+            self._freshness_checker.request_proof()
 
     # Callbacks from the store, peers and engines
 
@@ -390,7 +390,7 @@
         else:
             self._fleet_record.load(clock.now_s())
         before = self.view.version
-        self._beliefs.apply(change, known_until)
+        self._cluster_state.apply(change, known_until)
         self._apply_quarantine(change)
         self._announce_if_newer(before)
         self.forwarder.queues.wake_all()
@@ -418,13 +418,13 @@
             at=revision_of(at),
         )
         self._leadership.store_restored()
-        self._currency.store_restored()
+        self._freshness_checker.store_restored()
 
     def configuration_read(self, item: StoredItem) -> None:
         """Apply a configuration that the mirror does not have yet."""
         self._relay.publish_early(item)
         before = self.view.version
-        self._beliefs.apply_item(item, self._follower.freshness.as_of)
+        self._cluster_state.apply_item(item, self._follower.freshness.as_of)
         self._announce_if_newer(before)
 
     def range_read(self, asked_at: float) -> None:
@@ -436,7 +436,7 @@
             call_s=round(now - asked_at, 3),
             mirror_age_s=rounded_age(self._follower.freshness.age_s(now)),
         )
-        self._currency.range_read(asked_at)
+        self._freshness_checker.range_read(asked_at)
 
     def watch_behind(self, revision: int) -> None:
         """Log that the watch has not delivered a revision that a read returned."""
@@ -448,7 +448,7 @@
 
     def is_assigned_reader(self) -> bool:
         """Return whether this node is one of those that should read the store directly."""
-        return self._reader_plan.should_read_store(self._membership.members())
+        return self._reader_selection.should_read_store(self._membership.members())
 
     def store_connection_changed(self, connected: bool) -> None:
         """Log that the connection to the store was lost or restored."""
@@ -456,17 +456,17 @@
 
     def relay_answered(self, answer: RelayAnswer, asked_at: float) -> None:
         """Take over the proof of currency that the followed reader sent."""
-        self._currency.take_reader_proof(answer, asked_at)
+        self._freshness_checker.take_reader_proof(answer, asked_at)
 
     def reader_to_follow(self, store_lost: bool) -> Member | None:
         """Return the node whose mirror to follow, or None to read the store itself."""
         members = self._membership.members()
-        return self._reader_plan.reader(members, clock.now_s(), store_lost)
+        return self._reader_selection.reader(members, clock.now_s(), store_lost)
 
     def is_reader_eligible(self, reader: Member, since: float) -> bool:
         """Return whether a node that was followed since a time should still be followed."""
         members = self._membership.members()
-        return self._reader_plan.is_eligible(reader, members, since, clock.now_s())
+        return self._reader_selection.is_eligible(reader, members, since, clock.now_s())
 
     def reader_followed(self, reader: Member, store_lost: bool) -> None:
         """Log which node this node follows now, and how old its own data is."""
@@ -482,7 +482,7 @@
 
     def reader_lost(self, reader: Member, reason: str) -> None:
         """Avoid a reader for a while, because it no longer serves this node."""
-        self._reader_plan.back_off(reader.node_id, clock.now_s())
+        self._reader_selection.back_off(reader.node_id, clock.now_s())
         self.log.state_changed("reader_lost", reader=reader.node_id, reason=reason)
 
     def _announce_if_newer(self, before: int) -> None:
@@ -497,9 +497,9 @@
         if member.condition is Condition.ALIVE:
             self._gossip.send_state_to_joiner(member)
         if member.condition >= Condition.DEAD:
-            self._peer_silence.forget(member.node_id)
+            self._silence_detector.forget(member.node_id)
             self._node_capacities.forget(member.node_id)
-        self._beliefs.selector.parts.nodes = alive
+        self._cluster_state.selector.parts.nodes = alive
         self.log.state_changed(
             "peer",
             peer=member.node_id,
@@ -507,7 +507,7 @@
             incarnation=member.incarnation,
         )
 
-    def record_engine_word(self, word: EngineSignal) -> None:
+    def record_engine_signal(self, word: EngineSignal) -> None:
         """Process what an engine reported about itself in a response to this node."""
         self._gossip.handle_engine_message(word)
 
@@ -523,19 +523,19 @@
     def _on_loads(self, report: LoadReport) -> None:
         now = clock.now_s()
         of_zone = report.zone == self.settings.zone
-        self._beliefs.selector.parts.directory.apply_updates(report.kept, now, of_zone)
+        self._cluster_state.selector.parts.directory.apply_updates(report.kept, now, of_zone)
         self._quotas.apply_report(report, now)
         if report.kept:
             self.forwarder.queues.wake_all()
         if report.scope is LoadScope.NODE:
-            self._peer_silence.record_report(report.node, now)
-            self._load_board.update(report.node, report.loads, now, report.zone)
+            self._silence_detector.record_report(report.node, now)
+            self._load_table.update(report.node, report.loads, now, report.zone)
             if report.node_load is not None:
                 self._node_capacities.update(report.node, report.node_load, now)
             return
         if report.node_load is not None:
             self._node_capacities.update_zone(report.zone, report.node_load, now)
-        self._load_board.update_zone(report.zone, report.loads, now)
+        self._load_table.update_zone(report.zone, report.loads, now)
         members = self._membership.members()
         relayed_reports = topology_for(members).relayed_reports(
             self._membership.own, report, members
@@ -575,16 +575,16 @@
         self._quarantine.apply_quarantined(entry, clock.now_s())
 
     def _on_limit_message(self, node: str, message: LimitMessage) -> None:
-        self._limits.receive(node, message, clock.now_s())
+        self._engine_limits.receive(node, message, clock.now_s())
 
     def _on_served(self, fingerprint: bytes) -> None:
         self._quarantine.apply_served(fingerprint, clock.now_s())
 
     def _on_prefill_started(self, engine_number: int, tokens: int) -> None:
-        self._load_board.add_peer_prefill(engine_number, tokens, clock.now_s())
+        self._load_table.add_peer_prefill(engine_number, tokens, clock.now_s())
 
     def _send_prefill_start(self, view: EngineView, tokens: int) -> None:
-        self._load_board.add_own_prefill(view, tokens, clock.now_s())
+        self._load_table.add_own_prefill(view, tokens, clock.now_s())
         self._peers.broadcast_prefill(view.number, tokens)
 
     def _on_spending(self, sender: str, notice: SpendingNotice) -> None:
@@ -618,8 +618,8 @@
             now = clock.now_s()
             members = self._membership.members()
             topology = topology_for(members)
-            kept = self._beliefs.selector.parts.directory.updates(now)
-            messages = topology.own_reports(own, self._load_board, kept, members)
+            kept = self._cluster_state.selector.parts.directory.updates(now)
+            messages = topology.own_reports(own, self._load_table, kept, members)
             has_load = any(message.report.loads or message.report.kept for message in messages)
             is_due = now - reported_at >= MAX_REPORT_INTERVAL_S
             if has_load or had_load or is_due:
@@ -628,7 +628,7 @@
                 reported_at = now
             self._peers.send_reports(self._speed_exchange.due_reports(messages, now))
             had_load = has_load
-            self._load_board.expire(now)
+            self._load_table.expire(now)
             await ticks.pause(topology.interval_s(own, members))
 
     def _add_capacity(self, message: SendReport, now: float) -> SendReport:
@@ -650,7 +650,7 @@
         self._node_capacities.update(self.settings.node, capacity, now)
         self.metrics.set_capacity(capacity, self.capacity.lag_s)
         self._update_load_shedding(now)
-        changes = self._caller_directory.update(self._usable_members(now), self.settings.zone, now)
+        changes = self._node_directory.update(self._usable_members(now), self.settings.zone, now)
         for change in changes[:MAX_LOGGED_CHANGES]:
             self.log.state_changed("node_named", of=len(changes), **change.log_fields())
 
@@ -664,18 +664,18 @@
         ]
         lag_s = self.capacity.lag_s
         others_late_s = self._node_capacities.total(others, now).late_s
-        if self._busy_node.update(lag_s, self.capacity.late_ticks, others_late_s):
+        if self._load_shedder.update(lag_s, self.capacity.late_ticks, others_late_s):
             self.log.state_changed(
                 "node_busy",
-                closes=self._busy_node.closes_connections,
-                refuses=self._busy_node.refuses_requests,
+                closes=self._load_shedder.closes_connections,
+                refuses=self._load_shedder.refuses_requests,
                 lag_s=round(lag_s, 3),
                 others_late_s=round(others_late_s, 3),
             )
 
     def _record_store_link(self, now: float) -> None:
         """Export whether the link to cache stores is too slow to move parts, and log changes."""
-        parts = self._beliefs.selector.parts
+        parts = self._cluster_state.selector.parts
         is_short = parts.is_link_short(now)
         self.metrics.held_seconds.set(parts.directory.held_s)
         self.metrics.store_link_short.set(is_short)
@@ -686,7 +686,7 @@
 
     def _record_speeds(self, now: float) -> None:
         """Recompute the speeds of engines, and log those that became slow or normal again."""
-        speeds = self._beliefs.selector.speeds
+        speeds = self._cluster_state.selector.speeds
         for change in speeds.refresh(now):
             self.log.state_changed(
                 "engine_slow" if change.slowness > 1.0 else "engine_well",
@@ -714,12 +714,12 @@
     async def _run_housekeeping(self) -> None:
         while True:
             now = clock.now_s()
-            self._check_standstill(now)
+            self._check_stall(now)
             self._measure_capacity(now)
-            self._beliefs.expire(now)
+            self._cluster_state.expire(now)
             self._engines.conditions.expire((view.condition for view in self._engines), now)
-            self.metrics.limited_engines.set(len(self._limits.in_force()))
-            self._limits.expire((view.identity for view in self._engines), now)
+            self.metrics.limited_engines.set(len(self._engine_limits.in_force()))
+            self._engine_limits.expire((view.identity for view in self._engines), now)
             self._follower.reselect_reader()
             self.metrics.version.set(self.view.version)
             self.metrics.engines.set(len(self._engines))
