--- a/features/steps/engine_record_steps.py
+++ b/features/steps/engine_record_steps.py
@@ -133,7 +133,7 @@
         view.breaker.record_failure(0.0)
     view.own_load.add(EngineLoad(2, 300, 400))
     node.board.update("peer", {"a": EngineLoad(3, 500, 600, number=view.advertised_number)}, 0.0)
-    node.selector.parts.directory.record_read(
+    node.selector.parts.directory.record_prefill(
         part_number("", "part"),
         view.number,
         0.0,
--- a/features/steps/engine_speeds_steps.py
+++ b/features/steps/engine_speeds_steps.py
@@ -56,7 +56,7 @@
             self.changes += self.speeds.refresh(self.now)
 
     def read(self, engine_id, tokens, factor=1.0):
-        self.speeds.record_read(engine_id, tokens, factor * tokens / self.rate, self.now)
+        self.speeds.record_prefill(engine_id, tokens, factor * tokens / self.rate, self.now)
 
     def settle(self):
         """Let the time pass after which paces are worked out anew."""
@@ -131,7 +131,7 @@
 @when("one reading of engine 0 stalls for {seconds:g} s")
 def step_stall(context, seconds):
     fleet = context.fleet
-    fleet.speeds.record_read("e0", PROMPT_TOKENS, seconds, fleet.now)
+    fleet.speeds.record_prefill("e0", PROMPT_TOKENS, seconds, fleet.now)
     fleet.settle()
 
 
@@ -198,15 +198,15 @@
 def step_unknown(context):
     fleet = context.fleet
     model = fleet.view(0).speed
-    assert not model.reading.current_s and model.slowness == 1.0, model
-    assert fleet.speeds.read_s_per_token(fleet.view(0)) == fleet.speeds.service_read_s_per_token(
-        "service-1"
-    )
+    assert not model.prefill.current_s and model.slowness == 1.0, model
+    assert fleet.speeds.prefill_s_per_token(
+        fleet.view(0)
+    ) == fleet.speeds.service_prefill_s_per_token("service-1")
 
 
 @then("no evidence of engine 0 is left but what it lasted at")
 def step_lasted(context):
-    reading = context.fleet.view(0).speed.reading
+    reading = context.fleet.view(0).speed.prefill
     assert not reading.sources() and reading.current_s == reading.long_term_s, reading
 
 
@@ -358,7 +358,7 @@
     found = [row for word in heard for row in word.speeds]
     assert [row.engine for row in found] == [row.engine for row in rows]
     for before, after in zip(rows, found, strict=True):
-        assert abs(after.reading.pace_s / before.reading.pace_s - 1.0) < 0.05
+        assert abs(after.prefill.pace_s / before.prefill.pace_s - 1.0) < 0.05
 
 
 @given(
--- a/features/steps/gateway_load_steps.py
+++ b/features/steps/gateway_load_steps.py
@@ -109,7 +109,7 @@
         self.directory = PrefixDirectory()
 
     def take(self, report, members, now):
-        self.directory.apply_updates(report.kept, now, report.zone == self.own.zone)
+        self.directory.apply_updates(report.part_locations, now, report.zone == self.own.zone)
         if report.scope is LoadScope.NODE:
             self.board.update(report.node, report.loads, now, report.zone)
             return []
@@ -177,7 +177,7 @@
 def step_saved(context):
     context.part = part_number("salt", "part")
     first = next(iter(context.nodes.values()))
-    first.directory.record_read(context.part, 7, 0.0, saved=True, announce=True)
+    first.directory.record_prefill(context.part, 7, 0.0, saved=True, announce=True)
 
 
 @then("every node knows that the part is kept, and forgets it after {seconds:g} s")
@@ -196,7 +196,7 @@
     first = next(iter(context.nodes.values()))
     context.parts = [part_number("salt", f"part-{number}") for number in range(count)]
     for part in context.parts:
-        first.directory.record_read(part, 7, 0.0, saved=True, announce=True)
+        first.directory.record_prefill(part, 7, 0.0, saved=True, announce=True)
     spent = {f"tenant-{number:08d}": 9_200.0 * number for number in range(1, tenants + 1)}
     context.quota = QuotaReport(1, spent)
 
--- a/features/steps/gateway_overload_steps.py
+++ b/features/steps/gateway_overload_steps.py
@@ -33,7 +33,7 @@
 class Unbounded:
     """Lets any wait pass."""
 
-    def max_wait_s(self, request, least_wait_s, now):
+    def max_wait_s(self, request, min_wait_s, now):
         return math.inf
 
     def is_overloaded(self, service):
@@ -122,7 +122,7 @@
 
     def answered(self, number, asked_at, sent_at, view, load, ahead):
         view.own_load.add(load, -1)
-        self.selector.speeds.record_read(view.engine_id, ahead, self.now - sent_at, self.now)
+        self.selector.speeds.record_prefill(view.engine_id, ahead, self.now - sent_at, self.now)
         if self.now - asked_at <= TARGET_S:
             self.in_time.append((self.now, number))
 
@@ -208,12 +208,12 @@
 @when("a prompt of {tokens:d} tokens is read within {seconds:g} s")
 def step_read_one(context, tokens, seconds):
     context.now += seconds
-    context.speeds.record_read(context.reader.engine_id, tokens, seconds, context.now)
+    context.speeds.record_prefill(context.reader.engine_id, tokens, seconds, context.now)
 
 
 @then("engines are taken to read between {least:d} and {most:d} tokens a second")
 def step_rate(context, least, most):
-    found = 1.0 / context.speeds.read_s_per_token(context.reader)
+    found = 1.0 / context.speeds.prefill_s_per_token(context.reader)
     assert least <= found <= most, found
 
 
--- a/features/steps/gateway_placement_steps.py
+++ b/features/steps/gateway_placement_steps.py
@@ -20,7 +20,7 @@
     for number in range(engines):
         table.update(engine_record(f"e{number}", weights={"model": 1}))
     selector = EngineSelector(table, WeightTargets(8.0), "zone-1")
-    selector.parts.kept_stores = tuple(
+    selector.parts.prefix_stores = tuple(
         PrefixStoreProfile(f"10.0.0.{number}:1", f"zone-{number}") for number in range(stores)
     )
     return selector
@@ -106,7 +106,7 @@
 def step_kept_part(context, waiting):
     selector = context.selectors[0]
     choice = selector.choose(kept_request(), frozenset(), 0.0)
-    selector.parts.record_read(choice, kept_request(), 0.0)
+    selector.parts.record_prefill(choice, kept_request(), 0.0)
     context.holder = choice.engine_id
     load = EngineLoad(requests=1, waiting_tokens=waiting)
     selector._engines.get(choice.engine_id).own_load.add(load)
@@ -156,7 +156,7 @@
     request = begun_alike(0)
     for selector in context.selectors:
         choice = selector.choose(request, frozenset(), 0.0)
-        selector.parts.record_read(choice, request, 0.0)
+        selector.parts.record_prefill(choice, request, 0.0)
     context.placed_at = 1.0
 
 
@@ -176,7 +176,7 @@
 def step_heard(context):
     first, second = context.selectors
     choice = first.choose(begun_alike(0), frozenset(), 0.0)
-    first.parts.record_read(choice, begun_alike(0), 0.0)
+    first.parts.record_prefill(choice, begun_alike(0), 0.0)
     second.parts.directory.apply_updates(
         first.parts.directory.updates(0.1).own, 0.1, of_own_zone=True
     )
@@ -209,7 +209,7 @@
 
 @when("the part has been read")
 def step_part_read(context):
-    context.selectors[0].parts.record_read(context.first, begun_alike(0), context.at)
+    context.selectors[0].parts.record_prefill(context.first, begun_alike(0), context.at)
 
 
 @then("the later one is sent, with the beginning fetched")
@@ -235,7 +235,7 @@
 def step_read_and_busy(context):
     selector = context.selectors[0]
     context.first = selector.choose(begun_alike(0), frozenset(), 0.0)
-    selector.parts.record_read(context.first, begun_alike(0), 0.0)
+    selector.parts.record_prefill(context.first, begun_alike(0), 0.0)
     busy = selector._engines.get(context.first.engine_id)
     busy.own_load.add(EngineLoad(requests=9, waiting_tokens=90_000))
 
@@ -302,7 +302,7 @@
     selector = context.selectors[0]
     salt = selector.choose(begun_alike(0), frozenset(), 0.0).cache_salt
     beginning = part_number(salt, "beginning")
-    selector.parts.directory.record_read(beginning, 0, 0.0, saved=True, announce=True)
+    selector.parts.directory.record_prefill(beginning, 0, 0.0, saved=True, announce=True)
     context.first = selector.choose(begun_alike(0), frozenset(), 2.0)
     view = selector._engines.get(context.first.engine_id)
     view.own_load.add(EngineLoad(requests=1, waiting_tokens=waiting))
@@ -321,7 +321,7 @@
 @when("another node has begun to read the rest at the first engine")
 def step_rest_begun(context):
     rest = part_number(context.first.cache_salt, "continuation-0")
-    news = PartLocation(rest, engine_number(context.first.engine_id), PartStage.BEING_READ)
+    news = PartLocation(rest, engine_number(context.first.engine_id), PartStage.BEING_PREFILLED)
     context.selectors[0].parts.directory.apply_updates([news], 1.9, of_own_zone=True)
 
 
@@ -335,7 +335,7 @@
     selector = context.selectors[0]
     choice = selector.choose(begun_alike(1), frozenset(), seconds)
     assert choice.save_to
-    selector.parts.record_read(choice, begun_alike(1), seconds)
+    selector.parts.record_prefill(choice, begun_alike(1), seconds)
 
 
 @then("{seconds:g} s after the first the beginning counts as kept for a third prompt")
--- a/features/steps/gateway_weights_steps.py
+++ b/features/steps/gateway_weights_steps.py
@@ -13,7 +13,7 @@
 from liftrill.gateway.engines.engine_table import EngineTable
 from liftrill.gateway.leadership import ACTIVITY_KEY, LEADER_KEY, Leadership, TermParameters
 from liftrill.gateway.records import WeightTarget
-from liftrill.gateway.weight_rollout import AskReport, GiveOrder, WeightRollout
+from liftrill.gateway.weight_rollout import GiveOrder, PollReport, WeightRollout
 from liftrill.gateway.weight_targets import WeightTargets
 
 GRACE_SECONDS = 7.3
@@ -70,7 +70,7 @@
         for instruction in self.rollout.due(self.table, now):
             if isinstance(instruction, GiveOrder):
                 self._order(instruction, now)
-            elif isinstance(instruction, AskReport):
+            elif isinstance(instruction, PollReport):
                 busy = instruction.engine_id in self.loading
                 self.rollout.record_report(instruction.engine_id, busy, now)
         self.most_at_once = max(self.most_at_once, len(self.loading))
--- a/features/steps/processor_time_steps.py
+++ b/features/steps/processor_time_steps.py
@@ -124,7 +124,7 @@
     peer = Node([])
     for data in received(context):
         peer.link.datagram_received(data, ("10.0.0.1", 7340))
-    expected = Counter(spending=spendings, reading_begun=readings)
+    expected = Counter(spending=spendings, prefill_started=readings)
     assert peer.told == expected, peer.told
 
 
--- a/features/steps/room_steps.py
+++ b/features/steps/room_steps.py
@@ -200,7 +200,7 @@
 
 @when("the part was read, and all of the {count:d} find it")
 def step_part_read(context, count):
-    context.asked = [context.line.prompt_read(0.0)]
+    context.asked = [context.line.prefill_completed(0.0)]
     while context.asked[-1] is not None and not context.asked[-1].entry.needs_capacity:
         context.asked.append(context.line.dispatched(context.asked[-1], 0.0))
 
@@ -417,9 +417,9 @@
     bounds(context, 0.0, 0.0)
 
 
-def bounds(context, least_wait_s, now):
+def bounds(context, min_wait_s, now):
     kinds = [replace(kind, received_at=now) for kind in context.kinds]
-    return [round(context.guard.max_wait_s(kind, least_wait_s, now), 3) for kind in kinds]
+    return [round(context.guard.max_wait_s(kind, min_wait_s, now), 3) for kind in kinds]
 
 
 @then("in a short burst both may be sent into waits of up to {wait:g} s")
@@ -487,7 +487,7 @@
     for urgency in (0, 1):
         selector.guard.is_more_urgent(replace(opaque_request(), priority=urgency))
     context.speeds = selector.speeds
-    context.before_s = selector.speeds.service_read_s_per_token(SERVICE)
+    context.before_s = selector.speeds.service_prefill_s_per_token(SERVICE)
 
 
 @when("an urgent one is answered {seconds:g} s after {tokens:d} tokens were waiting")
@@ -520,7 +520,7 @@
     # Paces are worked out twice a second.
     context.worked_out_at = getattr(context, "worked_out_at", clock.now_s()) + 0.6
     context.speeds.refresh(context.worked_out_at)
-    return context.speeds.service_read_s_per_token(SERVICE)
+    return context.speeds.service_prefill_s_per_token(SERVICE)
 
 
 # Coming back
--- a/features/uneven_engines.py
+++ b/features/uneven_engines.py
@@ -76,10 +76,10 @@
     def __init__(self, board):
         self._board = board
 
-    def read_s_per_token(self, view):
+    def prefill_s_per_token(self, view):
         return 1.0 / 40_000
 
-    def service_read_s_per_token(self, service):
+    def service_prefill_s_per_token(self, service):
         return 1.0 / 40_000
 
     def predicts_pauses(self, service):
@@ -105,7 +105,7 @@
             self.table.update(engine_record(engine.name, weights={"model": 1}, slots=32))
         policy = ShortestQueue() if replay.mode == "queue" else None
         self.selector = EngineSelector(self.table, WeightTargets(8.0), self.zone, policy)
-        self.selector.parts.kept_stores = (PrefixStoreProfile("10.0.0.9:1", "zone-0"),)
+        self.selector.parts.prefix_stores = (PrefixStoreProfile("10.0.0.9:1", "zone-0"),)
         self.selector.parts.services["service-1"] = ServiceProfile("service-1", 0)
         self.selector.parts.nodes = replay.nodes_count
         self.loads = LoadTable(self.table)
@@ -127,21 +127,24 @@
         """Know all speeds, and go on knowing them."""
         self.truth = {engine.name: engine for engine in replay.engines}
         service = self.speeds._service("service-1")
-        service.has_read_estimate = True
+        service.has_prefill_estimate = True
 
     def refresh(self, mode, now):
         self.speeds.refresh(now)
         service = self.speeds._service("service-1")
         for view in self.table:
             if mode == "as it was":
-                view.speed.read_s_per_token, view.speed.slowness = service.read_s_per_token, 1.0
+                view.speed.prefill_s_per_token, view.speed.slowness = (
+                    service.prefill_s_per_token,
+                    1.0,
+                )
                 view.speed.home_weight = 1.0
             elif mode == "oracle":
-                service.read_s_per_token = 1.0 / (TOKENS_PER_S * FAST)
+                service.prefill_s_per_token = 1.0 / (TOKENS_PER_S * FAST)
                 engine = self.truth[view.engine_id]
                 view.speed.slowness = FAST / engine.speed_at(now)
                 view.speed.home_weight = engine.speed / FAST
-                view.speed.read_s_per_token = service.read_s_per_token * view.speed.slowness
+                view.speed.prefill_s_per_token = service.prefill_s_per_token * view.speed.slowness
 
 
 class Replay:
@@ -297,9 +300,9 @@
         run.first_at = run.last_at = self.now
         run.view.own_load.waiting_tokens -= run.load.waiting_tokens
         run.load.waiting_tokens = 0
-        run.node.selector.parts.record_read(run.choice, run.request, self.now)
+        run.node.selector.parts.record_prefill(run.choice, run.request, self.now)
         elapsed_s = self.now - run.sent_at
-        run.node.speeds.record_read(run.view.engine_id, run.tokens_ahead, elapsed_s, self.now)
+        run.node.speeds.record_prefill(run.view.engine_id, run.tokens_ahead, elapsed_s, self.now)
 
     def event(self, run):
         run.longest_pause_s = max(run.longest_pause_s, self.now - run.last_at)
--- a/liftrill/gateway/admission/overload.py
+++ b/liftrill/gateway/admission/overload.py
@@ -38,13 +38,13 @@
     is_standing: bool = False
     _since: float | None = None
 
-    def record_wait(self, least_wait_s: float, good_wait_s: float, now: float) -> None:
+    def record_wait(self, min_wait_s: float, max_timely_wait_s: float, now: float) -> None:
         """Record the shortest wait, and the longest wait that is still in time."""
         if self.is_standing:
-            is_changing = least_wait_s < RELIEVED_WAIT_SHARE * good_wait_s
+            is_changing = min_wait_s < RELIEVED_WAIT_SHARE * max_timely_wait_s
             after_s = self.relieved_s
         else:
-            is_changing = least_wait_s > good_wait_s
+            is_changing = min_wait_s > max_timely_wait_s
             after_s = self.standing_s
         if not is_changing:
             self._since = None
@@ -61,14 +61,14 @@
     """A service that enters or leaves overload.
 
     Attributes:
-        least_wait_s: the shortest known wait at the service's engines.
-        good_wait_s: the longest wait still in time for the request that caused the change.
+        min_wait_s: the shortest known wait at the service's engines.
+        max_timely_wait_s: the longest wait still in time for the request that caused the change.
     """
 
     service: str
     overloaded: bool
-    least_wait_s: float
-    good_wait_s: float
+    min_wait_s: float
+    max_timely_wait_s: float
 
 
 def _ignore_change(change: OverloadChange) -> None:
@@ -99,7 +99,7 @@
     _sent_tokens: dict[str, dict[int, float]] = field(default_factory=dict)
     # By service and urgency: target of the newest request.
     _targets_s: dict[str, dict[int, float]] = field(default_factory=dict)
-    _least_waits_s: dict[str, float] = field(default_factory=dict)
+    _min_waits_s: dict[str, float] = field(default_factory=dict)
 
     def capacity_wait_s(self, request: OpaqueRequest) -> float:
         """Return the time in which the least busy engine reads the prompts now waiting there.
@@ -109,7 +109,7 @@
         what engines read for 0.4 s, mean of six seeds in virtual time: 0.972 to 0.978 (target
         0.25 s: 0.955 to 0.961; 0.4 s: 0.974 to 0.981; 0.6 s: 0.985 to 0.990).
         """
-        return self._least_waits_s.get(request.service, 0.0)
+        return self._min_waits_s.get(request.service, 0.0)
 
     def is_more_urgent(self, request: OpaqueRequest) -> bool:
         """Return whether the service has had less urgent requests than this one."""
@@ -122,16 +122,16 @@
         queue = self._queues.get(service)
         return queue is not None and queue.is_standing
 
-    def max_wait_s(self, request: OpaqueRequest, least_wait_s: float, now: float) -> float:
+    def max_wait_s(self, request: OpaqueRequest, min_wait_s: float, now: float) -> float:
         """Return the longest wait in seconds that a request may be sent into."""
         target_s = self._bounding_target_s(request)
         good_s = self.timely_wait_share * target_s
         queue = self._queues.setdefault(request.service, StandingQueue())
         was_standing = queue.is_standing
-        queue.record_wait(least_wait_s, good_s, now)
-        self._least_waits_s[request.service] = least_wait_s
+        queue.record_wait(min_wait_s, good_s, now)
+        self._min_waits_s[request.service] = min_wait_s
         if queue.is_standing != was_standing:
-            self.on_change(OverloadChange(request.service, queue.is_standing, least_wait_s, good_s))
+            self.on_change(OverloadChange(request.service, queue.is_standing, min_wait_s, good_s))
         if not queue.is_standing:
             return min(self.burst_wait_limit_s, self.burst_wait_limit_targets * target_s)
         longest_s = max(good_s * self._urgency_factor(request), self._priority_wait_s(request))
--- a/liftrill/gateway/admission/queue_admission.py
+++ b/liftrill/gateway/admission/queue_admission.py
@@ -15,11 +15,11 @@
     """Forecast for a request that would wait.
 
     Attributes:
-        prompt_read_s: time that an engine without cached parts needs to read the prompt.
+        prompt_prefill_s: time that an engine without cached parts needs to read the prompt.
         is_overloaded: whether the service is overloaded.
     """
 
-    prompt_read_s: float
+    prompt_prefill_s: float
     is_overloaded: bool
 
 
@@ -40,11 +40,13 @@
         if known_entry is not None:
             return replace(known_entry, needs_capacity=for_capacity)
         forecast = self.forecast(request)
-        latest_start = request.received_at + request.route.target_seconds - forecast.prompt_read_s
-        turn_at = now + self.wait_s(request, now)
-        is_too_late = turn_at > until or (forecast.is_overloaded and turn_at > latest_start)
+        latest_start = (
+            request.received_at + request.route.target_seconds - forecast.prompt_prefill_s
+        )
+        dispatch_at = now + self.wait_s(request, now)
+        is_too_late = dispatch_at > until or (forecast.is_overloaded and dispatch_at > latest_start)
         if for_capacity and is_too_late:
-            self.log.not_queued(request, turn_at - now, min(until, latest_start) - now)
+            self.log.not_queued(request, dispatch_at - now, min(until, latest_start) - now)
             return None
         return QueueEntry(
             urgency=request.priority,
--- a/liftrill/gateway/admission/request_queue.py
+++ b/liftrill/gateway/admission/request_queue.py
@@ -130,7 +130,7 @@
         self._capacity_changes += 1
         return self._wake_next(_WakeRound(everyone=False))
 
-    def prompt_read(self, now: float) -> Waiter | None:
+    def prefill_completed(self, now: float) -> Waiter | None:
         """Return the request to wake after an engine has read a prompt.
 
         This frees capacity, and may be what every request waits for that needs no capacity.
--- a/liftrill/gateway/admission/service_queues.py
+++ b/liftrill/gateway/admission/service_queues.py
@@ -52,11 +52,11 @@
         if queue:
             self._wake(queue.capacity_freed())
 
-    def prompt_read(self, service: str) -> None:
+    def prefill_completed(self, service: str) -> None:
         """Wake the next request after an engine of a service has read a prompt."""
         queue = self._queues.get(service)
         if queue:
-            self._wake(queue.prompt_read(clock.now_s()))
+            self._wake(queue.prefill_completed(clock.now_s()))
 
     def wake_all(self) -> None:
         """Start a round over all waiting requests, as what they wait for may have changed."""
--- a/liftrill/gateway/cluster_state.py
+++ b/liftrill/gateway/cluster_state.py
@@ -170,7 +170,7 @@
             self.configuration_revision = revision
         if not is_newer:
             return
-        self.selector.parts.kept_stores = configuration.prefix_stores
+        self.selector.parts.prefix_stores = configuration.prefix_stores
         self.selector.parts.services.clear()
         self.selector.parts.services.update(configuration.services)
         self.engines.services = frozenset(configuration.services)
--- a/liftrill/gateway/engines/engine_condition.py
+++ b/liftrill/gateway/engines/engine_condition.py
@@ -69,13 +69,13 @@
             never reset.
         backoff_until: time before which this node must send the engine nothing.
         weights: the newest known version of each model.
-        last_heard_at: time of the last report, or of the removal of the engine's record.
+        last_reported_at: time of the last report, or of the removal of the engine's record.
     """
 
     leaving: bool = False
     backoff_until: float = -math.inf
     weights: dict[str, int] = field(default_factory=dict)
-    last_heard_at: float = 0.0
+    last_reported_at: float = 0.0
     _backoff_since: float = 0.0
     _on_trial: bool = False
     _trial_until: float = -math.inf
@@ -132,11 +132,11 @@
 
     def remember(self, engine: EngineAddress, condition: EngineCondition, now: float) -> None:
         """Store the condition of an incarnation that just reported or lost its record."""
-        condition.last_heard_at = now
+        condition.last_reported_at = now
         self._conditions[_key(engine)] = condition
         if len(self._conditions) > MAX_ENTRIES:
             del self._conditions[
-                min(self._conditions, key=lambda key: self._conditions[key].last_heard_at)
+                min(self._conditions, key=lambda key: self._conditions[key].last_reported_at)
             ]
 
     def expire(self, in_records: Iterable[EngineCondition], now: float) -> None:
@@ -145,9 +145,9 @@
             return
         self._expired_at = now
         for condition in in_records:
-            condition.last_heard_at = now
+            condition.last_reported_at = now
         for key, condition in list(self._conditions.items()):
-            if now - condition.last_heard_at > RETENTION_S:
+            if now - condition.last_reported_at > RETENTION_S:
                 del self._conditions[key]
 
 
--- a/liftrill/gateway/engines/engine_selector.py
+++ b/liftrill/gateway/engines/engine_selector.py
@@ -155,10 +155,10 @@
             return Unavailable.FULL
         candidates = self._candidates(request, prompt, with_capacity, now)
         chosen = self._prompt_policy.choose(request, candidates, self._zone)
-        waits_for_reader = chosen.shared.reader == chosen.view.number
+        waits_for_reader = chosen.shared.prefilling_engine == chosen.view.number
         # Reports about a part being read arrive too late among many engines to wait for its end.
         few_engines = len(with_capacity) < constants.MANY_ENGINES
-        if waits_for_reader and few_engines and now < self._reading_wait_until(request):
+        if waits_for_reader and few_engines and now < self._prefill_wait_until(request):
             return Unavailable.NONE_READY
         choice = self._prompt_choice(chosen, prompt, now)
         if not self._wants_backup(request):
@@ -185,21 +185,21 @@
         serving = [view for view in self._engines.of_service(service) if not view.leaving]
         return self._blocked_s(serving, "", now)
 
-    def prompt_read_s(self, request: OpaqueRequest) -> float:
+    def prompt_prefill_s(self, request: OpaqueRequest) -> float:
         """Return the time that an engine without cached parts needs to read the prompt."""
         tokens = request.prompt.prompt_tokens if request.prompt else 0
-        return tokens * self.speeds.service_read_s_per_token(request.service)
+        return tokens * self.speeds.service_prefill_s_per_token(request.service)
 
     def expected_wait_s(self, view: EngineView) -> float:
         """Return the expected time before an engine starts to read a new prompt."""
-        prompt_read_s = view.waiting_tokens * self.speeds.conservative_read_s_per_token(view)
-        return prompt_read_s + self._slot_wait_s(view)
+        prompt_prefill_s = view.waiting_tokens * self.speeds.conservative_prefill_s_per_token(view)
+        return prompt_prefill_s + self._slot_wait_s(view)
 
     def _slot_wait_s(self, view: EngineView) -> float:
         record = view.record
         return self.slot_times.wait_s(record.service, view.requests, record.slots)
 
-    def _reading_wait_until(self, request: OpaqueRequest) -> float:
+    def _prefill_wait_until(self, request: OpaqueRequest) -> float:
         """Return the time until which a request waits while an engine reads its shared part."""
         share = constants.READING_WAIT_TARGET_SHARE
         return request.received_at + share * request.route.target_seconds
@@ -238,7 +238,7 @@
             return math.inf
         return self._targets.begin_by(request.prompt.model, choice.weight_version)
 
-    def when_weights_named(self, listener: Callable[[], None]) -> None:
+    def on_weights_published(self, listener: Callable[[], None]) -> None:
         """Call a listener whenever the result of `begin_by` may have changed."""
         self._targets.on_published(listener)
 
@@ -332,13 +332,13 @@
                 scopes[version] = self._scope(request, prompt, version, now)
             scope = scopes[version]
             holder = self._holder(view, scope.shared)
-            move_s = self._move_s(request, view, holder)
+            transfer_s = self._move_s(request, view, holder)
             candidates.append(
                 Candidate(
                     view,
                     scope.salt,
                     scope.shared,
-                    move_s,
+                    transfer_s,
                     holder,
                     scope.outdated_s,
                     self._slot_wait_s(view),
@@ -388,6 +388,6 @@
             fetch_from=chosen.holder.record.address if chosen.holder else store,
             save_to=store if saves else "",
             is_saved=chosen.shared.saved,
-            expected_prefill_tokens=max(0, prompt.prompt_tokens - chosen.shared.kept_tokens),
+            expected_prefill_tokens=max(0, prompt.prompt_tokens - chosen.shared.cached_tokens),
             number=view.number,
         )
--- a/liftrill/gateway/engines/engine_speed.py
+++ b/liftrill/gateway/engines/engine_speed.py
@@ -237,7 +237,7 @@
         reading: pace of reading a prompt token.
         event: pace of stream events after the first one.
         answer: pace of a whole answer in a slot of its own.
-        read_s_per_token: time to read a prompt token that decisions use, or 0 to use the service's.
+        prefill_s_per_token: time to read a prompt token that decisions use, or 0 to use the service's.
         slowness: reading time relative to the service's engines.
         answer_slowness: time of a whole answer relative to the service's engines.
         home_weight: rendezvous weight of the engine as the home of shared parts.
@@ -245,10 +245,10 @@
             evidence of its pace.
     """
 
-    reading: Pace = field(default_factory=Pace)
+    prefill: Pace = field(default_factory=Pace)
     event: Pace = field(default_factory=Pace)
     answer: Pace = field(default_factory=Pace)
-    read_s_per_token: float = 0.0
+    prefill_s_per_token: float = 0.0
     slowness: float = 1.0
     answer_slowness: float = 1.0
     home_weight: float = 1.0
--- a/liftrill/gateway/engines/placement.py
+++ b/liftrill/gateway/engines/placement.py
@@ -11,7 +11,7 @@
 from liftrill import constants
 from liftrill.coordination import rendezvous
 from liftrill.gateway.engines.engine_table import EngineView
-from liftrill.gateway.engines.shared_parts import NOTHING_KEPT, SharedParts
+from liftrill.gateway.engines.shared_parts import NOTHING_CACHED, SharedParts
 from liftrill.gateway.engines.speed_estimator import SpeedEstimator
 from liftrill.gateway.opaque_request import OpaqueRequest, PromptShape
 from liftrill.gateway.records import ServiceProfile
@@ -40,7 +40,7 @@
     Attributes:
         scope: the cache salt of the request at this engine, or empty.
         shared: known locations of the request's shared parts in that scope.
-        move_s: time to fetch these parts.
+        transfer_s: time to fetch these parts.
         holder: the engine to fetch them from, or None for the store.
         outdated_s: time since newer weights than the engine's were named.
         slot_wait_s: expected wait for a free slot at the engine.
@@ -48,8 +48,8 @@
 
     view: EngineView
     scope: str = ""
-    shared: SharedParts = NOTHING_KEPT
-    move_s: float = 0.0
+    shared: SharedParts = NOTHING_CACHED
+    transfer_s: float = 0.0
     holder: EngineView | None = None
     outdated_s: float = 0.0
     slot_wait_s: float = 0.0
@@ -108,7 +108,7 @@
 
     Attributes:
         speeds: estimated engine speeds.
-        min_move_s: lower bound of the cost of moving a shared part: the answer is this much later.
+        min_transfer_s: lower bound of the cost of moving a shared part: the answer is this much later.
         engines_per_prefix_reader: number of engines in a scope per engine that reads the common
             prefix of many prompts.
         reread_factor: cost of reading a shared part again, relative to waiting as long.
@@ -131,7 +131,7 @@
     """
 
     speeds: SpeedEstimator
-    min_move_s: float = 0.015
+    min_transfer_s: float = 0.015
     engines_per_prefix_reader: int = 5
     reread_factor: float = constants.REREAD_FACTOR
     rare_reread_factor: float = constants.RARE_REREAD_FACTOR
@@ -160,8 +160,8 @@
         predicts_pauses = self.speeds.predicts_pauses(request.service)
         for position, engine_id in enumerate(rendezvous.rank(key, by_id)):
             candidate = by_id[engine_id]
-            to_read = tokens_to_read(request, candidate)
-            cost_s = self._read_delay_s(candidate, to_read)
+            to_read = tokens_to_prefill(request, candidate)
+            cost_s = self._prefill_delay_s(candidate, to_read)
             if predicts_pauses:
                 late = self.speeds.late_streams(candidate.view, to_read, request.is_stream)
                 # A long pause makes a stream as late as a late first event does.
@@ -202,34 +202,36 @@
             unread += b"%d" % (xxhash.xxh3_64_intdigest(key) % prefix_readers)
         else:
             for candidate in candidates:
-                if candidate.view.number == first.shared.reader:
+                if candidate.view.number == first.shared.prefilling_engine:
                     return candidate.view.engine_id
         weights = {c.view.engine_id: c.view.speed.home_weight for c in candidates}
         home = rendezvous.first_weighted(unread, weights)
         assert home is not None
         return home
 
-    def _read_delay_s(self, candidate: Candidate, to_read: int) -> float:
+    def _prefill_delay_s(self, candidate: Candidate, to_read: int) -> float:
         """Return the time until an engine starts to read, plus its extra time if it is slow."""
         view = candidate.view
-        read_s_per_token = self.speeds.read_s_per_token(view)
-        start_delay_s = candidate.slot_wait_s + self._backlog_tokens(view) * read_s_per_token
+        prefill_s_per_token = self.speeds.prefill_s_per_token(view)
+        start_delay_s = candidate.slot_wait_s + self._backlog_tokens(view) * prefill_s_per_token
         if view.speed.slowness == 1.0:
             return start_delay_s
-        extra_read_s = read_s_per_token - self.speeds.service_read_s_per_token(view.record.service)
+        extra_read_s = prefill_s_per_token - self.speeds.service_prefill_s_per_token(
+            view.record.service
+        )
         return start_delay_s + to_read * extra_read_s
 
     def _missing_parts_cost_s(
         self, request: OpaqueRequest, candidate: Candidate, is_large: bool
     ) -> float:
         """Return the cost of having the shared parts at an engine that lacks them."""
-        missing = request.shared_tokens - candidate.shared.kept_tokens
+        missing = request.shared_tokens - candidate.shared.cached_tokens
         if not missing:
-            return max(self.min_move_s, candidate.move_s)
-        read_s_per_token = self.speeds.read_s_per_token(candidate.view)
-        if is_large and not candidate.shared.reader:
-            return self._reread_cost_tokens(request, missing) * read_s_per_token
-        return missing * self.reread_factor * read_s_per_token
+            return max(self.min_transfer_s, candidate.transfer_s)
+        prefill_s_per_token = self.speeds.prefill_s_per_token(candidate.view)
+        if is_large and not candidate.shared.prefilling_engine:
+            return self._reread_cost_tokens(request, missing) * prefill_s_per_token
+        return missing * self.reread_factor * prefill_s_per_token
 
     def _reread_cost_tokens(self, request: OpaqueRequest, missing_tokens: int) -> float:
         """Return the cost, in tokens, of reading parts that other nodes may also be reading.
@@ -244,7 +246,7 @@
 
     def _pause_cost_s(self, candidate: Candidate, to_read: int) -> float:
         """Return the cost of the pauses that a long prompt causes in the engine's streams."""
-        read_s = to_read * self.speeds.read_s_per_token(candidate.view)
+        read_s = to_read * self.speeds.prefill_s_per_token(candidate.view)
         if read_s < self.long_prompt_s:
             return 0.0
         return candidate.view.requests * read_s * self.pause_share
@@ -256,10 +258,10 @@
         return view.waiting_tokens + max(0.0, excess)
 
 
-def tokens_to_read(request: OpaqueRequest, candidate: Candidate) -> int:
+def tokens_to_prefill(request: OpaqueRequest, candidate: Candidate) -> int:
     """Return the number of prompt tokens that an engine would have to read."""
     prompt_tokens = request.prompt.prompt_tokens if request.prompt else 0
-    return max(0, prompt_tokens - candidate.shared.kept_tokens)
+    return max(0, prompt_tokens - candidate.shared.cached_tokens)
 
 
 def affinity_key(request: OpaqueRequest) -> bytes | None:
@@ -273,6 +275,6 @@
 def first_unread(request: OpaqueRequest, candidate: Candidate) -> bytes | None:
     """Return the id of the first shared part that is not cached, or None."""
     parts = request.prompt.shared_parts if request.prompt else ()
-    if candidate.shared.kept_parts >= len(parts):
+    if candidate.shared.cached_parts >= len(parts):
         return None
-    return parts[candidate.shared.kept_parts].part_id.encode()
+    return parts[candidate.shared.cached_parts].part_id.encode()
--- a/liftrill/gateway/engines/prefix_directory.py
+++ b/liftrill/gateway/engines/prefix_directory.py
@@ -31,7 +31,7 @@
 class PartStage(Enum):
     """Progress of an engine with a shared part."""
 
-    BEING_READ = auto()
+    BEING_PREFILLED = auto()
     HELD = auto()
     SAVED = auto()
 
@@ -69,14 +69,14 @@
         stored_at: time from which a store has the part.
         engine: number of the engine that reads the part or used it last, or 0.
         used_at: time of that reading or use.
-        was_read: whether the engine has read the whole part.
+        was_prefilled: whether the engine has read the whole part.
     """
 
     saved_at: float = -math.inf
     stored_at: float = math.inf
     engine: int = 0
     used_at: float = -math.inf
-    was_read: bool = False
+    was_prefilled: bool = False
 
 
 @dataclass(slots=True)
@@ -87,14 +87,14 @@
         capacity: maximum number of parts.
         lifetime_s: time after which a part is saved again, since the store may have dropped it.
         store_delay_s: time that a part takes to reach the store.
-        reading_lifetime_s: time for which an engine is assumed to read a part.
+        prefill_lifetime_s: time for which an engine is assumed to read a part.
         held_s: time for which an engine is assumed to hold a part after its last use.
     """
 
     capacity: int = 4_096
     lifetime_s: float = 20.0
     store_delay_s: float = constants.KEPT_SETTLE_S
-    reading_lifetime_s: float = constants.READING_S
+    prefill_lifetime_s: float = constants.READING_S
     held_s: float = constants.KEPT_HOLDER_S
     _entries: OrderedDict[int, _Entry] = field(default_factory=OrderedDict)
     _pending: deque[_PendingUpdate] = field(default_factory=lambda: deque(maxlen=MAX_UPDATES))
@@ -109,25 +109,27 @@
         entry = self._entries.get(part)
         return entry is not None and now >= entry.stored_at and self.is_saved(part, now)
 
-    def reader(self, part: int, now: float) -> int:
+    def prefilling_engine(self, part: int, now: float) -> int:
         """Return the number of the engine that is believed to read a part now, or 0."""
         entry = self._entries.get(part)
-        if entry is None or entry.was_read or now - entry.used_at >= self.reading_lifetime_s:
+        if entry is None or entry.was_prefilled or now - entry.used_at >= self.prefill_lifetime_s:
             return 0
         return entry.engine
 
     def holder(self, part: int, now: float) -> int:
         """Return the number of the engine that is believed to hold a part in memory, or 0."""
         entry = self._entries.get(part)
-        if entry is None or not entry.was_read or now - entry.used_at >= self.held_s:
+        if entry is None or not entry.was_prefilled or now - entry.used_at >= self.held_s:
             return 0
         return entry.engine
 
-    def record_reading(self, part: int, engine: int, now: float) -> None:
+    def record_prefill_start(self, part: int, engine: int, now: float) -> None:
         """Record and announce that an engine is about to read a part."""
-        self._record_and_announce(PartLocation(part, engine, PartStage.BEING_READ), now, own=True)
+        self._record_and_announce(
+            PartLocation(part, engine, PartStage.BEING_PREFILLED), now, own=True
+        )
 
-    def record_read(
+    def record_prefill(
         self, part: int, engine: int, now: float, *, saved: bool, announce: bool
     ) -> None:
         """Record that an engine has read a prompt with a part, and whether it saves the part."""
@@ -140,7 +142,7 @@
     def _is_new(self, location: PartLocation, now: float) -> bool:
         """Return whether peers must be told that an engine holds a part."""
         entry = self._entries.get(location.part)
-        if entry is None or not entry.was_read or entry.engine != location.engine:
+        if entry is None or not entry.was_prefilled or entry.engine != location.engine:
             return True
         return now - entry.used_at >= REANNOUNCE_SHARE * self.held_s
 
@@ -161,7 +163,7 @@
             return self.is_saved(location.part, now)
         if location.stage is PartStage.HELD:
             return not self._is_new(location, now)
-        known = self.holder(location.part, now) or self.reader(location.part, now)
+        known = self.holder(location.part, now) or self.prefilling_engine(location.part, now)
         return known != 0 or self.is_saved(location.part, now)
 
     def _record_and_announce(self, location: PartLocation, now: float, own: bool) -> None:
@@ -186,7 +188,7 @@
         entry = self._entries.setdefault(location.part, _Entry())
         entry.engine = location.engine
         entry.used_at = now
-        entry.was_read = location.stage is not PartStage.BEING_READ
+        entry.was_prefilled = location.stage is not PartStage.BEING_PREFILLED
         if location.stage is PartStage.SAVED:
             self._note_saved(entry, now)
         self._entries.move_to_end(location.part)
--- a/liftrill/gateway/engines/service_speeds.py
+++ b/liftrill/gateway/engines/service_speeds.py
@@ -67,16 +67,16 @@
     """Median speeds of a service's engines, with which each engine is compared.
 
     Attributes:
-        read_s_per_token: time to read a prompt token.
-        has_read_estimate: whether `read_s_per_token` is based on observations.
+        prefill_s_per_token: time to read a prompt token.
+        has_prefill_estimate: whether `prefill_s_per_token` is based on observations.
         event_s: time between two events of a stream, or 0 while unknown.
         answer_s: time of a whole answer, or 0 while unknown.
         pause_tokens: most prompt tokens read within one pause, or infinity while unknown.
         pauses: prompt tokens that could be read within recent long pauses of streams.
     """
 
-    read_s_per_token: float = 1.0 / constants.FIRST_READING_TOKENS_PER_S
-    has_read_estimate: bool = False
+    prefill_s_per_token: float = 1.0 / constants.FIRST_READING_TOKENS_PER_S
+    has_prefill_estimate: bool = False
     event_s: float = 0.0
     answer_s: float = 0.0
     pause_tokens: float = math.inf
@@ -88,10 +88,10 @@
         elapsed_s = max(0.0, now - self.updated_at)
         self.updated_at = now
         speeds = [view.speed for view in views]
-        known_s = self.read_s_per_token if self.has_read_estimate else 0.0
-        current_s = _update_paces([speed.reading for speed in speeds], known_s, now)
+        known_s = self.prefill_s_per_token if self.has_prefill_estimate else 0.0
+        current_s = _update_paces([speed.prefill for speed in speeds], known_s, now)
         if current_s:
-            self.read_s_per_token, self.has_read_estimate = current_s, True
+            self.prefill_s_per_token, self.has_prefill_estimate = current_s, True
         self.event_s = _update_paces([speed.event for speed in speeds], self.event_s, now)
         self.answer_s = _update_paces([speed.answer for speed in speeds], self.answer_s, now)
         self._update_pause_bound(elapsed_s)
@@ -104,9 +104,9 @@
 
     def figures(self, service: str, views: list[EngineView]) -> SpeedFigures:
         """Return the speeds of the engines for operators."""
-        paces = [view.speed.reading.current_s or self.read_s_per_token for view in views]
+        paces = [view.speed.prefill.current_s or self.prefill_s_per_token for view in views]
         slow = sum(max(v.speed.slowness, v.speed.answer_slowness) > 1.0 for v in views)
-        rates = (1.0 / max(paces), 1.0 / self.read_s_per_token, 1.0 / min(paces))
+        rates = (1.0 / max(paces), 1.0 / self.prefill_s_per_token, 1.0 / min(paces))
         return SpeedFigures(service, rates, slow)
 
     def is_uneven(self, view: EngineView) -> bool:
@@ -115,7 +115,7 @@
         return (
             speed.slowness != 1.0
             or speed.answer_slowness != 1.0
-            or _differs(speed.reading.long_term_s, self.read_s_per_token)
+            or _differs(speed.prefill.long_term_s, self.prefill_s_per_token)
             or _differs(speed.answer.long_term_s, self.answer_s)
         )
 
@@ -124,14 +124,14 @@
         for view in views:
             speed = view.speed
             before, answer_before = speed.slowness, speed.answer_slowness
-            speed.slowness = _slowness(speed.reading, self.read_s_per_token, before)
+            speed.slowness = _slowness(speed.prefill, self.prefill_s_per_token, before)
             speed.answer_slowness = _slowness(speed.answer, self.answer_s, answer_before)
-            speed.read_s_per_token = (
-                self.read_s_per_token * speed.slowness if self.has_read_estimate else 0.0
+            speed.prefill_s_per_token = (
+                self.prefill_s_per_token * speed.slowness if self.has_prefill_estimate else 0.0
             )
             speed.home_weight = _home_weight(speed.slowness)
             if (before > 1.0) != (speed.slowness > 1.0):
-                changes.append(_change(view, "reading", speed.slowness, speed.reading, now))
+                changes.append(_change(view, "reading", speed.slowness, speed.prefill, now))
             if (answer_before > 1.0) != (speed.answer_slowness > 1.0):
                 changes.append(_change(view, "answer", speed.answer_slowness, speed.answer, now))
         return changes
--- a/liftrill/gateway/engines/shared_part_tracker.py
+++ b/liftrill/gateway/engines/shared_part_tracker.py
@@ -23,7 +23,7 @@
     """Where shared parts are cached, and which of them engines save and fetch.
 
     Attributes:
-        kept_stores: stores that parts are saved to and fetched from.
+        prefix_stores: stores that parts are saved to and fetched from.
         services: profiles that the operator declares, by service.
         nodes: number of nodes that share the engines and stores.
         directory: known locations of parts.
@@ -32,7 +32,7 @@
     """
 
     def __init__(self, engines: EngineTable) -> None:
-        self.kept_stores: tuple[PrefixStoreProfile, ...] = ()
+        self.prefix_stores: tuple[PrefixStoreProfile, ...] = ()
         self.services: dict[str, ServiceProfile] = {}
         self.nodes = 1
         self.directory = PrefixDirectory()
@@ -49,15 +49,15 @@
         store = self._home_store(prompt)
         if not store:
             return "", False
-        if not self.is_link_short(now):
+        if not self.is_link_saturated(now):
             return store, not shared.saved
         if not is_worth_transferring(prompt):
             return "", False
         return store, not shared.saved and is_worth_saving(prompt)
 
-    def is_link_short(self, now: float) -> bool:
+    def is_link_saturated(self, now: float) -> bool:
         """Return whether the demand exceeds the capacity of the stores' links."""
-        return self.store_link.is_saturated(len(self.kept_stores), self.nodes, now)
+        return self.store_link.is_saturated(len(self.prefix_stores), self.nodes, now)
 
     def record_sent(self, choice: EngineChoice, request: OpaqueRequest, now: float) -> None:
         """Record that an engine is about to read the parts of a prompt that are not cached."""
@@ -68,7 +68,7 @@
         for part in prompt.shared_parts:
             number = part_number(choice.cache_salt, part.part_id)
             if part.tokens >= constants.KEPT_NEWS_TOKENS and not self._is_known(number, now):
-                self.directory.record_reading(number, choice.number, now)
+                self.directory.record_prefill_start(number, choice.number, now)
 
     def _record_traffic(
         self, choice: EngineChoice, request: OpaqueRequest, prompt: PromptShape, now: float
@@ -86,7 +86,7 @@
         self, choice: EngineChoice, request: OpaqueRequest, prompt: PromptShape
     ) -> float:
         """Return the time that a request occupies a store's link if all its parts are moved."""
-        zones = {store.address: store.zone for store in self.kept_stores}
+        zones = {store.address: store.zone for store in self.prefix_stores}
         store = self._home_store(prompt)
         if choice.is_saved and choice.fetch_from not in ("", store):
             return 0.0
@@ -98,16 +98,16 @@
 
     def _is_known(self, number: int, now: float) -> bool:
         directory = self.directory
-        found = directory.holder(number, now) or directory.reader(number, now)
+        found = directory.holder(number, now) or directory.prefilling_engine(number, now)
         return found != 0 or directory.is_saved(number, now)
 
-    def record_read(self, choice: EngineChoice, request: OpaqueRequest, now: float) -> None:
+    def record_prefill(self, choice: EngineChoice, request: OpaqueRequest, now: float) -> None:
         """Record that an engine has read a prompt and saves its parts if told to."""
         prompt = request.prompt
         if prompt is None:
             return
         for part in prompt.shared_parts:
-            self.directory.record_read(
+            self.directory.record_prefill(
                 part_number(choice.cache_salt, part.part_id),
                 choice.number,
                 now,
@@ -124,4 +124,4 @@
         if not prompt.shared_parts:
             return ""
         key = prompt.shared_parts[-1].part_id.encode()
-        return rendezvous.first(key, (store.address for store in self.kept_stores)) or ""
+        return rendezvous.first(key, (store.address for store in self.prefix_stores)) or ""
--- a/liftrill/gateway/engines/shared_parts.py
+++ b/liftrill/gateway/engines/shared_parts.py
@@ -20,14 +20,14 @@
         saved: whether all parts are in a store or on their way there.
     """
 
-    kept_parts: int = 0
-    kept_tokens: int = 0
-    reader: int = 0
+    cached_parts: int = 0
+    cached_tokens: int = 0
+    prefilling_engine: int = 0
     holder: int = 0
     saved: bool = False
 
 
-NOTHING_KEPT = SharedParts()
+NOTHING_CACHED = SharedParts()
 
 
 def find_shared_parts(
@@ -43,7 +43,7 @@
     """
     parts = prompt.shared_parts
     if not parts:
-        return NOTHING_KEPT
+        return NOTHING_CACHED
     numbers = [part_number(salt, part.part_id) for part in parts]
     saved = sum(1 for _ in itertools.takewhile(lambda n: _is_stored(directory, n, now), numbers))
     # An engine that holds only some of the parts may provide less than a store, which may have
@@ -52,7 +52,7 @@
     if not is_source(holder):
         holder = 0
     count = len(numbers) if holder else saved
-    reader = directory.reader(numbers[count], now) if count < len(numbers) else 0
+    reader = directory.prefilling_engine(numbers[count], now) if count < len(numbers) else 0
     all_saved = all(directory.is_saved(number, now) for number in numbers)
     return SharedParts(count, _tokens(parts[:count]), reader, holder, all_saved)
 
--- a/liftrill/gateway/engines/speed_estimator.py
+++ b/liftrill/gateway/engines/speed_estimator.py
@@ -22,7 +22,7 @@
 # With more rows only those of uneven engines are sent: the rows fill a datagram.
 MAX_UNFILTERED_ROWS = 32
 MAX_ROWS = 96
-CONSERVATIVE_READ_S_PER_TOKEN = 1.0 / constants.PREFILL_TOKENS_PER_SECOND
+CONSERVATIVE_PREFILL_S_PER_TOKEN = 1.0 / constants.PREFILL_TOKENS_PER_SECOND
 
 
 @dataclass(frozen=True, slots=True)
@@ -37,14 +37,14 @@
     """
 
     engine: int
-    reading: WorkSample = NO_WORK
+    prefill: WorkSample = NO_WORK
     answers: WorkSample = NO_WORK
     pause_tokens: int = 0
 
     @property
     def seconds(self) -> float:
         """The observed work of the engine in seconds."""
-        return self.reading.seconds + self.answers.seconds
+        return self.prefill.seconds + self.answers.seconds
 
 
 class SpeedEstimator:
@@ -63,30 +63,34 @@
 
     # Estimates for decisions
 
-    def read_s_per_token(self, view: EngineView) -> float:
+    def prefill_s_per_token(self, view: EngineView) -> float:
         """Return the time in which an engine reads one prompt token."""
-        return view.speed.read_s_per_token or self._service(view.record.service).read_s_per_token
+        return (
+            view.speed.prefill_s_per_token or self._service(view.record.service).prefill_s_per_token
+        )
 
-    def conservative_read_s_per_token(self, view: EngineView) -> float:
+    def conservative_prefill_s_per_token(self, view: EngineView) -> float:
         """Return the same for decisions that must be in time: an unknown time counts as slow."""
-        if view.speed.read_s_per_token:
-            return view.speed.read_s_per_token
+        if view.speed.prefill_s_per_token:
+            return view.speed.prefill_s_per_token
         service = self._service(view.record.service)
         return (
-            service.read_s_per_token if service.has_read_estimate else CONSERVATIVE_READ_S_PER_TOKEN
+            service.prefill_s_per_token
+            if service.has_prefill_estimate
+            else CONSERVATIVE_PREFILL_S_PER_TOKEN
         )
 
-    def service_read_s_per_token(self, service: str) -> float:
+    def service_prefill_s_per_token(self, service: str) -> float:
         """Return the median reading time per token of a service's engines."""
-        return self._service(service).read_s_per_token
+        return self._service(service).prefill_s_per_token
 
-    def has_read_estimate(self, service: str) -> bool:
+    def has_prefill_estimate(self, service: str) -> bool:
         """Return whether the reading speed of a service's engines was observed."""
-        return self._service(service).has_read_estimate
+        return self._service(service).has_prefill_estimate
 
     def predicts_pauses(self, service: str) -> bool:
         """Return whether a service declares a pause target and its pauses can be predicted."""
-        return bool(self.pause_targets_s.get(service)) and self.has_read_estimate(service)
+        return bool(self.pause_targets_s.get(service)) and self.has_prefill_estimate(service)
 
     def late_streams(self, view: EngineView, to_read: int, is_stream: bool) -> float:
         """Return how many streams a prompt is expected to make late by pauses at an engine.
@@ -97,22 +101,22 @@
         """
         name = view.record.service
         service, target_s = self._service(name), self.pause_targets_s[name]
-        read_s_per_token = view.speed.read_s_per_token or service.read_s_per_token
+        prefill_s_per_token = view.speed.prefill_s_per_token or service.prefill_s_per_token
         waiting_tokens = view.waiting_tokens
         max_pause_tokens = service.pause_tokens
         pause_s = (
-            service.event_s + min(waiting_tokens + to_read, max_pause_tokens) * read_s_per_token
+            service.event_s + min(waiting_tokens + to_read, max_pause_tokens) * prefill_s_per_token
         )
         if pause_s <= SOME_LATE_SHARE * target_s:
             return 0.0
         after = _late_share(pause_s, target_s)
-        before_s = service.event_s + min(waiting_tokens, max_pause_tokens) * read_s_per_token
+        before_s = service.event_s + min(waiting_tokens, max_pause_tokens) * prefill_s_per_token
         before = _late_share(before_s, target_s)
         return view.requests * (after - before) + (before if is_stream else 0.0)
 
     # Observations of this node
 
-    def record_read(self, engine_id: str, tokens: int, elapsed_s: float, now: float) -> None:
+    def record_prefill(self, engine_id: str, tokens: int, elapsed_s: float, now: float) -> None:
         """Record the time in which an engine read a prompt and the tokens waiting before it."""
         view = self._engines.get(engine_id)
         if view is None or tokens < MIN_SAMPLE_TOKENS:
@@ -121,8 +125,8 @@
             return
         service = self._service(view.record.service)
         # Bounded by the default too: tokens that waited before it may have been read already.
-        known_s = view.speed.reading.current_s or service.read_s_per_token
-        view.speed.reading.record(tokens, elapsed_s, known_s, now)
+        known_s = view.speed.prefill.current_s or service.prefill_s_per_token
+        view.speed.prefill.record(tokens, elapsed_s, known_s, now)
         self._update_if_due(view.record.service, None, now)
 
     def record_stream(
@@ -140,9 +144,9 @@
         service = self._service(view.record.service)
         pace = view.speed.event
         pace.record(events - 1, steady_s, pace.current_s or service.event_s, now)
-        if service.has_read_estimate and service.event_s:
+        if service.has_prefill_estimate and service.event_s:
             read_s = max(0.0, longest_pause_s - service.event_s)
-            self._note_pause(view, read_s / self.read_s_per_token(view))
+            self._note_pause(view, read_s / self.prefill_s_per_token(view))
         self._update_if_due(view.record.service, None, now)
 
     def record_answer(self, view: EngineView, elapsed_s: float, requests: int, now: float) -> None:
@@ -176,14 +180,14 @@
             if view is None:
                 continue
             speed = view.speed
-            speed.reading.apply_report(node, zone, row.reading, now)
+            speed.prefill.apply_report(node, zone, row.prefill, now)
             speed.answer.apply_report(node, zone, row.answers, now)
             self._service(view.record.service).note_pause(row.pause_tokens)
 
     def _rows(self, work_of: Callable[[Pace], WorkSample]) -> list[SpeedRow]:
         found: list[tuple[EngineView, SpeedRow]] = []
         for view in self._engines:
-            reading, answers = work_of(view.speed.reading), work_of(view.speed.answer)
+            reading, answers = work_of(view.speed.prefill), work_of(view.speed.answer)
             if reading.is_significant or answers.is_significant:
                 pause_tokens = int(self._longest_pauses.get(view.number, 0.0))
                 found.append((view, SpeedRow(view.number, reading, answers, pause_tokens)))
--- a/liftrill/gateway/forwarder.py
+++ b/liftrill/gateway/forwarder.py
@@ -122,9 +122,9 @@
         """Return the time by which an attempt must have begun, on the steady clock."""
         return self._selector.begin_by(choice, request)
 
-    def on_new_weights(self, listener: Callable[[], None]) -> None:
+    def on_weights_published(self, listener: Callable[[], None]) -> None:
         """Call a listener whenever `begin_by` may have changed."""
-        self._selector.when_weights_named(listener)
+        self._selector.on_weights_published(listener)
 
     def on_overload_change(self, listener: Callable[[OverloadChange], None]) -> None:
         """Call a listener whenever a service enters or leaves overload."""
@@ -133,7 +133,7 @@
     def wait_conditions(self, request: OpaqueRequest) -> QueueForecast:
         """Return what a request's queue entry has to take into account about the engines."""
         is_overloaded = self._selector.guard.is_overloaded(request.service)
-        return QueueForecast(self._selector.prompt_read_s(request), is_overloaded)
+        return QueueForecast(self._selector.prompt_prefill_s(request), is_overloaded)
 
     def try_spend_retry(self, request: OpaqueRequest) -> bool:
         """Take one retry from the retry budget of the request's service."""
@@ -158,10 +158,10 @@
     ) -> None:
         """Record a prefill, and the tokens processed in it, those queued before included."""
         now = clock.now_s()
-        self._selector.parts.record_read(choice, request, now)
+        self._selector.parts.record_prefill(choice, request, now)
         # More urgent prompts overtake the engine's queue, so their times say nothing about it.
         if not self._selector.guard.is_more_urgent(request):
-            self.speeds.record_read(choice.engine_id, tokens, elapsed_s, now)
+            self.speeds.record_prefill(choice.engine_id, tokens, elapsed_s, now)
 
     def record_slot_time(self, request: OpaqueRequest, held_s: float) -> None:
         """Record for how long a request occupied a slot of its engine."""
@@ -216,7 +216,7 @@
         self._allowance = allowance
         self._transport = transport
         self._begin_deadlines = BeginDeadlines()
-        ports.on_new_weights(self._begin_deadlines.refresh)
+        ports.on_weights_published(self._begin_deadlines.refresh)
 
     async def deliver(self, request: OpaqueRequest, sink: ResponseSink) -> None:
         """Deliver a request until it has ended or its caller has gone."""
@@ -257,8 +257,8 @@
         self.log.state_changed(
             "overload" if change.overloaded else "overload_over",
             service=change.service,
-            least_wait_ms=round(1000 * change.least_wait_s),
-            good_wait_ms=round(1000 * change.good_wait_s),
+            least_wait_ms=round(1000 * change.min_wait_s),
+            good_wait_ms=round(1000 * change.max_timely_wait_s),
             waiting=depth,
             waiting_for_ms=round(1000 * age_s),
         )
@@ -274,8 +274,8 @@
         if view is not None:
             view.breaker.record_start(now)
             view.condition.note_sent(now)
-            reading_s = start.choice.expected_prefill_tokens * self._ports.speeds.read_s_per_token(
-                view
+            reading_s = (
+                start.choice.expected_prefill_tokens * self._ports.speeds.prefill_s_per_token(view)
             )
             if reading_s >= constants.TOLD_READING_LEAST_S:
                 self.prefill_started(view, start.choice.expected_prefill_tokens)
@@ -348,7 +348,7 @@
     def record_prefill(self, machine: DeliveryMachine, tokens: int, elapsed_s: float) -> None:
         """Record the prefill time of the newest attempt, and the tokens processed in it."""
         self._ports.record_prefill(machine.attempts[-1], machine.request, tokens, elapsed_s)
-        self.queues.prompt_read(machine.request.service)
+        self.queues.prefill_completed(machine.request.service)
 
     def record_slot_time(self, machine: DeliveryMachine, held_s: float) -> None:
         """Record for how long a request occupied a slot of its engine."""
--- a/liftrill/gateway/gateway.py
+++ b/liftrill/gateway/gateway.py
@@ -197,7 +197,7 @@
             store, self._follower.mirror, self._fleet, lambda: self._leadership.fence, log
         )
         self._tasks: list[asyncio.Task[None]] = []
-        self._store_link_was_short = False
+        self._was_link_saturated = False
         self._store_era = 0
         self._total_slept_s = 0.0
 
@@ -366,7 +366,7 @@
         """Query the store at once after a standstill: engines may have left meanwhile."""
         if self._stall_detector.tick(now):
             slept_s = clock.slept_s()
-            self.metrics.standstills.inc()
+            self.metrics.stalls.inc()
             self.log.state_changed(
                 "woken",
                 stood_still_s=round(self._stall_detector.stall_s, 3),
@@ -509,7 +509,7 @@
 
     def record_engine_signal(self, word: EngineSignal) -> None:
         """Process what an engine reported about itself in a response to this node."""
-        self._gossip.handle_engine_message(word)
+        self._gossip.handle_signal(word)
 
     def _on_engine_update(self, update: UnrecordedEngineState) -> None:
         self._gossip.apply_update(update)
@@ -523,9 +523,11 @@
     def _on_loads(self, report: LoadReport) -> None:
         now = clock.now_s()
         of_zone = report.zone == self.settings.zone
-        self._cluster_state.selector.parts.directory.apply_updates(report.kept, now, of_zone)
+        self._cluster_state.selector.parts.directory.apply_updates(
+            report.part_locations, now, of_zone
+        )
         self._quotas.apply_report(report, now)
-        if report.kept:
+        if report.part_locations:
             self.forwarder.queues.wake_all()
         if report.scope is LoadScope.NODE:
             self._silence_detector.record_report(report.node, now)
@@ -620,7 +622,9 @@
             topology = topology_for(members)
             kept = self._cluster_state.selector.parts.directory.updates(now)
             messages = topology.own_reports(own, self._load_table, kept, members)
-            has_load = any(message.report.loads or message.report.kept for message in messages)
+            has_load = any(
+                message.report.loads or message.report.part_locations for message in messages
+            )
             is_due = now - reported_at >= MAX_REPORT_INTERVAL_S
             if has_load or had_load or is_due:
                 messages = [self._quotas.with_quota(message, now) for message in messages]
@@ -676,11 +680,11 @@
     def _record_store_link(self, now: float) -> None:
         """Export whether the link to cache stores is too slow to move parts, and log changes."""
         parts = self._cluster_state.selector.parts
-        is_short = parts.is_link_short(now)
+        is_short = parts.is_link_saturated(now)
         self.metrics.held_seconds.set(parts.directory.held_s)
-        self.metrics.store_link_short.set(is_short)
-        if is_short != self._store_link_was_short:
-            self._store_link_was_short = is_short
+        self.metrics.store_link_saturated.set(is_short)
+        if is_short != self._was_link_saturated:
+            self._was_link_saturated = is_short
             held_s = round(parts.directory.held_s, 2)
             self.log.state_changed("store_link", short=is_short, nodes=parts.nodes, held_s=held_s)
 
@@ -728,8 +732,8 @@
             self.metrics.mirror_age.set(self._follower.freshness.age_s(now))
             self.metrics.peers.set(len(self._membership.members()))
             depth, age_s = self.forwarder.queues.depth_and_age_s(now)
-            self.metrics.line_depth.set(depth)
-            self.metrics.line_age.set(age_s)
+            self.metrics.queue_depth.set(depth)
+            self.metrics.queue_age_s.set(age_s)
             self._record_store_link(now)
             self._record_speeds(now)
             self._fleet.record_alive(len(self._membership.members()), now)
--- a/liftrill/gateway/gateway_metrics.py
+++ b/liftrill/gateway/gateway_metrics.py
@@ -62,7 +62,7 @@
         self.reads_store = self._gauge(
             "liftrill_reads_store", "1 if this node reads the store, 0 if it follows a reader."
         )
-        self.store_link_short = self._gauge(
+        self.store_link_saturated = self._gauge(
             "liftrill_store_link_short", "1 if the links of the prefix stores are saturated."
         )
         self.held_seconds = self._gauge(
@@ -71,8 +71,8 @@
         self.limited_tenants = self._gauge(
             "liftrill_limited_tenants", "Tenants with recent refusals over their limit."
         )
-        self.line_depth = self._gauge("liftrill_line_depth", "Requests queued for engines.")
-        self.line_age = self._gauge(
+        self.queue_depth = self._gauge("liftrill_line_depth", "Requests queued for engines.")
+        self.queue_age_s = self._gauge(
             "liftrill_line_age_seconds", "Waiting time of the oldest queued request."
         )
         self.sent_by_urgency = self._counter(
@@ -84,7 +84,7 @@
         self.quarantined = self._gauge(
             "liftrill_quarantined_requests", "Requests in quarantine, sent to no engine."
         )
-        self.standstills = Counter(
+        self.stalls = Counter(
             "liftrill_standstills",
             "Stalls of this process, including sleep of its machine.",
             registry=self.registry,
@@ -118,7 +118,7 @@
             "Engines found to have ended during runs.",
             registry=self.registry,
         )
-        self.reading_rate = Gauge(
+        self.prefill_rate = Gauge(
             "liftrill_engine_reading_tokens_per_second",
             "Prefill rate of a service's slowest, median and fastest engine.",
             ["service", "engine"],
@@ -191,7 +191,7 @@
         """Set the prefill rates and the number of slow engines of each service."""
         for figure in figures:
             for engine, rate in zip(("slowest", "middle", "fastest"), figure.rates, strict=True):
-                self.reading_rate.labels(figure.service, engine).set(rate)
+                self.prefill_rate.labels(figure.service, engine).set(rate)
             self.slow_engines.labels(figure.service).set(figure.slow)
 
     def text(self) -> bytes:
--- a/liftrill/gateway/peers/engine_gossip.py
+++ b/liftrill/gateway/peers/engine_gossip.py
@@ -53,7 +53,7 @@
         self._log = log
         self._metrics = metrics
 
-    def handle_engine_message(self, message: EngineSignal) -> None:
+    def handle_signal(self, message: EngineSignal) -> None:
         """Apply what an engine reports of itself in an answer, and broadcast that it leaves."""
         self._metrics.count_engine_signal(message)
         if message.backoff_s:
--- a/liftrill/gateway/peers/load_codec.py
+++ b/liftrill/gateway/peers/load_codec.py
@@ -29,7 +29,7 @@
 # takes 40 bytes with an id of 12 letters, a kept part 18, and a tenant's spending 24 with a name of
 # 15 letters.
 LOADS_PER_DATAGRAM = 14
-KEPT_PER_DATAGRAM = 24
+PARTS_PER_DATAGRAM = 24
 TENANTS_PER_DATAGRAM = 6
 # A speed row takes 30 bytes encoded. Each row is applied by itself, without waiting for the others.
 SPEEDS_PER_DATAGRAM = 32
@@ -50,7 +50,7 @@
         ]
     quota = report.quota or QuotaReport(0)
     loads = _chunks(list(report.loads.items()), LOADS_PER_DATAGRAM)
-    kept = _chunks(list(report.kept), KEPT_PER_DATAGRAM)
+    kept = _chunks(list(report.part_locations), PARTS_PER_DATAGRAM)
     spent = _chunks(list(quota.spent.items()), TENANTS_PER_DATAGRAM)
     rows = list(itertools.zip_longest(loads, kept, spent)) or [(None, None, None)]
     datagrams = [
@@ -97,7 +97,7 @@
         loads=rows or [messages.EngineLoad()],
         kept_parts=[part.part for part in kept],
         kept_by=[part.engine for part in kept],
-        being_read=[part.stage is PartStage.BEING_READ for part in kept],
+        being_read=[part.stage is PartStage.BEING_PREFILLED for part in kept],
         held_alone=[part.stage is PartStage.HELD for part in kept],
         spent=[messages.TenantSpending(tenant=t, amount=a) for t, a in spent],
         spent_by_nodes=quota_nodes,
@@ -162,8 +162,8 @@
 def _speed_message(row: SpeedRow) -> messages.EngineSpeed:
     return messages.EngineSpeed(
         engine=row.engine,
-        read_tokens=round(row.reading.units),
-        read_milliseconds=round(MS_PER_S * row.reading.seconds),
+        read_tokens=round(row.prefill.units),
+        read_milliseconds=round(MS_PER_S * row.prefill.seconds),
         pause_tokens=row.pause_tokens,
         answers=round(HUNDREDTHS_PER_ANSWER * row.answers.units),
         answer_milliseconds=round(MS_PER_S * row.answers.seconds),
@@ -192,7 +192,7 @@
 
 def _stage(being_read: int, held_alone: int) -> PartStage:
     if being_read:
-        return PartStage.BEING_READ
+        return PartStage.BEING_PREFILLED
     return PartStage.HELD if held_alone else PartStage.SAVED
 
 
@@ -242,7 +242,7 @@
     for piece in pieces:
         loads.update(piece.loads)
         spent.update(piece.quota.spent if piece.quota else {})
-    kept = tuple(itertools.chain.from_iterable(piece.kept for piece in pieces))
+    kept = tuple(itertools.chain.from_iterable(piece.part_locations for piece in pieces))
     quota = QuotaReport(first.quota.nodes, spent) if first.quota else None
     node_load = next((piece.node_load for piece in pieces if piece.node_load is not None), None)
     return LoadReport(first.scope, first.node, first.zone, loads, kept, quota, node_load=node_load)
--- a/liftrill/gateway/peers/load_exchange.py
+++ b/liftrill/gateway/peers/load_exchange.py
@@ -56,7 +56,7 @@
     node: str
     zone: str
     loads: LoadByEngine
-    kept: tuple[PartLocation, ...] = ()
+    part_locations: tuple[PartLocation, ...] = ()
     quota: QuotaReport | None = None
     speeds: tuple[SpeedRow, ...] = ()
     node_load: NodeLoad | None = None
--- a/liftrill/gateway/peers/peer_link.py
+++ b/liftrill/gateway/peers/peer_link.py
@@ -80,7 +80,7 @@
     engine_update: Callable[[UnrecordedEngineState], None]
     loads: Callable[[LoadReport], None]
     speeds: Callable[[LoadReport], None]
-    reading_begun: Callable[[int, int], None]
+    prefill_started: Callable[[int, int], None]
     spending: Callable[[str, SpendingNotice], None]
     lost_runs: Callable[[str, list[LostRun]], None]
     served: Callable[[bytes], None]
@@ -274,9 +274,9 @@
     def _dispatch_prefills(self, message: messages.Datagram) -> None:
         if message.HasField("reading_begun"):
             first = message.reading_begun
-            self._callbacks.reading_begun(first.engine, first.tokens)
+            self._callbacks.prefill_started(first.engine, first.tokens)
         for prefill in message.readings:
-            self._callbacks.reading_begun(prefill.engine, prefill.tokens)
+            self._callbacks.prefill_started(prefill.engine, prefill.tokens)
 
     def _dispatch_reports(self, message: messages.Datagram) -> None:
         for notice in message.notices:
--- a/liftrill/gateway/store_follower.py
+++ b/liftrill/gateway/store_follower.py
@@ -108,9 +108,9 @@
         self._relay = RelayClient(self, limits)
         self._outage = StoreOutage()
         self._reread = True
-        self._reading = False
-        self._try_store = False
-        self._waiting: asyncio.Task[None] | None = None
+        self._is_reading_range = False
+        self._try_store_first = False
+        self._interruptible_task: asyncio.Task[None] | None = None
         self._followed_since = 0.0
         self._reader_path: tuple[str, ...] = ()
 
@@ -157,7 +157,7 @@
         A read in progress, which may have received that answer, is left to run: it fails if its
         pages are of two eras, and is then repeated.
         """
-        if self.followed is None and not self._reading:
+        if self.followed is None and not self._is_reading_range:
             self.reread()
 
     def store_failed(self) -> None:
@@ -168,19 +168,19 @@
 
     def store_answered(self, revision: int, asked_at: float) -> None:
         """Record the store's revision in its answer to a call sent at `asked_at`."""
-        self._record_reading(revision, asked_at)
+        self._record_read(revision, asked_at)
         if self.followed is None and self._outage.unreachable:
             # The store is back: waiting out the retry delay would only make the mirror staler.
             self._outage.record_success()
-            if not self._reading:
+            if not self._is_reading_range:
                 self.reread()
 
-    def _record_reading(self, revision: int, asked_at: float) -> None:
+    def _record_read(self, revision: int, asked_at: float) -> None:
         self.freshness.record_reading(revision, asked_at)
         self.freshness.record_position(self.mirror.position)
 
     def _reader_to_follow(self) -> Member | None:
-        if self._reread and (self._try_store or not self._outage.unreachable):
+        if self._reread and (self._try_store_first or not self._outage.unreachable):
             return None
         return self._delegate.reader_to_follow(self._outage.unreachable)
 
@@ -214,7 +214,7 @@
     def relay_confirmed(self, answer: RelayAnswer, asked_at: float) -> None:
         """Record how current the reader was when it answered a question sent at `asked_at`."""
         self._reader_path = answer.path
-        self._record_reading(answer.at, asked_at - answer.mirror_age_s)
+        self._record_read(answer.at, asked_at - answer.mirror_age_s)
         self._delegate.relay_answered(answer, asked_at)
 
     def reader_timeout_s(self) -> float:
@@ -235,7 +235,7 @@
         self._followed_since = clock.now_s()
         self._delegate.reader_followed(reader, store_lost=self._outage.unreachable)
         # If this reader is given up, the store is tried before another substitute.
-        self._try_store = True
+        self._try_store_first = True
         self._reader_path = ()
         self.mirror.start_reading()
         try:
@@ -268,33 +268,33 @@
 
     async def _interruptible(self, work: Awaitable[None]) -> None:
         """Await `work`; `_interrupt` can cancel it alone, so that `run` goes on."""
-        self._waiting = asyncio.ensure_future(work)
+        self._interruptible_task = asyncio.ensure_future(work)
         try:
-            await asyncio.wait({self._waiting})
-            if not self._waiting.cancelled():
-                self._waiting.result()
+            await asyncio.wait({self._interruptible_task})
+            if not self._interruptible_task.cancelled():
+                self._interruptible_task.result()
         finally:
-            self._waiting.cancel()
-            self._waiting = None
+            self._interruptible_task.cancel()
+            self._interruptible_task = None
 
     def _interrupt(self) -> None:
-        if self._waiting is not None:
-            self._waiting.cancel()
+        if self._interruptible_task is not None:
+            self._interruptible_task.cancel()
 
     async def _read_all(self) -> None:
         self._reread = False
-        self._try_store = False
+        self._try_store_first = False
         self.mirror.start_reading()
         asked_at = clock.now_s()
         known_at = self.mirror.position
-        self._reading = True
+        self._is_reading_range = True
         try:
             first_at, change = await self._read_pages()
         except StoreError:
             self._outage.record_read_failure()
             raise
         finally:
-            self._reading = False
+            self._is_reading_range = False
         if first_at < known_at:
             raise StoreUnavailableError(
                 f"range page at position {first_at} is older than the mirror at {known_at}"
@@ -303,7 +303,7 @@
         self._note_connection(True)
         self._report_change(change)
         self._delegate.range_read(asked_at)
-        self._record_reading(first_at, asked_at)
+        self._record_read(first_at, asked_at)
 
     async def _read_pages(self) -> tuple[int, MirrorChange]:
         """Return the position of the first page, and the change that all pages make."""
--- a/liftrill/gateway/weight_controller.py
+++ b/liftrill/gateway/weight_controller.py
@@ -16,8 +16,8 @@
 from liftrill.gateway.weight_rollout import (
     AnnounceDone,
     AnnounceLoad,
-    AskReport,
     GiveOrder,
+    PollReport,
     RolloutInstruction,
     WeightRollout,
 )
@@ -109,7 +109,7 @@
             self._finish(view, instruction.model, instruction.version)
         elif isinstance(instruction, GiveOrder):
             self._spawn(self._send_order(view, instruction))
-        elif isinstance(instruction, AskReport):
+        elif isinstance(instruction, PollReport):
             self._spawn(self._poll_report(view))
 
     def _begin_term(self) -> None:
--- a/liftrill/gateway/weight_rollout.py
+++ b/liftrill/gateway/weight_rollout.py
@@ -95,7 +95,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class AskReport:
+class PollReport:
     """Query an engine's report of what it has loaded."""
 
     engine_id: str
@@ -110,7 +110,7 @@
     version: int
 
 
-RolloutInstruction = AnnounceDone | AnnounceLoad | GiveOrder | AskReport
+RolloutInstruction = AnnounceDone | AnnounceLoad | GiveOrder | PollReport
 
 
 @dataclass(slots=True)
@@ -199,7 +199,7 @@
                     instructions.append(self._order(load, now))
             else:
                 load.next_at = now + self.parameters.check_interval
-                instructions.append(AskReport(load.engine_id))
+                instructions.append(PollReport(load.engine_id))
         return instructions
 
     def _is_drained(self, load: Load, view: EngineView, now: float) -> bool:
