--- a/liftrill/gateway/peers/speed_exchange.py
+++ b/liftrill/gateway/peers/speed_exchange.py
@@ -49,4 +49,4 @@
             rows = self.board.own_rows(now)
         else:
             rows = self.board.zone_rows(loads.zone, now)
-        return replace(loads, loads={}, kept=(), quota=None, speeds=tuple(rows))
+        return replace(loads, loads={}, part_locations=(), quota=None, speeds=tuple(rows))
