--- a/liftrill/gateway/begin_deadlines.py
+++ b/liftrill/gateway/begin_deadlines.py
@@ -15,13 +15,13 @@
         self._begin_by: dict[asyncio.Timeout, Callable[[], float]] = {}
 
     async def read_before(
-        self, begin_by: Callable[[], float], reading: Awaitable[list[events.DeliveryEvent]]
+        self, begin_by: Callable[[], float], pending_read: Awaitable[list[events.DeliveryEvent]]
     ) -> list[events.DeliveryEvent]:
         """Return the events of a read, or raise TimeoutError once the attempt must not begin."""
         async with asyncio.timeout_at(_due_at(begin_by())) as timer:
             self._begin_by[timer] = begin_by
             try:
-                return await reading
+                return await pending_read
             finally:
                 del self._begin_by[timer]
 
--- a/liftrill/gateway/decision_log.py
+++ b/liftrill/gateway/decision_log.py
@@ -122,7 +122,7 @@
         """Log that the node that issues an engine's permits did not answer in time."""
         self._write_failure("permit_unanswered", engine=engine.engine_id, issuer=issuer)
 
-    def engine_limit_named(self, signal: EngineSignal) -> None:
+    def engine_limit_reported(self, signal: EngineSignal) -> None:
         """Log that an answer of an engine names a rate limit."""
         self._write_failure(
             "engine_limit_named",
--- a/liftrill/gateway/delivery_driver.py
+++ b/liftrill/gateway/delivery_driver.py
@@ -56,7 +56,7 @@
 
     @abstractmethod
     async def read_before_overdue(
-        self, machine: DeliveryMachine, reading: Awaitable[list[events.DeliveryEvent]]
+        self, machine: DeliveryMachine, pending_read: Awaitable[list[events.DeliveryEvent]]
     ) -> list[events.DeliveryEvent]:
         """Return the events of a read, or an interruption once the attempt must not begin."""
 
@@ -169,12 +169,12 @@
         return await self._record_events(await self._read_before_overdue(self._attempt.read()))
 
     async def _read_before_overdue(
-        self, reading: Awaitable[list[events.DeliveryEvent]]
+        self, pending_read: Awaitable[list[events.DeliveryEvent]]
     ) -> list[events.DeliveryEvent]:
         """Read from the attempt; interrupt it if it must not begin any more."""
         if not self._load.waiting_tokens:
-            return await reading
-        return await self._owner.read_before_overdue(self._machine, reading)
+            return await pending_read
+        return await self._owner.read_before_overdue(self._machine, pending_read)
 
     def _record_prefill_done(self) -> None:
         """Record the end of the prefill, which the first event shows."""
--- a/liftrill/gateway/engines/engine_limits.py
+++ b/liftrill/gateway/engines/engine_limits.py
@@ -249,7 +249,7 @@
     ) -> None:
         """Apply the limit stated in an answer to this node, or its absence."""
         if rate_per_s is not None:
-            self._apply_named_limit(engine, rate_per_s, now)
+            self._apply_reported_limit(engine, rate_per_s, now)
         if permit is None:
             return
         receipt = PermitReceipt(engine, permit.run, permit.issued_at, rate_per_s)
@@ -297,7 +297,7 @@
             if now - state.updated_at > RETENTION_S:
                 self._forget(engine)
 
-    def _apply_named_limit(self, engine: EngineAddress, rate_per_s: float, now: float) -> None:
+    def _apply_reported_limit(self, engine: EngineAddress, rate_per_s: float, now: float) -> None:
         state = self._states.get(engine)
         if state is not None and state.limit.in_force:
             state.updated_at = now
--- a/liftrill/gateway/engines/placement.py
+++ b/liftrill/gateway/engines/placement.py
@@ -109,7 +109,7 @@
     Attributes:
         speeds: estimated engine speeds.
         min_transfer_s: lower bound of the cost of moving a shared part: the answer is this much later.
-        engines_per_prefix_reader: number of engines in a scope per engine that reads the common
+        engines_per_prefix_home: number of engines in a scope per engine that reads the common
             prefix of many prompts.
         reread_factor: cost of reading a shared part again, relative to waiting as long.
         rare_reread_factor: the same for a part of few prompts that no engine is known to read.
@@ -132,7 +132,7 @@
 
     speeds: SpeedEstimator
     min_transfer_s: float = 0.015
-    engines_per_prefix_reader: int = 5
+    engines_per_prefix_home: int = 5
     reread_factor: float = constants.REREAD_FACTOR
     rare_reread_factor: float = constants.RARE_REREAD_FACTOR
     long_prompt_s: float = constants.LONG_PROMPT_S
@@ -160,14 +160,14 @@
         predicts_pauses = self.speeds.predicts_pauses(request.service)
         for position, engine_id in enumerate(rendezvous.rank(key, by_id)):
             candidate = by_id[engine_id]
-            to_read = tokens_to_prefill(request, candidate)
-            cost_s = self._prefill_delay_s(candidate, to_read)
+            to_prefill = tokens_to_prefill(request, candidate)
+            cost_s = self._prefill_delay_s(candidate, to_prefill)
             if predicts_pauses:
-                late = self.speeds.late_streams(candidate.view, to_read, request.is_stream)
+                late = self.speeds.late_streams(candidate.view, to_prefill, request.is_stream)
                 # A long pause makes a stream as late as a late first event does.
                 cost_s += late * request.route.target_seconds
             else:
-                cost_s += self._pause_cost_s(candidate, to_read)
+                cost_s += self._pause_cost_s(candidate, to_prefill)
             if homes[candidate.scope] != engine_id:
                 cost_s += self._missing_parts_cost_s(request, candidate, is_large)
                 cost_s += overflow_penalty_s if position >= preferred_count else 0.0
@@ -196,8 +196,8 @@
         requests too late to keep a single engine from being overloaded.
         """
         first = candidates[0]
-        unread = first_unread(request, first) or key
-        prefix_readers = max(1, len(candidates) // self.engines_per_prefix_reader)
+        unread = first_uncached(request, first) or key
+        prefix_readers = max(1, len(candidates) // self.engines_per_prefix_home)
         if prefix_readers > 1 and unread != key:
             unread += b"%d" % (xxhash.xxh3_64_intdigest(key) % prefix_readers)
         else:
@@ -209,7 +209,7 @@
         assert home is not None
         return home
 
-    def _prefill_delay_s(self, candidate: Candidate, to_read: int) -> float:
+    def _prefill_delay_s(self, candidate: Candidate, to_prefill: int) -> float:
         """Return the time until an engine starts to read, plus its extra time if it is slow."""
         view = candidate.view
         prefill_s_per_token = self.speeds.prefill_s_per_token(view)
@@ -219,7 +219,7 @@
         extra_read_s = prefill_s_per_token - self.speeds.service_prefill_s_per_token(
             view.record.service
         )
-        return start_delay_s + to_read * extra_read_s
+        return start_delay_s + to_prefill * extra_read_s
 
     def _missing_parts_cost_s(
         self, request: OpaqueRequest, candidate: Candidate, is_large: bool
@@ -244,9 +244,9 @@
         common_tokens = missing_tokens - rare_tokens
         return common_tokens * self.reread_factor + rare_tokens * self.rare_reread_factor
 
-    def _pause_cost_s(self, candidate: Candidate, to_read: int) -> float:
+    def _pause_cost_s(self, candidate: Candidate, to_prefill: int) -> float:
         """Return the cost of the pauses that a long prompt causes in the engine's streams."""
-        read_s = to_read * self.speeds.prefill_s_per_token(candidate.view)
+        read_s = to_prefill * self.speeds.prefill_s_per_token(candidate.view)
         if read_s < self.long_prompt_s:
             return 0.0
         return candidate.view.requests * read_s * self.pause_share
@@ -272,7 +272,7 @@
     return prompt.shared_parts[-1].part_id.encode()
 
 
-def first_unread(request: OpaqueRequest, candidate: Candidate) -> bytes | None:
+def first_uncached(request: OpaqueRequest, candidate: Candidate) -> bytes | None:
     """Return the id of the first shared part that is not cached, or None."""
     parts = request.prompt.shared_parts if request.prompt else ()
     if candidate.shared.cached_parts >= len(parts):
--- a/liftrill/gateway/engines/speed_estimator.py
+++ b/liftrill/gateway/engines/speed_estimator.py
@@ -92,7 +92,7 @@
         """Return whether a service declares a pause target and its pauses can be predicted."""
         return bool(self.pause_targets_s.get(service)) and self.has_prefill_estimate(service)
 
-    def late_streams(self, view: EngineView, to_read: int, is_stream: bool) -> float:
+    def late_streams(self, view: EngineView, to_prefill: int, is_stream: bool) -> float:
         """Return how many streams a prompt is expected to make late by pauses at an engine.
 
         Counts the running streams that are not late anyway, and the prompt's own stream. Engines
@@ -105,7 +105,8 @@
         waiting_tokens = view.waiting_tokens
         max_pause_tokens = service.pause_tokens
         pause_s = (
-            service.event_s + min(waiting_tokens + to_read, max_pause_tokens) * prefill_s_per_token
+            service.event_s
+            + min(waiting_tokens + to_prefill, max_pause_tokens) * prefill_s_per_token
         )
         if pause_s <= SOME_LATE_SHARE * target_s:
             return 0.0
--- a/liftrill/gateway/peers/engine_gossip.py
+++ b/liftrill/gateway/peers/engine_gossip.py
@@ -59,7 +59,7 @@
         if message.backoff_s:
             self._log.engine_backoff_requested(message)
         if message.limit_per_s is not None:
-            self._log.engine_limit_named(message)
+            self._log.engine_limit_reported(message)
         now = clock.now_s()
         engine = self._engines.incarnation(message.engine)
         if engine is not None:
--- a/liftrill/gateway/peers/load_codec.py
+++ b/liftrill/gateway/peers/load_codec.py
@@ -54,8 +54,8 @@
     spent = _chunks(list(quota.spent.items()), TENANTS_PER_DATAGRAM)
     rows = list(itertools.zip_longest(loads, kept, spent)) or [(None, None, None)]
     datagrams = [
-        _datagram(report, quota.nodes, some_loads or [], some_kept or [], some_spent or [])
-        for some_loads, some_kept, some_spent in rows
+        _datagram(report, quota.nodes, some_loads or [], some_parts or [], some_spent or [])
+        for some_loads, some_parts, some_spent in rows
     ]
     if report.node_load is not None:
         datagrams[0].node_load.CopyFrom(_message_from_load(report.node_load))
