--- a/liftrill/gateway/admission/capacity_filter.py
+++ b/liftrill/gateway/admission/capacity_filter.py
@@ -27,12 +27,12 @@
         """Return the engines with an acceptable expected wait and enough free memory."""
         most_urgent = self._most_urgent.get(request.service, request.priority)
         self._most_urgent[request.service] = min(most_urgent, request.priority)
-        longest_s = guard.max_wait_s(request, min(waits_s.values()), now)
+        max_wait_s = guard.max_wait_s(request, min(waits_s.values()), now)
         memory = self._memory_share(request) * cache_tokens
         return [
             view
             for view in ready
-            if waits_s[view.engine_id] <= longest_s and _has_memory(request, view, memory)
+            if waits_s[view.engine_id] <= max_wait_s and _has_memory(request, view, memory)
         ]
 
     def _memory_share(self, request: OpaqueRequest) -> float:
--- a/liftrill/gateway/admission/overload.py
+++ b/liftrill/gateway/admission/overload.py
@@ -15,9 +15,9 @@
 # Weight of each sent request in the moving averages of tokens by urgency: about fifty requests.
 SENT_WEIGHT = 0.02
 # Lower bound of the share of waiting tokens that delays the most urgent requests: the prompt that
-# is being read delays them in any case.
+# is being prefilled delays them in any case.
 MIN_URGENT_SHARE = 0.1
-# The queue counts as gone below this share of the longest wait that is still in time.
+# The queue counts as relieved below this share of the longest wait that is still in time.
 RELIEVED_WAIT_SHARE = 0.5
 # Factor on the allowed estimated wait of the most urgent requests: engines take them before other
 # waiting requests, so that they wait for only a part of the estimate.
@@ -30,7 +30,7 @@
 
     Attributes:
         standing_s: how long the queue must be long to count as standing.
-        relieved_s: how long the queue must be gone to count as relieved.
+        relieved_s: how long the queue must be short to count as relieved.
     """
 
     standing_s: float = constants.STANDING_QUEUE_S
@@ -102,11 +102,11 @@
     _min_waits_s: dict[str, float] = field(default_factory=dict)
 
     def capacity_wait_s(self, request: OpaqueRequest) -> float:
-        """Return the time in which the least busy engine reads the prompts now waiting there.
+        """Return the time in which the least busy engine prefills the prompts now waiting there.
 
         Callers that arrive meanwhile take the capacity that is freed earlier, so that a caller
         that retries earlier finds the queue as long as before. Share served of a burst of 3 times
-        what engines read for 0.4 s, mean of six seeds in virtual time: 0.972 to 0.978 (target
+        what engines prefill in 0.4 s, mean of six seeds in virtual time: 0.972 to 0.978 (target
         0.25 s: 0.955 to 0.961; 0.4 s: 0.974 to 0.981; 0.6 s: 0.985 to 0.990).
         """
         return self._min_waits_s.get(request.service, 0.0)
@@ -125,18 +125,22 @@
     def max_wait_s(self, request: OpaqueRequest, min_wait_s: float, now: float) -> float:
         """Return the longest wait in seconds that a request may be sent into."""
         target_s = self._bounding_target_s(request)
-        good_s = self.timely_wait_share * target_s
+        max_timely_wait_s = self.timely_wait_share * target_s
         queue = self._queues.setdefault(request.service, StandingQueue())
         was_standing = queue.is_standing
-        queue.record_wait(min_wait_s, good_s, now)
+        queue.record_wait(min_wait_s, max_timely_wait_s, now)
         self._min_waits_s[request.service] = min_wait_s
         if queue.is_standing != was_standing:
-            self.on_change(OverloadChange(request.service, queue.is_standing, min_wait_s, good_s))
+            self.on_change(
+                OverloadChange(request.service, queue.is_standing, min_wait_s, max_timely_wait_s)
+            )
         if not queue.is_standing:
             return min(self.burst_wait_limit_s, self.burst_wait_limit_targets * target_s)
-        longest_s = max(good_s * self._urgency_factor(request), self._priority_wait_s(request))
+        max_wait_s = max(
+            max_timely_wait_s * self._urgency_factor(request), self._priority_wait_s(request)
+        )
         # The time that the request has already waited is spent from its target.
-        return max(0.0, longest_s - (now - request.received_at))
+        return max(0.0, max_wait_s - (now - request.received_at))
 
     def _bounding_target_s(self, request: OpaqueRequest) -> float:
         """Return the longest target among the recent requests of this or a lower urgency.
@@ -149,7 +153,7 @@
         return max(s for priority, s in targets_s.items() if priority >= request.priority)
 
     def note_sent(self, request: OpaqueRequest, tokens: int) -> None:
-        """Record the prompt tokens that an engine must read for a request."""
+        """Record the prompt tokens that an engine must prefill for a request."""
         sent = self._sent_tokens.setdefault(request.service, {})
         for priority in sent:
             sent[priority] *= 1.0 - SENT_WEIGHT
@@ -163,8 +167,8 @@
             return 0.0
         urgent = sum(tokens for priority, tokens in sent.items() if priority <= request.priority)
         share = max(MIN_URGENT_SHARE, urgent / total)
-        good_s = self.timely_wait_share * request.route.target_seconds
-        return min(self.burst_wait_limit_s, good_s / share)
+        max_timely_wait_s = self.timely_wait_share * request.route.target_seconds
+        return min(self.burst_wait_limit_s, max_timely_wait_s / share)
 
     def _urgency_factor(self, request: OpaqueRequest) -> float:
         return self.urgent_factor if self.is_more_urgent(request) else 1.0
--- a/liftrill/gateway/admission/queue_admission.py
+++ b/liftrill/gateway/admission/queue_admission.py
@@ -15,7 +15,7 @@
     """Forecast for a request that would wait.
 
     Attributes:
-        prompt_prefill_s: time that an engine without cached parts needs to read the prompt.
+        prompt_prefill_s: time that an engine without cached parts needs to prefill the prompt.
         is_overloaded: whether the service is overloaded.
     """
 
@@ -35,7 +35,7 @@
     def entry(
         self, request: OpaqueRequest, until: float, for_capacity: bool, now: float
     ) -> QueueEntry | None:
-        """Return the queue entry of a request, or None if its turn would come too late."""
+        """Return the queue entry of a request, or None if it would be dispatched too late."""
         known_entry = self.queues.entry_of(request)
         if known_entry is not None:
             return replace(known_entry, needs_capacity=for_capacity)
--- a/liftrill/gateway/admission/request_admission.py
+++ b/liftrill/gateway/admission/request_admission.py
@@ -20,7 +20,7 @@
         path: the path without the query, which selects the route.
         target: path and query exactly as received.
         key: the caller's API key, or empty.
-        deadline_seconds: how long the caller waits, or None if it does not say.
+        deadline_seconds: how long the caller waits, or None if the request has no deadline.
     """
 
     request_id: str
--- a/liftrill/gateway/admission/request_queue.py
+++ b/liftrill/gateway/admission/request_queue.py
@@ -1,7 +1,7 @@
 """Queue of the requests that wait for engines of one service; performs no I/O.
 
 More urgent requests come first. Among equally urgent ones, refused requests that were retried at
-the requested time come first. Then tenants take turns by their dispatched tokens (fair queueing),
+the requested time come first. Then tenants are ordered by their dispatched tokens (fair queueing),
 and the requests of one tenant are ordered by the time at which they must begin.
 """
 
@@ -13,7 +13,7 @@
 # less urgent requests, so that a queue that never empties does not starve them. Requests that find
 # capacity on arrival are not counted.
 MAX_DISPATCHES_IN_A_ROW = 8
-# Tenants whose virtual times are kept while none of their requests waits; 100 bytes each.
+# Tenants whose virtual times are retained while none of their requests waits; 100 bytes each.
 MAX_IDLE_TENANTS = 256
 # Averaging time of the dispatch rate: the longest time that a request waits for capacity.
 DRAIN_AVERAGE_S = 0.5
@@ -38,7 +38,7 @@
         tokens: tokens charged to the tenant when the request is dispatched.
         latest_start: time by which the request must begin to be answered within its target.
         until: time until which the request waits.
-        standing: rank of the request as a retry or a new request.
+        standing: retry status, which ranks the request among equally urgent ones.
         needs_capacity: whether engines are ready and lack capacity; False if none is ready.
     """
 
@@ -54,7 +54,7 @@
 
 @dataclass(slots=True)
 class _WakeRound:
-    """One pass along the queue: the woken requests, and whether it goes on after a dispatch."""
+    """One pass along the queue: the woken requests, and whether it continues after a dispatch."""
 
     everyone: bool
     woken: set[int] = field(default_factory=set)
@@ -131,7 +131,7 @@
         return self._wake_next(_WakeRound(everyone=False))
 
     def prefill_completed(self, now: float) -> Waiter | None:
-        """Return the request to wake after an engine has read a prompt.
+        """Return the request to wake after an engine has prefilled a prompt.
 
         This frees capacity, and may be what every request waits for that needs no capacity.
         """
--- a/liftrill/gateway/admission/retry_after.py
+++ b/liftrill/gateway/admission/retry_after.py
@@ -27,7 +27,7 @@
 EARLY_TOLERANCE_SHARE = 0.1
 
 # Retry times beyond the caller's patience are spread over another third of the wait, so that
-# callers who do come back do not come back together.
+# callers who do retry do not retry together.
 LATE_SPREAD_FACTOR = 4.0 / 3.0
 
 
@@ -92,7 +92,7 @@
             return RetryStatus.NEW
         if now < due - EARLY_TOLERANCE_SHARE * wait_s:
             return RetryStatus.CAME_EARLY
-        # A retry goes first once; further copies of the request do not.
+        # Only the first retry takes precedence; further copies of the request do not.
         del self._due[request.fingerprint]
         return RetryStatus.CAME_BACK
 
--- a/liftrill/gateway/admission/service_queues.py
+++ b/liftrill/gateway/admission/service_queues.py
@@ -53,7 +53,7 @@
             self._wake(queue.capacity_freed())
 
     def prefill_completed(self, service: str) -> None:
-        """Wake the next request after an engine of a service has read a prompt."""
+        """Wake the next request after an engine of a service has prefilled a prompt."""
         queue = self._queues.get(service)
         if queue:
             self._wake(queue.prefill_completed(clock.now_s()))
--- a/liftrill/gateway/caller_server.py
+++ b/liftrill/gateway/caller_server.py
@@ -60,10 +60,10 @@
         for server in self._servers:
             server.close()
 
-    async def wait_until_idle(self, longest_seconds: float) -> None:
+    async def wait_until_idle(self, timeout_seconds: float) -> None:
         """Wait until no request is in flight, but no longer than a time."""
         with suppress(TimeoutError):
-            async with asyncio.timeout(max(0.0, longest_seconds)):
+            async with asyncio.timeout(max(0.0, timeout_seconds)):
                 await self._idle.wait()
 
     def close_idle(self) -> None:
--- a/liftrill/gateway/cluster_state.py
+++ b/liftrill/gateway/cluster_state.py
@@ -63,7 +63,7 @@
         for item in written:
             self.apply_item(item, known_until)
         for engine_id, revision in unknown:
-            # The engine was gone before the restore, which brought its old record back: it counts
+            # The engine had ended before the restore, which brought its old record back: it counts
             # as live only once it writes its next record.
             self.engines.withdraw(engine_id, revision)
             self.log.state_changed("engine_withheld", engine=engine_id, revision=revision)
@@ -211,11 +211,11 @@
             )
 
     def _apply_target(self, target: WeightTarget, known_until: float) -> None:
-        # The time of receipt is not the naming time: after a gap in updates it would extend the
-        # use of replaced weights by the length of the gap.
+        # The time of receipt is not the publication time: after a gap in updates it would extend
+        # the use of replaced weights by the length of the gap.
         now = clock.now_s()
-        named_at = self.targets.earliest_publication(known_until, now)
-        if self.targets.add(target, named_at, age_known=self.store_read, now=now):
+        published_at = self.targets.earliest_publication(known_until, now)
+        if self.targets.add(target, published_at, age_known=self.store_read, now=now):
             self.log.state_changed(
                 "weights_named",
                 model=target.model,
--- a/liftrill/gateway/configuration_view.py
+++ b/liftrill/gateway/configuration_view.py
@@ -39,7 +39,7 @@
         return True
 
     def prove_current(self, version: int, asked_at: float) -> None:
-        """Record a proof: the store, asked at `asked_at`, named a version as its newest.
+        """Record a proof: the store, asked at `asked_at`, returned a version as its newest.
 
         The time is that of the request on the steady clock, because the answer may have been
         delayed for any length of time.
--- a/liftrill/gateway/decision_log.py
+++ b/liftrill/gateway/decision_log.py
@@ -92,7 +92,7 @@
         )
 
     def store_era_refused(self, era: int | None, raw_era: str) -> None:
-        """Log that an answer of the store names an earlier era than the known one, or none."""
+        """Log that an answer of the store has an earlier era than the known one, or none."""
         self._write_failure("store_era_refused", era=era, told=raw_era[:20])
 
     def engine_backoff_requested(self, signal: EngineSignal) -> None:
@@ -123,7 +123,7 @@
         self._write_failure("permit_unanswered", engine=engine.engine_id, issuer=issuer)
 
     def engine_limit_reported(self, signal: EngineSignal) -> None:
-        """Log that an answer of an engine names a rate limit."""
+        """Log that an answer of an engine states a rate limit."""
         self._write_failure(
             "engine_limit_named",
             engine=signal.engine.engine_id,
--- a/liftrill/gateway/delivery.py
+++ b/liftrill/gateway/delivery.py
@@ -17,7 +17,7 @@
 from liftrill.routing.outcome import AttemptLedger
 
 FIRST_SERVER_ERROR = 500
-# How many times a run may continue at a backup: a burst of crashes takes engines one by one.
+# How many times a run may continue at a backup: a burst of crashes may end engines one by one.
 MAX_CONTINUATIONS = 3
 
 
--- a/liftrill/gateway/delivery_driver.py
+++ b/liftrill/gateway/delivery_driver.py
@@ -312,7 +312,7 @@
 
 
 def _is_success(ending: events.DeliveryInstruction) -> bool:
-    """Return whether an engine processed a request; refusing one takes it no time."""
+    """Return whether an engine processed a request; a refusal takes it no time."""
     return isinstance(ending, events.SendResponse) and ending.response.status < FIRST_CLIENT_ERROR
 
 
--- a/liftrill/gateway/delivery_events.py
+++ b/liftrill/gateway/delivery_events.py
@@ -96,7 +96,7 @@
     """An incarnation of an engine and its address.
 
     Attributes:
-        number: hash of the incarnation's name, or 0 if the engine's id names only one.
+        number: hash of the incarnation's name, or 0 if the engine's id identifies only one.
     """
 
     engine_id: str
@@ -106,10 +106,10 @@
 
 @dataclass(frozen=True, slots=True)
 class EngineChoice:
-    """The engine chosen for a request, and what the attempt tells it.
+    """The engine chosen for a request, and the instructions that the attempt sends it.
 
     Attributes:
-        weight_version: the version that the engine must have, or 0 if the request names no model.
+        weight_version: the version that the engine must have, or 0 if the request has no model.
         cache_salt: scope of the cached prompt parts, or empty.
         fetch_from: address of an engine or store that may have the prompt cached, or empty.
         save_to: address of the store that is to cache the prompt, or empty.
@@ -145,7 +145,7 @@
     """Send the request to an engine.
 
     Attributes:
-        resume_after: id of the last event that the caller has, or None for the whole stream.
+        resume_after: id of the last event that the caller has, or None for the complete stream.
     """
 
     choice: EngineChoice
--- a/liftrill/gateway/draining.py
+++ b/liftrill/gateway/draining.py
@@ -7,7 +7,7 @@
 from liftrill.gateway.caller_server import CallerServer
 from liftrill.gateway.gateway import Gateway
 
-# How long before the platform kills the process the remaining requests are given up.
+# How long before the platform kills the process the remaining requests are abandoned.
 STOP_MARGIN_SECONDS = 0.6
 
 
--- a/liftrill/gateway/engines/cache_retention.py
+++ b/liftrill/gateway/engines/cache_retention.py
@@ -1,4 +1,4 @@
-"""Estimates how long engines keep cached prompts in memory."""
+"""Estimates how long engines hold cached prompts in memory."""
 
 from dataclasses import dataclass, field
 
@@ -29,7 +29,7 @@
         self._tokens.record(tokens, now)
 
     def held_s(self, free_tokens: int, nodes: int, now: float) -> float:
-        """Return how long engines with this much free memory in total keep what they cached."""
+        """Return how long engines with this much free memory in total hold cached prompts."""
         own_rate = self._tokens.per_s(now)
         if own_rate is None:
             return self.first_s
--- a/liftrill/gateway/engines/engine_condition.py
+++ b/liftrill/gateway/engines/engine_condition.py
@@ -21,8 +21,8 @@
 # After a backoff an engine gets one trial request per interval until it answers one: all waiting
 # requests of all nodes at once would overload it again. About the duration of a plain answer.
 TRIAL_INTERVAL_S = 0.25
-# Weight orders wait no longer than this for a backoff: weights that an operator named must come
-# into use within seconds, and an order puts no load on the engine.
+# Weight orders wait no longer than this for a backoff: weights that an operator published must
+# come into use within seconds, and an order puts no load on the engine.
 MAX_ORDER_BACKOFF_S = 5.0
 # Each expiry pass visits every entry, and few of them expire.
 EXPIRY_INTERVAL_S = 10.0
--- a/liftrill/gateway/engines/engine_end_check.py
+++ b/liftrill/gateway/engines/engine_end_check.py
@@ -1,4 +1,4 @@
-"""Checks whether an engine's process has ended after a connection to it broke."""
+"""Checks whether an engine's process has ended after a connection to it was lost."""
 
 import asyncio
 from collections.abc import Callable
@@ -7,8 +7,8 @@
 from liftrill.gateway.engines.engine_table import EngineView
 from liftrill.gateway.transport import EngineTransport
 
-# Bound of the delay before the next step after a broken attempt. A machine that is up answers for
-# an open or closed port within a round trip; no answer proves nothing.
+# Bound of the delay before the next step after an interrupted attempt. A machine that is up answers
+# for an open or closed port within a round trip; no answer proves nothing.
 MAX_WAIT_S = 0.1
 
 
--- a/liftrill/gateway/engines/engine_selector.py
+++ b/liftrill/gateway/engines/engine_selector.py
@@ -132,7 +132,7 @@
     def _unavailable_reason(
         self, request: OpaqueRequest, untried: list[EngineView], now: float
     ) -> Unavailable:
-        """Return NONE_READY, or RESTING if all engines stay blocked longer than it waits."""
+        """Return NONE_READY, or PAUSED if all engines stay blocked for longer than it waits."""
         blocked_s = self._blocked_s(untried, request.request_id, now)
         if not blocked_s:
             return Unavailable.NONE_READY
@@ -155,10 +155,10 @@
             return Unavailable.FULL
         candidates = self._candidates(request, prompt, with_capacity, now)
         chosen = self._prompt_policy.choose(request, candidates, self._zone)
-        waits_for_reader = chosen.shared.prefilling_engine == chosen.view.number
-        # Reports about a part being read arrive too late among many engines to wait for its end.
+        is_prefilling = chosen.shared.prefilling_engine == chosen.view.number
+        # Among many engines, reports of a prefill arrive too late to wait for its end.
         few_engines = len(with_capacity) < constants.MANY_ENGINES
-        if waits_for_reader and few_engines and now < self._prefill_wait_until(request):
+        if is_prefilling and few_engines and now < self._prefill_wait_until(request):
             return Unavailable.NONE_READY
         choice = self._prompt_choice(chosen, prompt, now)
         if not self._wants_backup(request):
@@ -186,12 +186,12 @@
         return self._blocked_s(serving, "", now)
 
     def prompt_prefill_s(self, request: OpaqueRequest) -> float:
-        """Return the time that an engine without cached parts needs to read the prompt."""
+        """Return the time that an engine without cached parts needs to prefill the prompt."""
         tokens = request.prompt.prompt_tokens if request.prompt else 0
         return tokens * self.speeds.service_prefill_s_per_token(request.service)
 
     def expected_wait_s(self, view: EngineView) -> float:
-        """Return the expected time before an engine starts to read a new prompt."""
+        """Return the expected time before an engine starts to prefill a new prompt."""
         prompt_prefill_s = view.waiting_tokens * self.speeds.conservative_prefill_s_per_token(view)
         return prompt_prefill_s + self._slot_wait_s(view)
 
@@ -200,20 +200,20 @@
         return self.slot_times.wait_s(record.service, view.requests, record.slots)
 
     def _prefill_wait_until(self, request: OpaqueRequest) -> float:
-        """Return the time until which a request waits while an engine reads its shared part."""
+        """Return the time until which a request waits while an engine prefills its shared part."""
         share = constants.READING_WAIT_TARGET_SHARE
         return request.received_at + share * request.route.target_seconds
 
     def continue_at_backup(
-        self, request: OpaqueRequest, broken: EngineChoice, now: float
+        self, request: OpaqueRequest, interrupted: EngineChoice, now: float
     ) -> EngineChoice | None:
-        """Return how to continue a broken run at its backup engine, or None."""
-        view = self._engines.get(broken.backup.engine_id) if broken.backup else None
+        """Return how to continue an interrupted run at its backup engine, or None."""
+        view = self._engines.get(interrupted.backup.engine_id) if interrupted.backup else None
         if view is None or request.prompt is None:
             return None
-        if broken.backup is not None and not view.matches_number(broken.backup.number):
+        if interrupted.backup is not None and not view.matches_number(interrupted.backup.number):
             return None
-        if not self._accepts_run(view, request.prompt.model, broken.weight_version, now):
+        if not self._accepts_run(view, request.prompt.model, interrupted.weight_version, now):
             return None
         if view.condition.is_backing_off(now):
             return None
@@ -221,13 +221,13 @@
         if permit is None and self.limits.is_limited(view.identity):
             return None
         return replace(
-            broken,
+            interrupted,
             permit=permit,
             engine_id=view.engine_id,
             address=view.record.address,
             number=view.number,
             expected_prefill_tokens=1,
-            backup=self._next_backup(view, broken, request, now),
+            backup=self._next_backup(view, interrupted, request, now),
             continues_at_backup=True,
         )
 
@@ -249,21 +249,22 @@
         return not view.is_paused(now) and view.breaker.allows(now)
 
     def _next_backup(
-        self, view: EngineView, broken: EngineChoice, request: OpaqueRequest, now: float
+        self, view: EngineView, interrupted: EngineChoice, request: OpaqueRequest, now: float
     ) -> EngineAddress | None:
-        """Return the engine for the copy of a continued run, in case the run breaks again."""
+        """Return the engine for the copy of a continued run, which may be interrupted again."""
         assert request.prompt is not None
-        model, version = request.prompt.model, broken.weight_version
+        model, version = request.prompt.model, interrupted.weight_version
         candidates = [
-            Candidate(other, broken.cache_salt)
+            Candidate(other, interrupted.cache_salt)
             for other in self._engines.of_service(request.service)
-            if other.engine_id != broken.engine_id and self._accepts_run(other, model, version, now)
+            if other.engine_id != interrupted.engine_id
+            and self._accepts_run(other, model, version, now)
         ]
         current = next((c for c in candidates if c.view is view), None)
         return self._backup(current, candidates) if current else None
 
     def _wants_backup(self, request: OpaqueRequest) -> bool:
-        """Return whether a broken run could only continue elsewhere from a copy."""
+        """Return whether an interrupted run could only continue at another engine from a copy."""
         if not request.is_stream or request.may_run_again or request.prompt is None:
             return False
         if request.prompt.output_tokens < constants.BACKUP_OUTPUT_TOKENS:
@@ -332,7 +333,7 @@
                 scopes[version] = self._scope(request, prompt, version, now)
             scope = scopes[version]
             holder = self._holder(view, scope.shared)
-            transfer_s = self._move_s(request, view, holder)
+            transfer_s = self._transfer_s(request, view, holder)
             candidates.append(
                 Candidate(
                     view,
@@ -355,7 +356,7 @@
 
         def is_source(number: int) -> bool:
             # An engine that has loaded other weights, or is about to, is no source: parts that it
-            # keeps for continued runs may have been computed with either version.
+            # holds for continued runs may have been computed with either version.
             view = self._engines.by_number(number)
             return view is not None and self._accepts_run(view, prompt.model, version, now)
 
@@ -367,8 +368,10 @@
         holder = self._engines.by_number(shared.holder)
         return None if holder is view else holder
 
-    def _move_s(self, request: OpaqueRequest, view: EngineView, holder: EngineView | None) -> float:
-        """Return the time that moving the shared parts to an engine takes."""
+    def _transfer_s(
+        self, request: OpaqueRequest, view: EngineView, holder: EngineView | None
+    ) -> float:
+        """Return the time to transfer the shared parts to an engine."""
         profile = self.parts.profile(view.record.service)
         tokens = request.shared_tokens
         if holder is None:
--- a/liftrill/gateway/engines/engine_speed.py
+++ b/liftrill/gateway/engines/engine_speed.py
@@ -1,7 +1,7 @@
 """Speed estimates of one engine incarnation from the observations of nodes; performs no I/O.
 
-A pace is the time that one unit of work takes: reading a prompt token, producing an event of a
-stream, or giving a whole answer. Observations of about the last second are weighed against a
+A pace is the time that one unit of work takes: prefilling a prompt token, producing an event of
+a stream, or giving a whole answer. Observations of about the last second are weighed against a
 long-term average, so that a temporary slowdown shows at once and is soon forgotten, and a single
 sample changes little.
 """
@@ -234,11 +234,12 @@
     """Estimated speed of one engine incarnation.
 
     Attributes:
-        reading: pace of reading a prompt token.
+        prefill: pace of prefilling a prompt token.
         event: pace of stream events after the first one.
         answer: pace of a whole answer in a slot of its own.
-        prefill_s_per_token: time to read a prompt token that decisions use, or 0 to use the service's.
-        slowness: reading time relative to the service's engines.
+        prefill_s_per_token: prefill time of a prompt token that decisions use, or 0 to use the
+            service's.
+        slowness: prefill time relative to the service's engines.
         answer_slowness: time of a whole answer relative to the service's engines.
         home_weight: rendezvous weight of the engine as the home of shared parts.
         disturbed_at: time when the engine was last seen loading weights; work that ran then is no
--- a/liftrill/gateway/engines/engine_table.py
+++ b/liftrill/gateway/engines/engine_table.py
@@ -160,7 +160,7 @@
         return self.weights.get(model, 0)
 
     def matches_number(self, number: int) -> bool:
-        """Return whether a number from a peer is 0 or names this incarnation."""
+        """Return whether a number from a peer is 0 or identifies this incarnation."""
         return number in (0, self.number)
 
     def apply_record(self, record: EngineRecord) -> None:
@@ -181,11 +181,11 @@
             self.paused_until = 0.0
 
     def rejects_requests(self, now: float) -> bool:
-        """Return whether the engine is leaving, gone or in a requested backoff."""
+        """Return whether the engine is leaving, has ended or is in a requested backoff."""
         return self.leaving or now < self.condition.backoff_until
 
     def is_loading_weights(self, now: float) -> bool:
-        """Return whether the engine is believed to load weights, not merely paused for load."""
+        """Return whether the engine is assumed to load weights, not merely paused for load."""
         return bool(self.loading_version) and self.is_paused(now)
 
     def is_paused(self, now: float) -> bool:
@@ -203,8 +203,8 @@
     """All engines that have a record.
 
     Attributes:
-        services: services named by the configuration; empty before there is one.
-        conditions: reported state of engines, including those whose records are gone.
+        services: services in the configuration; empty before there is one.
+        conditions: reported state of engines, including those whose records were removed.
     """
 
     # How long an engine stays in use after its record disappeared in a store outage. Writers
@@ -280,7 +280,7 @@
         return view
 
     def apply_signal(self, signal: EngineSignal, now: float) -> bool:
-        """Apply a report of an engine; return whether it newly says that the engine leaves."""
+        """Apply a report of an engine; return whether it is the first that the engine leaves."""
         view = self._find_incarnation(signal.engine)
         if view is None and not signal.engine.number:
             return False
@@ -305,7 +305,7 @@
         return [view.identity for view in self if view.condition.leaving]
 
     def unrecorded_state(self, with_all_weights: bool = False) -> UnrecordedEngineState:
-        """Return what this node knows about engines beyond what their records say.
+        """Return what this node knows about engines beyond the contents of their records.
 
         With `with_all_weights`, weights that the records do contain are included.
         """
--- a/liftrill/gateway/engines/placement.py
+++ b/liftrill/gateway/engines/placement.py
@@ -42,7 +42,7 @@
         shared: known locations of the request's shared parts in that scope.
         transfer_s: time to fetch these parts.
         holder: the engine to fetch them from, or None for the store.
-        outdated_s: time since newer weights than the engine's were named.
+        outdated_s: time since newer weights than the engine's were published.
         slot_wait_s: expected wait for a free slot at the engine.
     """
 
@@ -97,25 +97,26 @@
 
 @dataclass(slots=True)
 class PromptCost(PlacementPolicy):
-    """Chooses the engine that is expected to finish reading the prompt first.
+    """Chooses the engine that is expected to finish the prefill of the prompt first.
 
     Costs are in seconds, by the estimated speed of each engine. Within each scope one engine, the
-    same for all nodes, is the home of the shared parts. Other engines are charged for moving
-    the cached parts and for reading the remaining ones a second time.
+    same for all nodes, is the home of the shared parts. Other engines are charged for the
+    transfer of the cached parts and for prefilling the remaining ones a second time.
 
-    An unread part is read at the home of the first unread part. Otherwise prompts with a common
-    prefix would be read at as many engines as they have continuations.
+    An uncached part is prefilled at the home of the first uncached part. Otherwise prompts with a
+    common prefix would be prefilled at as many engines as they have continuations.
 
     Attributes:
         speeds: estimated engine speeds.
-        min_transfer_s: lower bound of the cost of moving a shared part: the answer is this much later.
-        engines_per_prefix_home: number of engines in a scope per engine that reads the common
+        min_transfer_s: lower bound of the cost of a shared part's transfer, which delays the answer
+            by this time.
+        engines_per_prefix_home: number of engines in a scope per engine that prefills the common
             prefix of many prompts.
-        reread_factor: cost of reading a shared part again, relative to waiting as long.
-        rare_reread_factor: the same for a part of few prompts that no engine is known to read.
-        long_prompt_s: reading time above which a prompt is taken to delay the running streams of
+        reread_factor: cost of prefilling a shared part again, relative to waiting as long.
+        rare_reread_factor: the same for a part of few prompts that no engine is known to prefill.
+        long_prompt_s: prefill time above which a prompt is assumed to delay the running streams of
             its engine too much, where no route declares a pause target.
-        pause_share: cost of each delayed stream, as a share of the reading time.
+        pause_share: cost of each delayed stream, as a share of the prefill time.
         outdated_penalty_s: cost of weights that were replaced longer than the grace period ago:
             their output is worth less.
         outdated_grace_s: time after their replacement in which weights cost nothing extra.
@@ -190,36 +191,36 @@
         }
 
     def _home(self, request: OpaqueRequest, candidates: list[Candidate], key: bytes) -> str:
-        """Return the engine that reads the first unread part, or is to read it.
+        """Return the engine that prefills the first uncached part, or is to prefill it.
 
-        Among many engines several of them read a common prefix: nodes learn of each other's
+        Among many engines several of them prefill a common prefix: nodes learn of each other's
         requests too late to keep a single engine from being overloaded.
         """
         first = candidates[0]
-        unread = first_uncached(request, first) or key
-        prefix_readers = max(1, len(candidates) // self.engines_per_prefix_home)
-        if prefix_readers > 1 and unread != key:
-            unread += b"%d" % (xxhash.xxh3_64_intdigest(key) % prefix_readers)
+        home_key = first_uncached(request, first) or key
+        prefix_homes = max(1, len(candidates) // self.engines_per_prefix_home)
+        if prefix_homes > 1 and home_key != key:
+            home_key += b"%d" % (xxhash.xxh3_64_intdigest(key) % prefix_homes)
         else:
             for candidate in candidates:
                 if candidate.view.number == first.shared.prefilling_engine:
                     return candidate.view.engine_id
         weights = {c.view.engine_id: c.view.speed.home_weight for c in candidates}
-        home = rendezvous.first_weighted(unread, weights)
+        home = rendezvous.first_weighted(home_key, weights)
         assert home is not None
         return home
 
     def _prefill_delay_s(self, candidate: Candidate, to_prefill: int) -> float:
-        """Return the time until an engine starts to read, plus its extra time if it is slow."""
+        """Return the time until an engine starts the prefill, plus its extra time if it is slow."""
         view = candidate.view
         prefill_s_per_token = self.speeds.prefill_s_per_token(view)
         start_delay_s = candidate.slot_wait_s + self._backlog_tokens(view) * prefill_s_per_token
         if view.speed.slowness == 1.0:
             return start_delay_s
-        extra_read_s = prefill_s_per_token - self.speeds.service_prefill_s_per_token(
+        extra_s_per_token = prefill_s_per_token - self.speeds.service_prefill_s_per_token(
             view.record.service
         )
-        return start_delay_s + to_prefill * extra_read_s
+        return start_delay_s + to_prefill * extra_s_per_token
 
     def _missing_parts_cost_s(
         self, request: OpaqueRequest, candidate: Candidate, is_large: bool
@@ -234,10 +235,10 @@
         return missing * self.reread_factor * prefill_s_per_token
 
     def _reread_cost_tokens(self, request: OpaqueRequest, missing_tokens: int) -> float:
-        """Return the cost, in tokens, of reading parts that other nodes may also be reading.
+        """Return the cost, in tokens, of prefilling parts that other nodes may also prefill.
 
         The common parts of many prompts are requested all the time. The last shared part belongs
-        to few prompts, so that another engine is unlikely to read it at this moment.
+        to few prompts, so that another engine is unlikely to prefill it at this moment.
         """
         assert request.prompt is not None
         rare_tokens = min(missing_tokens, request.prompt.shared_parts[-1].tokens)
@@ -246,10 +247,10 @@
 
     def _pause_cost_s(self, candidate: Candidate, to_prefill: int) -> float:
         """Return the cost of the pauses that a long prompt causes in the engine's streams."""
-        read_s = to_prefill * self.speeds.prefill_s_per_token(candidate.view)
-        if read_s < self.long_prompt_s:
+        prefill_s = to_prefill * self.speeds.prefill_s_per_token(candidate.view)
+        if prefill_s < self.long_prompt_s:
             return 0.0
-        return candidate.view.requests * read_s * self.pause_share
+        return candidate.view.requests * prefill_s * self.pause_share
 
     def _backlog_tokens(self, view: EngineView) -> float:
         profile = self.services.get(view.record.service)
@@ -259,7 +260,7 @@
 
 
 def tokens_to_prefill(request: OpaqueRequest, candidate: Candidate) -> int:
-    """Return the number of prompt tokens that an engine would have to read."""
+    """Return the number of prompt tokens that an engine would have to prefill."""
     prompt_tokens = request.prompt.prompt_tokens if request.prompt else 0
     return max(0, prompt_tokens - candidate.shared.cached_tokens)
 
--- a/liftrill/gateway/engines/prefix_directory.py
+++ b/liftrill/gateway/engines/prefix_directory.py
@@ -1,6 +1,7 @@
 """Directory of cached shared prompt parts, as observed by this node or reported by peers.
 
-An engine reads a part, then holds it in memory for some seconds, and may save it to a kept store.
+An engine prefills a part, then caches it in memory for some seconds, and may save it to a prefix
+store.
 """
 
 import math
@@ -38,7 +39,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PartLocation:
-    """A shared part and the engine that reads, holds or has saved it."""
+    """A shared part and the engine that prefills, holds or has saved it."""
 
     part: int
     engine: int
@@ -67,9 +68,9 @@
     Attributes:
         saved_at: time when the part was last sent to a store, or minus infinity.
         stored_at: time from which a store has the part.
-        engine: number of the engine that reads the part or used it last, or 0.
-        used_at: time of that reading or use.
-        was_prefilled: whether the engine has read the whole part.
+        engine: number of the engine that prefills the part or used it last, or 0.
+        used_at: time of that prefill or use.
+        was_prefilled: whether the engine has prefilled the complete part.
     """
 
     saved_at: float = -math.inf
@@ -87,7 +88,7 @@
         capacity: maximum number of parts.
         lifetime_s: time after which a part is saved again, since the store may have dropped it.
         store_delay_s: time that a part takes to reach the store.
-        prefill_lifetime_s: time for which an engine is assumed to read a part.
+        prefill_lifetime_s: time for which an engine is assumed to prefill a part.
         held_s: time for which an engine is assumed to hold a part after its last use.
     """
 
@@ -100,31 +101,31 @@
     _pending: deque[_PendingUpdate] = field(default_factory=lambda: deque(maxlen=MAX_UPDATES))
 
     def is_saved(self, part: int, now: float) -> bool:
-        """Return whether a store is believed to have a part, or to receive it now."""
+        """Return whether a store is assumed to have a part, or to receive it now."""
         entry = self._entries.get(part)
         return entry is not None and now - entry.saved_at < self.lifetime_s
 
     def is_stored(self, part: int, now: float) -> bool:
-        """Return whether a store is believed to have a part already."""
+        """Return whether a store is assumed to have a part already."""
         entry = self._entries.get(part)
         return entry is not None and now >= entry.stored_at and self.is_saved(part, now)
 
     def prefilling_engine(self, part: int, now: float) -> int:
-        """Return the number of the engine that is believed to read a part now, or 0."""
+        """Return the number of the engine that is assumed to prefill a part now, or 0."""
         entry = self._entries.get(part)
         if entry is None or entry.was_prefilled or now - entry.used_at >= self.prefill_lifetime_s:
             return 0
         return entry.engine
 
     def holder(self, part: int, now: float) -> int:
-        """Return the number of the engine that is believed to hold a part in memory, or 0."""
+        """Return the number of the engine that is assumed to hold a part in memory, or 0."""
         entry = self._entries.get(part)
         if entry is None or not entry.was_prefilled or now - entry.used_at >= self.held_s:
             return 0
         return entry.engine
 
     def record_prefill_start(self, part: int, engine: int, now: float) -> None:
-        """Record and announce that an engine is about to read a part."""
+        """Record and announce that an engine is about to prefill a part."""
         self._record_and_announce(
             PartLocation(part, engine, PartStage.BEING_PREFILLED), now, own=True
         )
@@ -132,7 +133,7 @@
     def record_prefill(
         self, part: int, engine: int, now: float, *, saved: bool, announce: bool
     ) -> None:
-        """Record that an engine has read a prompt with a part, and whether it saves the part."""
+        """Record that an engine has prefilled a part, and whether it saves the part."""
         location = PartLocation(part, engine, PartStage.SAVED if saved else PartStage.HELD)
         if announce and (saved or self._is_new(location, now)):
             self._record_and_announce(location, now, own=True)
@@ -140,7 +141,7 @@
             self._remember(location, now)
 
     def _is_new(self, location: PartLocation, now: float) -> bool:
-        """Return whether peers must be told that an engine holds a part."""
+        """Return whether an engine's copy of a part must be announced to peers."""
         entry = self._entries.get(location.part)
         if entry is None or not entry.was_prefilled or entry.engine != location.engine:
             return True
--- a/liftrill/gateway/engines/service_speeds.py
+++ b/liftrill/gateway/engines/service_speeds.py
@@ -19,10 +19,10 @@
 MAX_PAUSES = 128
 # Minimum number of pauses from which the longest pause caused by prompts is estimated.
 MIN_PAUSES = 8
-# Shorter pauses, in prompt tokens read meanwhile, are not caused by a prompt.
+# Shorter pauses, in prompt tokens prefilled meanwhile, are not caused by a prompt.
 MIN_PAUSE_TOKENS = 2_000
-# Quantile of the pauses that gives the bound: longer pauses may come from stalls, or from streams
-# that lost their memory to more urgent ones and were read again.
+# Quantile of the pauses that is the bound: longer pauses may come from stalls, or from streams
+# that lost their memory to more urgent ones and were prefilled again.
 PAUSE_QUANTILE = 0.75
 # Time constant of the decay of the bound: pauses that placement avoids are not observed.
 PAUSE_BOUND_DECAY_S = 120.0
@@ -67,12 +67,12 @@
     """Median speeds of a service's engines, with which each engine is compared.
 
     Attributes:
-        prefill_s_per_token: time to read a prompt token.
+        prefill_s_per_token: prefill time of a prompt token.
         has_prefill_estimate: whether `prefill_s_per_token` is based on observations.
         event_s: time between two events of a stream, or 0 while unknown.
         answer_s: time of a whole answer, or 0 while unknown.
-        pause_tokens: most prompt tokens read within one pause, or infinity while unknown.
-        pauses: prompt tokens that could be read within recent long pauses of streams.
+        pause_tokens: most prompt tokens prefilled within one pause, or infinity while unknown.
+        pauses: prompt tokens that could be prefilled within recent long pauses of streams.
     """
 
     prefill_s_per_token: float = 1.0 / constants.FIRST_READING_TOKENS_PER_S
@@ -98,7 +98,7 @@
         return self._compare(views, now)
 
     def note_pause(self, tokens: float) -> None:
-        """Record how many prompt tokens an engine could read within a pause of a stream."""
+        """Record how many prompt tokens an engine could prefill within a pause of a stream."""
         if tokens >= MIN_PAUSE_TOKENS:
             self.pauses.append(tokens)
 
@@ -144,8 +144,8 @@
         if math.isinf(self.pause_tokens):
             self.pause_tokens = observed_tokens
             return
-        kept_tokens = self.pause_tokens * math.exp(-elapsed_s / PAUSE_BOUND_DECAY_S)
-        self.pause_tokens = max(observed_tokens, kept_tokens)
+        decayed_tokens = self.pause_tokens * math.exp(-elapsed_s / PAUSE_BOUND_DECAY_S)
+        self.pause_tokens = max(observed_tokens, decayed_tokens)
 
 
 def _update_paces(paces: list[Pace], known_s: float, now: float) -> float:
--- a/liftrill/gateway/engines/shared_part_tracker.py
+++ b/liftrill/gateway/engines/shared_part_tracker.py
@@ -60,7 +60,7 @@
         return self.store_link.is_saturated(len(self.prefix_stores), self.nodes, now)
 
     def record_sent(self, choice: EngineChoice, request: OpaqueRequest, now: float) -> None:
-        """Record that an engine is about to read the parts of a prompt that are not cached."""
+        """Record that an engine is about to prefill the uncached parts of a prompt."""
         prompt = request.prompt
         if prompt is None:
             return
@@ -85,7 +85,7 @@
     def _store_link_s(
         self, choice: EngineChoice, request: OpaqueRequest, prompt: PromptShape
     ) -> float:
-        """Return the time that a request occupies a store's link if all its parts are moved."""
+        """Return for how long a request occupies a store's link if all parts are transferred."""
         zones = {store.address: store.zone for store in self.prefix_stores}
         store = self._home_store(prompt)
         if choice.is_saved and choice.fetch_from not in ("", store):
@@ -102,7 +102,7 @@
         return found != 0 or directory.is_saved(number, now)
 
     def record_prefill(self, choice: EngineChoice, request: OpaqueRequest, now: float) -> None:
-        """Record that an engine has read a prompt and saves its parts if told to."""
+        """Record that an engine has prefilled a prompt, and saves its parts if requested."""
         prompt = request.prompt
         if prompt is None:
             return
@@ -116,7 +116,7 @@
             )
 
     def _home_store(self, prompt: PromptShape) -> str:
-        """Return the store that keeps the shared parts, the same on every node, or an empty name.
+        """Return the store for the shared parts, the same on every node, or an empty name.
 
         The store depends on the last shared part only, since an engine fetches all parts of a
         prompt from one store.
--- a/liftrill/gateway/engines/shared_parts.py
+++ b/liftrill/gateway/engines/shared_parts.py
@@ -13,9 +13,9 @@
     """Locations of the shared parts of a prompt, as known to one node.
 
     Attributes:
-        kept_parts: number of leading parts that can be fetched from one place.
-        kept_tokens: tokens of these parts.
-        reader: number of the engine that is reading the next part, or 0.
+        cached_parts: number of leading parts that can be fetched from one place.
+        cached_tokens: tokens of these parts.
+        prefilling_engine: number of the engine that is prefilling the next part, or 0.
         holder: number of the engine that holds all parts in memory, or 0.
         saved: whether all parts are in a store or on their way there.
     """
@@ -52,9 +52,11 @@
     if not is_source(holder):
         holder = 0
     count = len(numbers) if holder else saved
-    reader = directory.prefilling_engine(numbers[count], now) if count < len(numbers) else 0
+    prefilling_engine = (
+        directory.prefilling_engine(numbers[count], now) if count < len(numbers) else 0
+    )
     all_saved = all(directory.is_saved(number, now) for number in numbers)
-    return SharedParts(count, _tokens(parts[:count]), reader, holder, all_saved)
+    return SharedParts(count, _tokens(parts[:count]), prefilling_engine, holder, all_saved)
 
 
 def _is_stored(directory: PrefixDirectory, number: int, now: float) -> bool:
--- a/liftrill/gateway/engines/speed_estimator.py
+++ b/liftrill/gateway/engines/speed_estimator.py
@@ -8,9 +8,9 @@
 from liftrill.gateway.engines.engine_table import EngineTable, EngineView
 from liftrill.gateway.engines.service_speeds import ServiceSpeeds, SpeedChange, SpeedFigures
 
-# Smaller samples depend more on the network to the engine than on its reading speed.
+# Smaller samples depend more on the network to the engine than on its prefill speed.
 MIN_SAMPLE_TOKENS = 2_000
-# With fewer events the longest pause cannot be told from the others.
+# With fewer events the longest pause cannot be distinguished from the others.
 MIN_EVENTS = 2
 # Interval of recomputing the paces: a slow engine shows before callers give up, and the cost is
 # small compared with that of serving requests.
@@ -31,9 +31,9 @@
 
     Attributes:
         engine: number of the engine.
-        reading: read prompt tokens.
+        prefill: prefilled prompt tokens.
         answers: whole answers.
-        pause_tokens: prompt tokens read within the longest pause of a stream, or 0.
+        pause_tokens: prompt tokens prefilled within the longest pause of a stream, or 0.
     """
 
     engine: int
@@ -64,7 +64,7 @@
     # Estimates for decisions
 
     def prefill_s_per_token(self, view: EngineView) -> float:
-        """Return the time in which an engine reads one prompt token."""
+        """Return the time in which an engine prefills one prompt token."""
         return (
             view.speed.prefill_s_per_token or self._service(view.record.service).prefill_s_per_token
         )
@@ -81,11 +81,11 @@
         )
 
     def service_prefill_s_per_token(self, service: str) -> float:
-        """Return the median reading time per token of a service's engines."""
+        """Return the median prefill time per token of a service's engines."""
         return self._service(service).prefill_s_per_token
 
     def has_prefill_estimate(self, service: str) -> bool:
-        """Return whether the reading speed of a service's engines was observed."""
+        """Return whether the prefill speed of a service's engines was observed."""
         return self._service(service).has_prefill_estimate
 
     def predicts_pauses(self, service: str) -> bool:
@@ -96,8 +96,8 @@
         """Return how many streams a prompt is expected to make late by pauses at an engine.
 
         Counts the running streams that are not late anyway, and the prompt's own stream. Engines
-        read prompts in pieces between the steps of streams, so that at most `pause_tokens` are
-        read between two events, however many tokens wait.
+        prefill prompts in chunks between the steps of streams, so that at most `pause_tokens` are
+        prefilled between two events, however many tokens wait.
         """
         name = view.record.service
         service, target_s = self._service(name), self.pause_targets_s[name]
@@ -118,14 +118,14 @@
     # Observations of this node
 
     def record_prefill(self, engine_id: str, tokens: int, elapsed_s: float, now: float) -> None:
-        """Record the time in which an engine read a prompt and the tokens waiting before it."""
+        """Record the time in which an engine prefilled a prompt and the tokens queued before it."""
         view = self._engines.get(engine_id)
         if view is None or tokens < MIN_SAMPLE_TOKENS:
             return
         if not self._is_representative(view, elapsed_s, now):
             return
         service = self._service(view.record.service)
-        # Bounded by the default too: tokens that waited before it may have been read already.
+        # Bounded by the default too: tokens queued before it may have been prefilled already.
         known_s = view.speed.prefill.current_s or service.prefill_s_per_token
         view.speed.prefill.record(tokens, elapsed_s, known_s, now)
         self._update_if_due(view.record.service, None, now)
@@ -134,7 +134,7 @@
         self, view: EngineView, events: int, elapsed_s: float, longest_pause_s: float, now: float
     ) -> None:
         """Record the events of a stream after its first one, and its longest pause."""
-        # The pace excludes the longest pause, which shows prompts read meanwhile.
+        # The pace excludes the longest pause, which shows prompts prefilled meanwhile.
         steady_s = elapsed_s - longest_pause_s
         if (
             events < MIN_EVENTS
@@ -146,8 +146,8 @@
         pace = view.speed.event
         pace.record(events - 1, steady_s, pace.current_s or service.event_s, now)
         if service.has_prefill_estimate and service.event_s:
-            read_s = max(0.0, longest_pause_s - service.event_s)
-            self._note_pause(view, read_s / self.prefill_s_per_token(view))
+            prefill_s = max(0.0, longest_pause_s - service.event_s)
+            self._note_pause(view, prefill_s / self.prefill_s_per_token(view))
         self._update_if_due(view.record.service, None, now)
 
     def record_answer(self, view: EngineView, elapsed_s: float, requests: int, now: float) -> None:
@@ -188,10 +188,10 @@
     def _rows(self, work_of: Callable[[Pace], WorkSample]) -> list[SpeedRow]:
         found: list[tuple[EngineView, SpeedRow]] = []
         for view in self._engines:
-            reading, answers = work_of(view.speed.prefill), work_of(view.speed.answer)
-            if reading.is_significant or answers.is_significant:
+            prefill, answers = work_of(view.speed.prefill), work_of(view.speed.answer)
+            if prefill.is_significant or answers.is_significant:
                 pause_tokens = int(self._longest_pauses.get(view.number, 0.0))
-                found.append((view, SpeedRow(view.number, reading, answers, pause_tokens)))
+                found.append((view, SpeedRow(view.number, prefill, answers, pause_tokens)))
         if len(found) > MAX_UNFILTERED_ROWS:
             found = [
                 (view, row)
--- a/liftrill/gateway/forwarder.py
+++ b/liftrill/gateway/forwarder.py
@@ -50,7 +50,7 @@
 
 
 class ForwardingPorts(DeliveryPorts):
-    """Gives the state machine access to engines, budgets and the quarantine.
+    """Connects the state machine to engines, budgets and the quarantine.
 
     Attributes:
         state_is_current: whether this node's state is recent enough at a time to choose engines.
@@ -82,7 +82,7 @@
     ) -> events.EngineChoice | Unavailable:
         """Return an engine whose id is not excluded, or why there is none."""
         now = clock.now_s()
-        # After the machine slept, this check runs before the request's timer, which stood still.
+        # After the machine was suspended, this check runs before the request's timer, which stopped.
         if now >= request.deadline:
             return Unavailable.TOO_LATE
         if not self.state_is_current(now):
@@ -159,7 +159,7 @@
         """Record a prefill, and the tokens processed in it, those queued before included."""
         now = clock.now_s()
         self._selector.parts.record_prefill(choice, request, now)
-        # More urgent prompts overtake the engine's queue, so their times say nothing about it.
+        # More urgent prompts overtake the engine's queue, so their times are no measure of it.
         if not self._selector.guard.is_more_urgent(request):
             self.speeds.record_prefill(choice.engine_id, tokens, elapsed_s, now)
 
@@ -181,7 +181,7 @@
 
 
 def _ignore_prefill_start(view: EngineView, tokens: int) -> None:
-    """Tell no node that a prefill has started."""
+    """Ignore the start of a prefill."""
 
 
 class Forwarder(DeliveryOwner):
@@ -274,10 +274,10 @@
         if view is not None:
             view.breaker.record_start(now)
             view.condition.note_sent(now)
-            reading_s = (
+            prefill_s = (
                 start.choice.expected_prefill_tokens * self._ports.speeds.prefill_s_per_token(view)
             )
-            if reading_s >= constants.TOLD_READING_LEAST_S:
+            if prefill_s >= constants.TOLD_READING_LEAST_S:
                 self.prefill_started(view, start.choice.expected_prefill_tokens)
         self._ports.record_sent(start.choice, request, first)
         attempt = self._transport.attempt(request, start)
@@ -297,12 +297,12 @@
         self._begin_deadlines.refresh()
 
     async def read_before_overdue(
-        self, machine: DeliveryMachine, reading: Awaitable[list[events.DeliveryEvent]]
+        self, machine: DeliveryMachine, pending_read: Awaitable[list[events.DeliveryEvent]]
     ) -> list[events.DeliveryEvent]:
         """Return the events of a read, or an interruption once the attempt must not begin."""
         begin_by = partial(self._ports.begin_by, machine.attempts[-1], machine.request)
         try:
-            return await self._begin_deadlines.read_before(begin_by, reading)
+            return await self._begin_deadlines.read_before(begin_by, pending_read)
         except TimeoutError:
             return [
                 events.AttemptInterrupted(
--- a/liftrill/gateway/freshness_checker.py
+++ b/liftrill/gateway/freshness_checker.py
@@ -1,6 +1,6 @@
 """Confirms at regular intervals that the configuration in force is the newest.
 
-A proof is a linearizable read of the store whose answer names the configuration in force as the
+A proof is a linearizable read of the store whose answer has the configuration in force as the
 newest. It holds as of the time at which the read was sent.
 """
 
@@ -18,11 +18,11 @@
 from liftrill.gateway.relay_codec import RelayAnswer
 from liftrill.gateway.store_follower import WATCH_LAG_S, StoreFollower
 
-# Share of the propagation bound after which the store is read again. The rest is left for the
-# watch to deliver what the read named, and for reading the range if the watch does not.
+# Share of the propagation bound after which the store is read again. The remaining time is for the
+# watch to deliver what the read reported, and for reading the range if the watch does not.
 PROOF_INTERVAL_SHARE = 0.45
-# Share of the propagation bound after which a read times out. The rest is left for following a
-# node that the store does answer.
+# Share of the propagation bound after which a read times out. The remaining time is for following
+# a node that the store does answer.
 PROOF_TIMEOUT_SHARE = 0.35
 # Time after a restore of the store in which only a configuration written since the restore counts
 # as a proof. Operators write theirs again within about a second; with a longer time the proofs of
@@ -43,7 +43,7 @@
 
 
 class FreshnessDelegate(ABC):
-    """Receives what a read of the configuration shows."""
+    """Receives the results of reads of the configuration."""
 
     @abstractmethod
     def configuration_read(self, item: StoredItem) -> None:
@@ -181,14 +181,14 @@
         return self._peer_version > self._view.version
 
     async def _read(self, asked_at: float) -> None:
-        reading = await self._store.read(self._state.decoder.configuration_key)
-        self._follower.store_answered(reading.position, asked_at)
-        if reading.position > self._follower.mirror.position and not self._is_checking_watch():
-            self._watch_check = asyncio.ensure_future(self._check_watch(reading.position))
-        item = reading.item
+        result = await self._store.read(self._state.decoder.configuration_key)
+        self._follower.store_answered(result.position, asked_at)
+        if result.position > self._follower.mirror.position and not self._is_checking_watch():
+            self._watch_check = asyncio.ensure_future(self._check_watch(result.position))
+        item = result.item
         if item is None:
             return
-        self._backup_position = self._backup_position or reading.position
+        self._backup_position = self._backup_position or result.position
         if item.revision > self._state.configuration_revision:
             self._delegate.configuration_read(item)
         if self._may_be_undone(asked_at) and item.revision <= self._backup_position:
--- a/liftrill/gateway/gateway.py
+++ b/liftrill/gateway/gateway.py
@@ -78,8 +78,8 @@
 # An engine's record expires three heartbeat intervals after its last heartbeat, which was sent at
 # most one interval before the store became unreachable.
 LAPSE_HEARTBEATS = 2
-# How long a node that stood still waits for current data of the store before it uses what it had:
-# after this time an outage is more likely than a slow response.
+# How long a node waits after a stall of its process for current data of the store before it uses
+# the data it has: after this time an outage is more likely than a slow response.
 STALL_CATCH_UP_TIMEOUT_S = 2.0
 LEASE_RENEW_INTERVAL_SECONDS = 0.7
 LEASE_TIME_TO_LIVE_SECONDS = 2.0
@@ -95,7 +95,7 @@
 
 
 class Gateway(FollowerDelegate, FreshnessDelegate):
-    """One node that forwards requests and takes part in the control of the fleet."""
+    """One node that forwards requests and participates in the control of the fleet."""
 
     def __init__(
         self,
@@ -177,8 +177,8 @@
         )
         self._peers = PeerLink(self._membership, callbacks)
         self._engine_limits = selector.limits
-        link = LimitMessenger(self._membership, self._fleet, self._peers, log, metrics)
-        self._engine_limits.peers = link
+        limit_messenger = LimitMessenger(self._membership, self._fleet, self._peers, log, metrics)
+        self._engine_limits.peers = limit_messenger
         self._gossip = EngineGossip(
             engines, self._engine_limits, self._membership, self._peers, log, metrics
         )
@@ -190,7 +190,7 @@
             engines, ports, self._allowance, transport, log, metrics, self._quarantine
         )
         self.forwarder.prefill_started = self._send_prefill_start
-        link.wake_waiting = self.forwarder.queues.wake_all
+        limit_messenger.wake_waiting = self.forwarder.queues.wake_all
         self._leadership = self._new_leadership()
         self._controller = self._new_controller(orders, targets)
         self._fleet_record = FleetRecord(
@@ -252,15 +252,15 @@
         self.log.state_changed("stopped")
 
     async def resign(self) -> None:
-        """Stop giving orders to engines, so that another node takes over."""
+        """Stop sending orders to engines, so that another node takes over."""
         await self._controller.stop()
 
     async def admit(self, incoming: IncomingRequest) -> OpaqueRequest | AdmissionRefusal:
         """Return the request to deliver, or why it is refused."""
         if self._load_shedder.refuses_requests:
-            come_back_s = self._load_shedder.retry_after_s(random.random())
+            retry_after_s = self._load_shedder.retry_after_s(random.random())
             why = f"lag_s={self.capacity.lag_s:.2f}"
-            return AdmissionRefusal(ResultCode.NODE_BUSY, come_back_s, why)
+            return AdmissionRefusal(ResultCode.NODE_BUSY, retry_after_s, why)
         admitted = self.admission.admit(incoming, clock.now_s())
         if isinstance(admitted, AdmissionRefusal) and admitted.code is ResultCode.KEY_NOT_PROVEN:
             await self._freshness_checker.wait_for_proof(constants.PROOF_WAIT_S)
@@ -271,7 +271,7 @@
         return refusal or admitted
 
     def addresses_for(self, zone: str, caller: str = "") -> list[str]:
-        """Return the addresses that a caller at an address in a zone should connect to."""
+        """Return the addresses that a caller in a zone should connect to."""
         now = clock.now_s()
         members = self._node_directory.nodes_for(self._usable_members(now), zone, caller, now)
         self.metrics.named_nodes.set(len(members))
@@ -358,12 +358,12 @@
         return self.settings.node in {member.node_id for member in candidates}
 
     def _state_is_current(self, now: float) -> bool:
-        """Return whether the node knows what changed while its process stood still."""
+        """Return whether the node knows what changed during the last stall of its process."""
         self._check_stall(now)
         return self._stall_detector.has_caught_up(now, self._follower.freshness.as_of)
 
     def _check_stall(self, now: float) -> None:
-        """Query the store at once after a standstill: engines may have left meanwhile."""
+        """Query the store at once after a stall: engines may have left meanwhile."""
         if self._stall_detector.tick(now):
             slept_s = clock.slept_s()
             self.metrics.stalls.inc()
@@ -375,7 +375,7 @@
                 mirror_age_s=rounded_age(self._follower.freshness.age_s(now)),
             )
             self._total_slept_s = slept_s
-            # Timers do not advance while the machine sleeps.
+            # Timers do not advance while the machine is suspended.
             self.forwarder.refresh_begin_deadlines()
             self._freshness_checker.request_proof()
 
@@ -389,10 +389,10 @@
             self._fleet_record.ignore_current()
         else:
             self._fleet_record.load(clock.now_s())
-        before = self.view.version
+        previous_version = self.view.version
         self._cluster_state.apply(change, known_until)
         self._apply_quarantine(change)
-        self._announce_if_newer(before)
+        self._announce_if_newer(previous_version)
         self.forwarder.queues.wake_all()
 
     def store_era_began(self, era: int) -> None:
@@ -400,10 +400,10 @@
         self._record_store_restore(era)
         self._follower.era_began()
 
-    def store_era_refused(self, era: int, told: str) -> None:
+    def store_era_refused(self, era: int, raw_era: str) -> None:
         """Record a store's response that was refused: its era is missing or too early."""
         self.metrics.refused_eras.inc()
-        self.log.store_era_refused(reported_era(era), told)
+        self.log.store_era_refused(reported_era(era), raw_era)
 
     def _record_store_restore(self, era: int) -> None:
         if era <= self._store_era:
@@ -423,9 +423,9 @@
     def configuration_read(self, item: StoredItem) -> None:
         """Apply a configuration that the mirror does not have yet."""
         self._relay.publish_early(item)
-        before = self.view.version
+        previous_version = self.view.version
         self._cluster_state.apply_item(item, self._follower.freshness.as_of)
-        self._announce_if_newer(before)
+        self._announce_if_newer(previous_version)
 
     def range_read(self, asked_at: float) -> None:
         """Use a complete read of the store's range as a proof of currency."""
@@ -485,8 +485,8 @@
         self._reader_selection.back_off(reader.node_id, clock.now_s())
         self.log.state_changed("reader_lost", reader=reader.node_id, reason=reason)
 
-    def _announce_if_newer(self, before: int) -> None:
-        if self.view.version != before:
+    def _announce_if_newer(self, previous_version: int) -> None:
+        if self.view.version != previous_version:
             self._quotas.configure(self.view, clock.now_s())
             self._peers.announce_version(self.view.version)
 
@@ -507,24 +507,24 @@
             incarnation=member.incarnation,
         )
 
-    def record_engine_signal(self, word: EngineSignal) -> None:
+    def record_engine_signal(self, signal: EngineSignal) -> None:
         """Process what an engine reported about itself in a response to this node."""
-        self._gossip.handle_signal(word)
+        self._gossip.handle_signal(signal)
 
     def _on_engine_update(self, update: UnrecordedEngineState) -> None:
         self._gossip.apply_update(update)
 
     def _on_notice(self, notice: EngineNotice) -> None:
-        until = clock.now_s() + constants.LOADING_BELIEF_SECONDS
-        self._engines.apply_notice(notice, until)
+        paused_until = clock.now_s() + constants.LOADING_BELIEF_SECONDS
+        self._engines.apply_notice(notice, paused_until)
         if not notice.loading:
             self.forwarder.queues.wake_all()
 
     def _on_loads(self, report: LoadReport) -> None:
         now = clock.now_s()
-        of_zone = report.zone == self.settings.zone
+        is_of_own_zone = report.zone == self.settings.zone
         self._cluster_state.selector.parts.directory.apply_updates(
-            report.part_locations, now, of_zone
+            report.part_locations, now, is_of_own_zone
         )
         self._quotas.apply_report(report, now)
         if report.part_locations:
@@ -620,8 +620,8 @@
             now = clock.now_s()
             members = self._membership.members()
             topology = topology_for(members)
-            kept = self._cluster_state.selector.parts.directory.updates(now)
-            messages = topology.own_reports(own, self._load_table, kept, members)
+            part_updates = self._cluster_state.selector.parts.directory.updates(now)
+            messages = topology.own_reports(own, self._load_table, part_updates, members)
             has_load = any(
                 message.report.loads or message.report.part_locations for message in messages
             )
@@ -678,15 +678,17 @@
             )
 
     def _record_store_link(self, now: float) -> None:
-        """Export whether the link to cache stores is too slow to move parts, and log changes."""
+        """Export whether the links of the prefix stores are saturated, and log changes of it."""
         parts = self._cluster_state.selector.parts
-        is_short = parts.is_link_saturated(now)
+        is_saturated = parts.is_link_saturated(now)
         self.metrics.held_seconds.set(parts.directory.held_s)
-        self.metrics.store_link_saturated.set(is_short)
-        if is_short != self._was_link_saturated:
-            self._was_link_saturated = is_short
+        self.metrics.store_link_saturated.set(is_saturated)
+        if is_saturated != self._was_link_saturated:
+            self._was_link_saturated = is_saturated
             held_s = round(parts.directory.held_s, 2)
-            self.log.state_changed("store_link", short=is_short, nodes=parts.nodes, held_s=held_s)
+            self.log.state_changed(
+                "store_link", short=is_saturated, nodes=parts.nodes, held_s=held_s
+            )
 
     def _record_speeds(self, now: float) -> None:
         """Recompute the speeds of engines, and log those that became slow or normal again."""
--- a/liftrill/gateway/holding/answer_buffer.py
+++ b/liftrill/gateway/holding/answer_buffer.py
@@ -2,7 +2,7 @@
 
 from liftrill.gateway.holding.memory_budget import MemoryBudget, MemoryReservation
 
-# For how long a full buffer may keep the node from reading its engine. Engines break off answers
+# For how long a full buffer may keep the node from reading its engine. Engines abort answers
 # that are not read for some seconds, so the node ends the caller's connection before that.
 MAX_FULL_S = 1.5
 # Share of the budget that one answer may use, so that 32 stalled callers fill half of it.
--- a/liftrill/gateway/holding/caller_sink.py
+++ b/liftrill/gateway/holding/caller_sink.py
@@ -19,7 +19,7 @@
 # A caller with more unsent bytes counts as slow. Whole answers and single events are usually
 # shorter, and a thousand connections at this mark fit into the reserve of the memory budget.
 HIGH_WATER_BYTES = 16_384
-# For how long a caller may still read the bytes that were sent before an answer was broken off.
+# For how long a caller may still read the bytes that were sent before an answer was aborted.
 FLUSH_TIMEOUT_S = 0.3
 
 
@@ -132,7 +132,7 @@
         await self.response.write_eof()
 
     def abort_stream(self) -> None:
-        """End a streamed answer so that it cannot be taken for complete."""
+        """End a streamed answer so that it does not appear to be complete."""
         self.close()
         transport = self._request.transport
         if transport is None:
--- a/liftrill/gateway/holding/memory_budget.py
+++ b/liftrill/gateway/holding/memory_budget.py
@@ -5,7 +5,7 @@
 from enum import Enum
 
 BYTES_PER_KILOBYTE = 1_024
-# Share of the limit that is kept free: for the HTTP library's buffers of a thousand connections,
+# Share of the limit that remains free: for the HTTP library's buffers of a thousand connections,
 # and the copy of one large body that is made while it is sent.
 RESERVE_SHARE = 0.125
 # Minimum capacity as a share of the limit, however much the process seems to use: freed memory is
@@ -207,7 +207,7 @@
                 by_caller.setdefault(reservation.caller, []).append(reservation)
         if not by_caller:
             return None
-        # Reservations are kept in the order in which they were opened.
+        # Reservations are stored in the order in which they were opened.
         return max(by_caller.values(), key=_total_bytes)[0]
 
     def _evict(self, reservation: MemoryReservation) -> None:
--- a/liftrill/gateway/http_client.py
+++ b/liftrill/gateway/http_client.py
@@ -119,7 +119,7 @@
     """A body that is written in pieces.
 
     aiohttp joins the first piece with the head. For a body in one piece that would be a copy of
-    the whole body, kept until the engine has read it.
+    the whole body, retained until the engine has read it.
     """
 
     async def write_with_length(
--- a/liftrill/gateway/leadership.py
+++ b/liftrill/gateway/leadership.py
@@ -1,9 +1,9 @@
-"""Leader election: one node at a time may give orders, by a lease in the store.
+"""Leader election: one node at a time may send orders, by a lease in the store.
 
-The leader's key carries the fencing token. A second key, the activity key, tells whether orders
-were given recently. The leader must write it, on condition that it still has its lease, before
+The leader's key carries the fencing token. A second key, the activity key, records whether orders
+were sent recently. The leader must write it, on condition that it still has its lease, before
 its first order. A successor takes the lease on condition that the activity key is unchanged. So
-the successor of an idle leader may give orders at once, and that of a busy leader waits until the
+the successor of an idle leader may send orders at once, and that of a busy leader waits until the
 last orders cannot be under way any more.
 """
 
@@ -185,7 +185,7 @@
         await self.resign()
 
     def step_down(self, reason: str) -> None:
-        """Stop giving orders, because another node may lead or the lease cannot be used."""
+        """Stop sending orders, because another node may lead or the lease cannot be used."""
         if self.fence:
             self._log_loss(reason)
         self._lease.step_down()
@@ -194,7 +194,7 @@
     def store_restored(self) -> None:
         """Handle a restore of the store from an older copy, where no earlier lease is valid.
 
-        The former leader may not have noticed yet, and the copy may say that it was idle. Other
+        The former leader may not have noticed yet, and the copy may record it as idle. Other
         nodes therefore wait the quiet period before their first order, and leave the key to the
         former leader for a while: it need not wait. Otherwise each restore would stop weight
         loads for seconds.
@@ -227,8 +227,8 @@
         Only this node writes its own name, and a write of an earlier term is not newer than the
         revision that this term began with.
         """
-        reading = await self._store.read(ACTIVITY_KEY)
-        item = reading.item
+        result = await self._store.read(ACTIVITY_KEY)
+        item = result.item
         if item is None or item.value != self._node.encode():
             return False
         if item.revision <= self._activity_revision:
@@ -250,7 +250,7 @@
         """Renew the lease in the store, and return when the successful request was sent.
 
         A failed renewal is retried at once: renewing twice does no harm, and a lost response
-        must not cost the rest of the lease's time.
+        must not cost the remaining time of the lease.
         """
         for timeout_s in RENEWAL_TIMEOUTS_S[:-1]:
             asked_at = self._clock()
--- a/liftrill/gateway/peers/engine_gossip.py
+++ b/liftrill/gateway/peers/engine_gossip.py
@@ -24,7 +24,7 @@
 from liftrill.gateway.peers.peer_link import PeerLink
 
 # Delays after which the state is sent to a joining node again: by then the other nodes know of a
-# store that came back just before the join. Also makes up for lost datagrams.
+# store that became reachable just before the join. Also makes up for lost datagrams.
 JOINER_RESEND_DELAYS_S = (0.3, 1.0)
 # Number of nodes that send all weights to a joining node: one of them may have just started, and
 # datagrams of another may be lost. Each sends 18 KB for 300 engines with one model.
@@ -53,20 +53,20 @@
         self._log = log
         self._metrics = metrics
 
-    def handle_signal(self, message: EngineSignal) -> None:
+    def handle_signal(self, signal: EngineSignal) -> None:
         """Apply what an engine reports of itself in an answer, and broadcast that it leaves."""
-        self._metrics.count_engine_signal(message)
-        if message.backoff_s:
-            self._log.engine_backoff_requested(message)
-        if message.limit_per_s is not None:
-            self._log.engine_limit_reported(message)
+        self._metrics.count_engine_signal(signal)
+        if signal.backoff_s:
+            self._log.engine_backoff_requested(signal)
+        if signal.limit_per_s is not None:
+            self._log.engine_limit_reported(signal)
         now = clock.now_s()
-        engine = self._engines.incarnation(message.engine)
+        engine = self._engines.incarnation(signal.engine)
         if engine is not None:
-            self._limits.note_answer(engine, message.limit_per_s, message.permit, now)
-        if self._engines.apply_signal(message, now):
-            self._log_leaving(message.engine, message.source)
-            self._peers.broadcast_leaving([message.engine])
+            self._limits.note_answer(engine, signal.limit_per_s, signal.permit, now)
+        if self._engines.apply_signal(signal, now):
+            self._log_leaving(signal.engine, signal.source)
+            self._peers.broadcast_leaving([signal.engine])
 
     def apply_update(self, update: UnrecordedEngineState) -> None:
         """Apply an update from a peer."""
--- a/liftrill/gateway/peers/load_codec.py
+++ b/liftrill/gateway/peers/load_codec.py
@@ -26,8 +26,8 @@
 }
 SCOPES_BY_NUMBER = {number: scope for scope, number in SCOPES.items()}
 # Maximum rows of each kind in one datagram, which then stays under 1,200 bytes: encoded, a load row
-# takes 40 bytes with an id of 12 letters, a kept part 18, and a tenant's spending 24 with a name of
-# 15 letters.
+# takes 40 bytes with an id of 12 letters, a part location 18, and a tenant's spending 24 with a
+# name of 15 letters.
 LOADS_PER_DATAGRAM = 14
 PARTS_PER_DATAGRAM = 24
 TENANTS_PER_DATAGRAM = 6
@@ -50,12 +50,12 @@
         ]
     quota = report.quota or QuotaReport(0)
     loads = _chunks(list(report.loads.items()), LOADS_PER_DATAGRAM)
-    kept = _chunks(list(report.part_locations), PARTS_PER_DATAGRAM)
+    part_locations = _chunks(list(report.part_locations), PARTS_PER_DATAGRAM)
     spent = _chunks(list(quota.spent.items()), TENANTS_PER_DATAGRAM)
-    rows = list(itertools.zip_longest(loads, kept, spent)) or [(None, None, None)]
+    rows = list(itertools.zip_longest(loads, part_locations, spent)) or [(None, None, None)]
     datagrams = [
-        _datagram(report, quota.nodes, some_loads or [], some_parts or [], some_spent or [])
-        for some_loads, some_parts, some_spent in rows
+        _datagram(report, quota.nodes, some_loads or [], some_locations or [], some_spent or [])
+        for some_loads, some_locations, some_spent in rows
     ]
     if report.node_load is not None:
         datagrams[0].node_load.CopyFrom(_message_from_load(report.node_load))
@@ -75,7 +75,7 @@
     report: LoadReport,
     quota_nodes: int,
     loads: list[tuple[str, EngineLoad]],
-    kept: list[PartLocation],
+    part_locations: list[PartLocation],
     spent: list[tuple[str, float]],
 ) -> messages.Datagram:
     rows = [
@@ -95,10 +95,10 @@
         zone=report.zone,
         load_scope=SCOPES[report.scope],
         loads=rows or [messages.EngineLoad()],
-        kept_parts=[part.part for part in kept],
-        kept_by=[part.engine for part in kept],
-        being_read=[part.stage is PartStage.BEING_PREFILLED for part in kept],
-        held_alone=[part.stage is PartStage.HELD for part in kept],
+        kept_parts=[part.part for part in part_locations],
+        kept_by=[part.engine for part in part_locations],
+        being_read=[part.stage is PartStage.BEING_PREFILLED for part in part_locations],
+        held_alone=[part.stage is PartStage.HELD for part in part_locations],
         spent=[messages.TenantSpending(tenant=t, amount=a) for t, a in spent],
         spent_by_nodes=quota_nodes,
     )
@@ -126,10 +126,14 @@
         message.held_alone,
         fillvalue=0,
     )
-    kept = tuple(PartLocation(part, engine, _stage(*flags)) for part, engine, *flags in rows)
+    part_locations = tuple(
+        PartLocation(part, engine, _stage(*flags)) for part, engine, *flags in rows
+    )
     quota = _quota(message) if message.spent_by_nodes else None
     node_load = _load_from_message(message.node_load) if message.HasField("node_load") else None
-    return LoadReport(scope, message.sender, message.zone, loads, kept, quota, node_load=node_load)
+    return LoadReport(
+        scope, message.sender, message.zone, loads, part_locations, quota, node_load=node_load
+    )
 
 
 def _message_from_load(load: NodeLoad) -> messages.NodeLoad:
@@ -242,7 +246,9 @@
     for piece in pieces:
         loads.update(piece.loads)
         spent.update(piece.quota.spent if piece.quota else {})
-    kept = tuple(itertools.chain.from_iterable(piece.part_locations for piece in pieces))
+    part_locations = tuple(itertools.chain.from_iterable(piece.part_locations for piece in pieces))
     quota = QuotaReport(first.quota.nodes, spent) if first.quota else None
     node_load = next((piece.node_load for piece in pieces if piece.node_load is not None), None)
-    return LoadReport(first.scope, first.node, first.zone, loads, kept, quota, node_load=node_load)
+    return LoadReport(
+        first.scope, first.node, first.zone, loads, part_locations, quota, node_load=node_load
+    )
--- a/liftrill/gateway/peers/load_exchange.py
+++ b/liftrill/gateway/peers/load_exchange.py
@@ -44,12 +44,12 @@
 
 @dataclass(frozen=True, slots=True)
 class LoadReport:
-    """The load of one node or one zone on engines, and what goes with it.
+    """The load of one node or one zone on engines, and other state that is sent with it.
 
     Attributes:
-        kept: shared prompt parts that engines read, hold or have saved.
+        part_locations: shared prompt parts that engines prefill, hold or have saved.
         speeds: recent speeds of engines; sent in separate reports.
-        node_load: capacity and utilization of the node, or of the whole zone.
+        node_load: capacity and utilization of the node, or of the zone.
     """
 
     scope: LoadScope
@@ -79,7 +79,7 @@
 
     @abstractmethod
     def own_reports(
-        self, own: Member, table: LoadTable, kept: PartUpdates, members: list[Member]
+        self, own: Member, table: LoadTable, updates: PartUpdates, members: list[Member]
     ) -> list[SendReport]:
         """Return the reports of a node on its own load, and on its zone's if it is the delegate."""
 
@@ -98,10 +98,10 @@
         return MIN_INTERVAL_S
 
     def own_reports(
-        self, own: Member, table: LoadTable, kept: PartUpdates, members: list[Member]
+        self, own: Member, table: LoadTable, updates: PartUpdates, members: list[Member]
     ) -> list[SendReport]:
         """Return one report for all other members."""
-        report = LoadReport(LoadScope.NODE, own.node_id, own.zone, table.own_loads(), kept.own)
+        report = LoadReport(LoadScope.NODE, own.node_id, own.zone, table.own_loads(), updates.own)
         return [SendReport(report, other_members(own, members))]
 
     def relayed_reports(
@@ -120,10 +120,10 @@
         return min(MAX_INTERVAL_S, max(MIN_INTERVAL_S, local * INTERVAL_PER_NODE_S))
 
     def own_reports(
-        self, own: Member, table: LoadTable, kept: PartUpdates, members: list[Member]
+        self, own: Member, table: LoadTable, updates: PartUpdates, members: list[Member]
     ) -> list[SendReport]:
         """Return a report for the own zone, and the delegate's sum for the other zones."""
-        report = LoadReport(LoadScope.NODE, own.node_id, own.zone, table.own_loads(), kept.own)
+        report = LoadReport(LoadScope.NODE, own.node_id, own.zone, table.own_loads(), updates.own)
         local = tuple(m for m in other_members(own, members) if m.zone == own.zone)
         deliveries = [SendReport(report, local)]
         delegates = delegates_by_zone(members)
@@ -131,7 +131,7 @@
         if delegate is not None and delegate.node_id == own.node_id:
             remote = tuple(m for zone, m in delegates.items() if zone != own.zone)
             loads = table.zone_sum(own.zone)
-            total = LoadReport(LoadScope.ZONE_SUM, own.node_id, own.zone, loads, kept.zone)
+            total = LoadReport(LoadScope.ZONE_SUM, own.node_id, own.zone, loads, updates.zone)
             deliveries.append(SendReport(total, remote))
         return deliveries
 
--- a/liftrill/gateway/peers/load_shedding.py
+++ b/liftrill/gateway/peers/load_shedding.py
@@ -1,6 +1,6 @@
 """Load shedding on a node whose event loop lags behind those of the other nodes, sans-IO.
 
-First the node sheds connections: its answers tell callers to close them, and their next requests
+First the node sheds connections: its answers ask callers to close them, and their next requests
 go to nodes that the directory returns more often. Then it refuses requests that it has just read
 and not run, with a time to retry after. Running requests continue. A node that lags no more than
 the others sheds nothing, since callers would be served no better elsewhere.
@@ -14,7 +14,7 @@
 # Callers give up requests that a node has not read within a second, so at this lag most requests
 # that it reads are already abandoned.
 REFUSE_LAG_S = 1.0
-# Consecutive late ticks; a single one is a pause and no shortage of processor time.
+# Consecutive late ticks; a single one is a pause, not a shortage of processor time.
 MIN_LATE_TICKS = 3
 # Minimum ratio to the lag of the other nodes; below it callers gain nothing by moving away.
 MIN_LAG_RATIO = 2.0
@@ -27,7 +27,7 @@
     """Decides what this node sheds.
 
     Attributes:
-        closes_connections: whether answers tell callers to close their connections.
+        closes_connections: whether answers ask callers to close their connections.
         refuses_requests: whether requests that were not sent to an engine yet are refused.
     """
 
--- a/liftrill/gateway/peers/node_capacity.py
+++ b/liftrill/gateway/peers/node_capacity.py
@@ -32,7 +32,7 @@
 MAX_LAG_S = 2.0
 # A larger lag means that a loop has more work than processor time; timers alone are a few ms late.
 LATE_THRESHOLD_S = 0.1
-# Number of recent bodies whose arrival delay is kept; the median tolerates a few slow callers.
+# Number of recent bodies whose arrival delay is stored; the median tolerates a few slow callers.
 ARRIVAL_SAMPLES = 15
 # The load of a node expires after the same time as its report of engine loads.
 NODE_LOAD_LIFETIME_S = 1.0
--- a/liftrill/gateway/peers/node_directory.py
+++ b/liftrill/gateway/peers/node_directory.py
@@ -1,4 +1,4 @@
-"""Tells callers which nodes to use, by the load that nodes report, sans-IO."""
+"""Selects the nodes that callers should use, by the load that nodes report, sans-IO."""
 
 from collections.abc import Sequence
 from dataclasses import dataclass, field
--- a/liftrill/gateway/peers/node_selection.py
+++ b/liftrill/gateway/peers/node_selection.py
@@ -1,6 +1,6 @@
 """Selects the nodes that a caller should use, sans-IO.
 
-A caller opens each new connection to a uniformly random one of the addresses it was given, and
+A caller opens each new connection to a uniformly random one of the addresses it received, and
 closes connections to addresses that a newer answer lacks. So a node's share of the callers follows
 from the number of answers that contain it: each caller gets a sample of the nodes, in which every
 node occurs with a probability proportional to its weight. Each pair of a caller and a node has a
@@ -39,7 +39,7 @@
 # Factors are rounded to powers of this, so that nodes agree on them whose load reports differ a
 # little.
 FACTOR_STEP = 1.15
-# Room for requests with the largest bodies, and for the other needs of the process.
+# Memory for requests with the largest bodies, and for the other needs of the process.
 SUFFICIENT_MEMORY_BYTES = 24 * 1_048_576
 # The factor of a node that comes back rises over this time, from the start value below: its
 # connection caches are cold, and the callers of the whole zone would move to it at once.
@@ -171,7 +171,7 @@
     remaining_size = float(size)
     while remaining:
         total = sum(weights[i] for i in remaining)
-        # The probability of a node is capped at 1; the rest is divided among the other nodes.
+        # The probability of a node is capped at 1; the remainder is divided among the other nodes.
         certain = {i for i in remaining if weights[i] * remaining_size >= total}
         if not certain:
             for i in remaining:
--- a/liftrill/gateway/peers/peer_link.py
+++ b/liftrill/gateway/peers/peer_link.py
@@ -155,7 +155,7 @@
         self._batch.add_prefill(prefill)
 
     def broadcast_spending(self, notice: SpendingNotice) -> None:
-        """Broadcast at once what a request spends of its tenant's limit, or takes back."""
+        """Broadcast at once what a request spends of its tenant's limit, or refunds."""
         message = messages.Datagram(
             sender=self._membership.own.node_id,
             sequence=notice.number,
--- a/liftrill/gateway/peers/silence_detector.py
+++ b/liftrill/gateway/peers/silence_detector.py
@@ -13,9 +13,9 @@
 # Maximum time between two reports of a node, with or without load.
 MAX_REPORT_INTERVAL_S = 0.4
 # Five report intervals, so that a few lost reports make no node silent. After this time no node
-# sends callers to a node that is gone.
+# sends callers to a node that has ended.
 SILENCE_TIMEOUT_S = 2.0
-# If more of the members are silent, this node is taken to be the one that is cut off.
+# If more of the members are silent, this node is assumed to be the one that is cut off.
 MAX_SILENT_SHARE = 0.5
 
 
--- a/liftrill/gateway/quarantine.py
+++ b/liftrill/gateway/quarantine.py
@@ -1,9 +1,9 @@
-"""Keeps requests that crash engines away from further engines, at all nodes.
+"""Stops requests that crash engines from being sent to further engines, by all nodes.
 
-A node that loses a run checks whether the engine has ended. If it has, the node tells all nodes
+A node that loses a run checks whether the engine has ended. If it has, the node informs all nodes
 which runs it had there, and every node draws the same conclusion from them. Requests that crash
-engines are refused for a time. The store records this for nodes that start, slept or were cut
-off.
+engines are refused for a time. The store records this for nodes that start, were suspended or
+were cut off.
 """
 
 import time
@@ -41,12 +41,12 @@
 
 @dataclass(slots=True)
 class Quarantine:
-    """What one node knows of requests that crash engines.
+    """State of one node about requests that crash engines.
 
     Attributes:
         entries: the requests that are or were in quarantine.
         peers: reports to other nodes.
-        storage: keeps entries beyond the life of this process.
+        storage: persists entries beyond the end of this process.
     """
 
     engines: EngineTable
--- a/liftrill/gateway/quarantine_records.py
+++ b/liftrill/gateway/quarantine_records.py
@@ -117,10 +117,10 @@
             if pending.due_at <= clock.now_s():
                 await self._write(fingerprint, pending)
 
-    async def wait(self, longest_s: float) -> None:
+    async def wait(self, timeout_s: float) -> None:
         """Wait until a write is requested, but no longer than a time."""
         with suppress(TimeoutError):
-            async with asyncio.timeout(ticks.until_tick_s(longest_s)):
+            async with asyncio.timeout(ticks.until_tick_s(timeout_s)):
                 await self._write_requested.wait()
 
     async def _write(self, fingerprint: bytes, pending: _Pending) -> None:
--- a/liftrill/gateway/records.py
+++ b/liftrill/gateway/records.py
@@ -34,7 +34,7 @@
         maximum_attempts: maximum number of engines that one request may be sent to.
         priority: 0 is the most urgent.
         public: whether requests need no key.
-        resumable: whether a broken stream may continue at another engine.
+        resumable: whether an interrupted stream may continue at another engine.
         pause_target_s: target for the longest pause between events of a stream, or 0 if none is
             declared.
     """
--- a/liftrill/gateway/store_follower.py
+++ b/liftrill/gateway/store_follower.py
@@ -1,4 +1,4 @@
-"""Keeps a mirror of the store's key range for as long as the node runs.
+"""Maintains a mirror of the store's key range for as long as the node runs.
 
 An interrupted watch does not mean that the store is unreachable: the node first reads the range
 again, and follows another node only if that read fails. Otherwise nodes whose watches are
@@ -65,7 +65,7 @@
 
     @abstractmethod
     def relay_answered(self, answer: RelayAnswer, asked_at: float) -> None:
-        """Handle an answer that says how current the followed reader is."""
+        """Handle an answer that reports how current the followed reader is."""
 
     @abstractmethod
     def reader_to_follow(self, store_lost: bool) -> Member | None:
@@ -140,7 +140,7 @@
         return () if self._outage.unreachable or self._reread else (own_name,)
 
     def watch_lag_s(self) -> float:
-        """Return how long after a read the watch may deliver the changes that the read named."""
+        """Return how long after a read the watch may deliver the changes that the read reported."""
         return WATCH_LAG_S + self._spacing_s()
 
     def reselect_reader(self) -> None:
@@ -152,7 +152,7 @@
             self._interrupt()
 
     def era_began(self) -> None:
-        """Read the range again, because an answer of the store named a later era.
+        """Read the range again, because an answer of the store has a later era.
 
         A read in progress, which may have received that answer, is left to run: it fails if its
         pages are of two eras, and is then repeated.
@@ -170,7 +170,7 @@
         """Record the store's revision in its answer to a call sent at `asked_at`."""
         self._record_read(revision, asked_at)
         if self.followed is None and self._outage.unreachable:
-            # The store is back: waiting out the retry delay would only make the mirror staler.
+            # The store is reachable again: a wait for the retry would only make the mirror staler.
             self._outage.record_success()
             if not self._is_reading_range:
                 self.reread()
@@ -191,7 +191,7 @@
 
         Raises:
             RelayLostError: the reader sends no eras although the store does. After a restore of
-                the store such a reader would keep the data from before the restore.
+                the store such a reader would retain the data from before the restore.
         """
         if (
             update.batch.position
@@ -234,7 +234,7 @@
         self.followed = reader
         self._followed_since = clock.now_s()
         self._delegate.reader_followed(reader, store_lost=self._outage.unreachable)
-        # If this reader is given up, the store is tried before another substitute.
+        # If this reader is abandoned, the store is tried before another substitute.
         self._try_store_first = True
         self._reader_path = ()
         self.mirror.start_reading()
@@ -267,7 +267,7 @@
         await self._interruptible(self._watch_once())
 
     async def _interruptible(self, work: Awaitable[None]) -> None:
-        """Await `work`; `_interrupt` can cancel it alone, so that `run` goes on."""
+        """Await `work`; `_interrupt` can cancel it alone, so that `run` continues."""
         self._interruptible_task = asyncio.ensure_future(work)
         try:
             await asyncio.wait({self._interruptible_task})
--- a/liftrill/gateway/weight_controller.py
+++ b/liftrill/gateway/weight_controller.py
@@ -45,7 +45,7 @@
 
 
 class WeightController:
-    """Contends for leadership and, as the leader, gives the orders that the rollout plans."""
+    """Contends for leadership and, as the leader, sends the orders that the rollout plans."""
 
     def __init__(
         self,
@@ -78,7 +78,7 @@
             await ticks.pause(TICK_SECONDS)
 
     async def stop(self) -> None:
-        """Cancel orders under way and give up leadership, so that another node takes over."""
+        """Cancel orders under way and release leadership, so that another node takes over."""
         for task in list(self._tasks):
             task.cancel()
         await self._leadership.retire()
--- a/liftrill/gateway/weight_rollout.py
+++ b/liftrill/gateway/weight_rollout.py
@@ -32,7 +32,7 @@
             pause during the load.
         first_check_delay: time from the order to the first report query.
         check_interval: time between further report queries.
-        order_timeout: time after which an order without effect is given again.
+        order_timeout: time after which an order without effect is sent again.
     """
 
     batching_delay: float = 0.0
@@ -154,7 +154,7 @@
         self._set_state(engine_id, LoadState.UNANSWERED, now)
 
     def order_refused(self, engine_id: str, now: float, pause: float) -> None:
-        """Record that an engine refused an order; it is given again after a pause."""
+        """Record that an engine refused an order; it is sent again after a pause."""
         self.loads.pop(engine_id, None)
         self._retry_at[engine_id] = now + pause
 
