--- a/liftrill/gateway/engines/engine_table.py
+++ b/liftrill/gateway/engines/engine_table.py
@@ -230,8 +230,8 @@
     def in_use(self) -> Iterator[EngineView]:
         """Return the engines of configured services, without withdrawn ones."""
         for view in self:
-            is_named = not self.services or view.record.service in self.services
-            if is_named and not view.withdrawn:
+            is_configured = not self.services or view.record.service in self.services
+            if is_configured and not view.withdrawn:
                 yield view
 
     def get(self, engine_id: str) -> EngineView | None:
--- a/liftrill/gateway/forwarder.py
+++ b/liftrill/gateway/forwarder.py
@@ -82,7 +82,7 @@
     ) -> events.EngineChoice | Unavailable:
         """Return an engine whose id is not excluded, or why there is none."""
         now = clock.now_s()
-        # After the machine was suspended, this check runs before the request's timer, which stopped.
+        # After a suspension of the machine, this check runs before the request's stopped timer.
         if now >= request.deadline:
             return Unavailable.TOO_LATE
         if not self.state_is_current(now):
--- a/liftrill/gateway/gateway.py
+++ b/liftrill/gateway/gateway.py
@@ -443,7 +443,7 @@
         self.log.state_changed("watch_behind", at=self._follower.mirror.position, revision=revision)
 
     def own_name(self) -> str:
-        """Return the name of this node."""
+        """Return the id of this node."""
         return self.settings.node
 
     def is_assigned_reader(self) -> bool:
--- a/liftrill/gateway/peers/engine_gossip.py
+++ b/liftrill/gateway/peers/engine_gossip.py
@@ -146,7 +146,7 @@
 
     @property
     def node_id(self) -> str:
-        """The name of this node."""
+        """The id of this node."""
         return self._membership.own.node_id
 
     def issuer(self, engine: EngineAddress) -> str:
--- a/liftrill/gateway/relay_client.py
+++ b/liftrill/gateway/relay_client.py
@@ -61,7 +61,7 @@
     """The limits beyond which a reader is not followed.
 
     Attributes:
-        own_name: the name of the following node.
+        own_name: the id of the following node.
         max_mirror_age_s: the maximum age of the reader's mirror of the store.
     """
 
--- a/liftrill/gateway/store_follower.py
+++ b/liftrill/gateway/store_follower.py
@@ -53,7 +53,7 @@
 
     @abstractmethod
     def own_name(self) -> str:
-        """Return the name of this node."""
+        """Return the id of this node."""
 
     @abstractmethod
     def is_assigned_reader(self) -> bool:
