--- a/features/following_node.py
+++ b/features/following_node.py
@@ -108,7 +108,7 @@
     def range_read(self, asked_at):
         self.view.prove_current(5, asked_at)
 
-    def own_name(self):
+    def node_id(self):
         return self.name
 
     def is_assigned_reader(self):
--- a/features/steps/gateway_relay_steps.py
+++ b/features/steps/gateway_relay_steps.py
@@ -174,8 +174,8 @@
         self.follower = StoreFollower(self.store, "", self, LIMITS)
         self.knows_at = time.monotonic() + knows_after_s
 
-    def own_name(self):
-        return LIMITS.own_name
+    def node_id(self):
+        return LIMITS.node_id
 
     def mirror_changed(self, change, known_until):
         self.view.adopt(GatewayConfiguration(5, (route_rule(),), {}))
--- a/liftrill/gateway/gateway.py
+++ b/liftrill/gateway/gateway.py
@@ -442,7 +442,7 @@
         """Log that the watch has not delivered a revision that a read returned."""
         self.log.state_changed("watch_behind", at=self._follower.mirror.position, revision=revision)
 
-    def own_name(self) -> str:
+    def node_id(self) -> str:
         """Return the id of this node."""
         return self.settings.node
 
--- a/liftrill/gateway/relay_client.py
+++ b/liftrill/gateway/relay_client.py
@@ -61,11 +61,11 @@
     """The limits beyond which a reader is not followed.
 
     Attributes:
-        own_name: the id of the following node.
+        node_id: the id of the following node.
         max_mirror_age_s: the maximum age of the reader's mirror of the store.
     """
 
-    own_name: str
+    node_id: str
     max_mirror_age_s: float
 
     @property
@@ -85,7 +85,7 @@
             raise RelayLostError(f"the reader's mirror is {answer.mirror_age_s:.1f} s old")
         if not answer.path:
             raise RelayLostError("the reader has no path to the store")
-        if self.own_name in answer.path:
+        if self.node_id in answer.path:
             raise RelayLostError("the reader follows this node")
 
 
--- a/liftrill/gateway/store_follower.py
+++ b/liftrill/gateway/store_follower.py
@@ -52,7 +52,7 @@
         """Handle a complete read of the range that was requested at `asked_at`."""
 
     @abstractmethod
-    def own_name(self) -> str:
+    def node_id(self) -> str:
         """Return the id of this node."""
 
     @abstractmethod
@@ -134,10 +134,10 @@
     @property
     def path(self) -> tuple[str, ...]:
         """Return the relay path of changes, from this node to the node that reads the store."""
-        own_name = self._delegate.own_name()
+        node_id = self._delegate.node_id()
         if self.followed is not None:
-            return (own_name, *self._reader_path) if self._reader_path else ()
-        return () if self._outage.unreachable or self._reread else (own_name,)
+            return (node_id, *self._reader_path) if self._reader_path else ()
+        return () if self._outage.unreachable or self._reread else (node_id,)
 
     def watch_lag_s(self) -> float:
         """Return how long after a read the watch may deliver the changes that the read reported."""
