--- a/liftrill/gateway/engines/engine_speed.py
+++ b/liftrill/gateway/engines/engine_speed.py
@@ -77,14 +77,14 @@
     rows = sorted(_bounded_rows(significant, SAMPLE_BOUND))
     total = sum(units for _, units in rows)
     cut = TRIMMED_SHARE * total if len(rows) >= TRIMMED_SOURCES else 0.0
-    passed = seconds = kept = 0.0
+    passed = seconds = included = 0.0
     for pace_s, units in rows:
         within = min(passed + units, total - cut) - max(passed, cut)
         passed += units
         if within > 0.0:
             seconds += within * pace_s
-            kept += within
-    return WorkSample(total, total * seconds / kept)
+            included += within
+    return WorkSample(total, total * seconds / included)
 
 
 def merge_zones(works: Iterable[WorkSample]) -> WorkSample:
--- a/liftrill/gateway/opaque_request.py
+++ b/liftrill/gateway/opaque_request.py
@@ -85,8 +85,8 @@
     def fingerprint(self) -> bytes:
         """Hash of the request's content and tenant: unlike the id, the same in each retry."""
         digest = blake2b(digest_size=FINGERPRINT_BYTES)
-        words = (self.method, self.route.host, self.target, self.tenant)
-        for field in (*(word.encode() for word in words), self.body):
+        texts = (self.method, self.route.host, self.target, self.tenant)
+        for field in (*(text.encode() for text in texts), self.body):
             digest.update(len(field).to_bytes(4, "big"))
             digest.update(field)
         return digest.digest()
