--- a/liftrill/gateway/engines/engine_speed.py
+++ b/liftrill/gateway/engines/engine_speed.py
@@ -1,7 +1,7 @@
 """Speed estimates of one engine incarnation from the observations of nodes; performs no I/O.
 
-A pace is the time that one unit of work takes: reading a prompt token, producing an event of a
-stream, or giving a whole answer. Observations of about the last second are weighed against a
+A pace is the time that one unit of work takes: prefilling a prompt token, producing an event of
+a stream, or giving a whole answer. Observations of about the last second are weighed against a
 long-term average, so that a temporary slowdown shows at once and is soon forgotten, and a single
 sample changes little.
 """
@@ -77,14 +77,14 @@
     rows = sorted(_bounded_rows(significant, SAMPLE_BOUND))
     total = sum(units for _, units in rows)
     cut = TRIMMED_SHARE * total if len(rows) >= TRIMMED_SOURCES else 0.0
-    passed = seconds = kept = 0.0
+    passed = seconds = included = 0.0
     for pace_s, units in rows:
         within = min(passed + units, total - cut) - max(passed, cut)
         passed += units
         if within > 0.0:
             seconds += within * pace_s
-            kept += within
-    return WorkSample(total, total * seconds / kept)
+            included += within
+    return WorkSample(total, total * seconds / included)
 
 
 def merge_zones(works: Iterable[WorkSample]) -> WorkSample:
@@ -234,21 +234,22 @@
     """Estimated speed of one engine incarnation.
 
     Attributes:
-        reading: pace of reading a prompt token.
+        prefill: pace of prefilling a prompt token.
         event: pace of stream events after the first one.
         answer: pace of a whole answer in a slot of its own.
-        read_s_per_token: time to read a prompt token that decisions use, or 0 to use the service's.
-        slowness: reading time relative to the service's engines.
+        prefill_s_per_token: prefill time of a prompt token that decisions use, or 0 to use the
+            service's.
+        slowness: prefill time relative to the service's engines.
         answer_slowness: time of a whole answer relative to the service's engines.
         home_weight: rendezvous weight of the engine as the home of shared parts.
         disturbed_at: time when the engine was last seen loading weights; work that ran then is no
             evidence of its pace.
     """
 
-    reading: Pace = field(default_factory=Pace)
+    prefill: Pace = field(default_factory=Pace)
     event: Pace = field(default_factory=Pace)
     answer: Pace = field(default_factory=Pace)
-    read_s_per_token: float = 0.0
+    prefill_s_per_token: float = 0.0
     slowness: float = 1.0
     answer_slowness: float = 1.0
     home_weight: float = 1.0
--- a/liftrill/gateway/engines/placement.py
+++ b/liftrill/gateway/engines/placement.py
@@ -11,7 +11,7 @@
 from liftrill import constants
 from liftrill.coordination import rendezvous
 from liftrill.gateway.engines.engine_table import EngineView
-from liftrill.gateway.engines.shared_parts import NOTHING_KEPT, SharedParts
+from liftrill.gateway.engines.shared_parts import NOTHING_CACHED, SharedParts
 from liftrill.gateway.engines.speed_estimator import SpeedEstimator
 from liftrill.gateway.opaque_request import OpaqueRequest, PromptShape
 from liftrill.gateway.records import ServiceProfile
@@ -40,16 +40,16 @@
     Attributes:
         scope: the cache salt of the request at this engine, or empty.
         shared: known locations of the request's shared parts in that scope.
-        move_s: time to fetch these parts.
+        transfer_s: time to fetch these parts.
         holder: the engine to fetch them from, or None for the store.
-        outdated_s: time since newer weights than the engine's were named.
+        outdated_s: time since newer weights than the engine's were published.
         slot_wait_s: expected wait for a free slot at the engine.
     """
 
     view: EngineView
     scope: str = ""
-    shared: SharedParts = NOTHING_KEPT
-    move_s: float = 0.0
+    shared: SharedParts = NOTHING_CACHED
+    transfer_s: float = 0.0
     holder: EngineView | None = None
     outdated_s: float = 0.0
     slot_wait_s: float = 0.0
@@ -97,25 +97,26 @@
 
 @dataclass(slots=True)
 class PromptCost(PlacementPolicy):
-    """Chooses the engine that is expected to finish reading the prompt first.
+    """Chooses the engine that is expected to finish the prefill of the prompt first.
 
     Costs are in seconds, by the estimated speed of each engine. Within each scope one engine, the
-    same for all nodes, is the home of the shared parts. Other engines are charged for moving
-    the cached parts and for reading the remaining ones a second time.
+    same for all nodes, is the home of the shared parts. Other engines are charged for the
+    transfer of the cached parts and for prefilling the remaining ones a second time.
 
-    An unread part is read at the home of the first unread part. Otherwise prompts with a common
-    prefix would be read at as many engines as they have continuations.
+    An uncached part is prefilled at the home of the first uncached part. Otherwise prompts with a
+    common prefix would be prefilled at as many engines as they have continuations.
 
     Attributes:
         speeds: estimated engine speeds.
-        min_move_s: lower bound of the cost of moving a shared part: the answer is this much later.
-        engines_per_prefix_reader: number of engines in a scope per engine that reads the common
+        min_transfer_s: lower bound of the cost of a shared part's transfer, which delays the answer
+            by this time.
+        engines_per_prefix_home: number of engines in a scope per engine that prefills the common
             prefix of many prompts.
-        reread_factor: cost of reading a shared part again, relative to waiting as long.
-        rare_reread_factor: the same for a part of few prompts that no engine is known to read.
-        long_prompt_s: reading time above which a prompt is taken to delay the running streams of
+        reread_factor: cost of prefilling a shared part again, relative to waiting as long.
+        rare_reread_factor: the same for a part of few prompts that no engine is known to prefill.
+        long_prompt_s: prefill time above which a prompt is assumed to delay the running streams of
             its engine too much, where no route declares a pause target.
-        pause_share: cost of each delayed stream, as a share of the reading time.
+        pause_share: cost of each delayed stream, as a share of the prefill time.
         outdated_penalty_s: cost of weights that were replaced longer than the grace period ago:
             their output is worth less.
         outdated_grace_s: time after their replacement in which weights cost nothing extra.
@@ -131,8 +132,8 @@
     """
 
     speeds: SpeedEstimator
-    min_move_s: float = 0.015
-    engines_per_prefix_reader: int = 5
+    min_transfer_s: float = 0.015
+    engines_per_prefix_home: int = 5
     reread_factor: float = constants.RECOMPUTE_COST_FACTOR
     rare_reread_factor: float = constants.RARE_RECOMPUTE_COST_FACTOR
     long_prompt_s: float = constants.LONG_PROMPT_S
@@ -160,14 +161,14 @@
         predicts_pauses = self.speeds.predicts_pauses(request.service)
         for position, engine_id in enumerate(rendezvous.rank(key, by_id)):
             candidate = by_id[engine_id]
-            to_read = tokens_to_read(request, candidate)
-            cost_s = self._read_delay_s(candidate, to_read)
+            to_prefill = tokens_to_prefill(request, candidate)
+            cost_s = self._prefill_delay_s(candidate, to_prefill)
             if predicts_pauses:
-                late = self.speeds.late_streams(candidate.view, to_read, request.is_stream)
+                late = self.speeds.late_streams(candidate.view, to_prefill, request.is_stream)
                 # A long pause makes a stream as late as a late first event does.
                 cost_s += late * request.route.target_seconds
             else:
-                cost_s += self._pause_cost_s(candidate, to_read)
+                cost_s += self._pause_cost_s(candidate, to_prefill)
             if homes[candidate.scope] != engine_id:
                 cost_s += self._missing_parts_cost_s(request, candidate, is_large)
                 cost_s += overflow_penalty_s if position >= preferred_count else 0.0
@@ -190,64 +191,66 @@
         }
 
     def _home(self, request: OpaqueRequest, candidates: list[Candidate], key: bytes) -> str:
-        """Return the engine that reads the first unread part, or is to read it.
+        """Return the engine that prefills the first uncached part, or is to prefill it.
 
-        Among many engines several of them read a common prefix: nodes learn of each other's
+        Among many engines several of them prefill a common prefix: nodes learn of each other's
         requests too late to keep a single engine from being overloaded.
         """
         first = candidates[0]
-        unread = first_unread(request, first) or key
-        prefix_readers = max(1, len(candidates) // self.engines_per_prefix_reader)
-        if prefix_readers > 1 and unread != key:
-            unread += b"%d" % (xxhash.xxh3_64_intdigest(key) % prefix_readers)
+        home_key = first_uncached(request, first) or key
+        prefix_homes = max(1, len(candidates) // self.engines_per_prefix_home)
+        if prefix_homes > 1 and home_key != key:
+            home_key += b"%d" % (xxhash.xxh3_64_intdigest(key) % prefix_homes)
         else:
             for candidate in candidates:
-                if candidate.view.number == first.shared.reader:
+                if candidate.view.number == first.shared.prefilling_engine:
                     return candidate.view.engine_id
         weights = {c.view.engine_id: c.view.speed.home_weight for c in candidates}
-        home = rendezvous.first_weighted(unread, weights)
+        home = rendezvous.first_weighted(home_key, weights)
         assert home is not None
         return home
 
-    def _read_delay_s(self, candidate: Candidate, to_read: int) -> float:
-        """Return the time until an engine starts to read, plus its extra time if it is slow."""
+    def _prefill_delay_s(self, candidate: Candidate, to_prefill: int) -> float:
+        """Return the time until an engine starts the prefill, plus its extra time if it is slow."""
         view = candidate.view
-        read_s_per_token = self.speeds.read_s_per_token(view)
-        start_delay_s = candidate.slot_wait_s + self._backlog_tokens(view) * read_s_per_token
+        prefill_s_per_token = self.speeds.prefill_s_per_token(view)
+        start_delay_s = candidate.slot_wait_s + self._backlog_tokens(view) * prefill_s_per_token
         if view.speed.slowness == 1.0:
             return start_delay_s
-        extra_read_s = read_s_per_token - self.speeds.service_read_s_per_token(view.record.service)
-        return start_delay_s + to_read * extra_read_s
+        extra_s_per_token = prefill_s_per_token - self.speeds.service_prefill_s_per_token(
+            view.record.service
+        )
+        return start_delay_s + to_prefill * extra_s_per_token
 
     def _missing_parts_cost_s(
         self, request: OpaqueRequest, candidate: Candidate, is_large: bool
     ) -> float:
         """Return the cost of having the shared parts at an engine that lacks them."""
-        missing = request.shared_tokens - candidate.shared.kept_tokens
+        missing = request.shared_tokens - candidate.shared.cached_tokens
         if not missing:
-            return max(self.min_move_s, candidate.move_s)
-        read_s_per_token = self.speeds.read_s_per_token(candidate.view)
-        if is_large and not candidate.shared.reader:
-            return self._reread_cost_tokens(request, missing) * read_s_per_token
-        return missing * self.reread_factor * read_s_per_token
+            return max(self.min_transfer_s, candidate.transfer_s)
+        prefill_s_per_token = self.speeds.prefill_s_per_token(candidate.view)
+        if is_large and not candidate.shared.prefilling_engine:
+            return self._reread_cost_tokens(request, missing) * prefill_s_per_token
+        return missing * self.reread_factor * prefill_s_per_token
 
     def _reread_cost_tokens(self, request: OpaqueRequest, missing_tokens: int) -> float:
-        """Return the cost, in tokens, of reading parts that other nodes may also be reading.
+        """Return the cost, in tokens, of prefilling parts that other nodes may also prefill.
 
         The common parts of many prompts are requested all the time. The last shared part belongs
-        to few prompts, so that another engine is unlikely to read it at this moment.
+        to few prompts, so that another engine is unlikely to prefill it at this moment.
         """
         assert request.prompt is not None
         rare_tokens = min(missing_tokens, request.prompt.shared_parts[-1].tokens)
         common_tokens = missing_tokens - rare_tokens
         return common_tokens * self.reread_factor + rare_tokens * self.rare_reread_factor
 
-    def _pause_cost_s(self, candidate: Candidate, to_read: int) -> float:
+    def _pause_cost_s(self, candidate: Candidate, to_prefill: int) -> float:
         """Return the cost of the pauses that a long prompt causes in the engine's streams."""
-        read_s = to_read * self.speeds.read_s_per_token(candidate.view)
-        if read_s < self.long_prompt_s:
+        prefill_s = to_prefill * self.speeds.prefill_s_per_token(candidate.view)
+        if prefill_s < self.long_prompt_s:
             return 0.0
-        return candidate.view.requests * read_s * self.pause_share
+        return candidate.view.requests * prefill_s * self.pause_share
 
     def _backlog_tokens(self, view: EngineView) -> float:
         profile = self.services.get(view.record.service)
@@ -256,10 +259,10 @@
         return view.waiting_tokens + max(0.0, excess)
 
 
-def tokens_to_read(request: OpaqueRequest, candidate: Candidate) -> int:
-    """Return the number of prompt tokens that an engine would have to read."""
+def tokens_to_prefill(request: OpaqueRequest, candidate: Candidate) -> int:
+    """Return the number of prompt tokens that an engine would have to prefill."""
     prompt_tokens = request.prompt.prompt_tokens if request.prompt else 0
-    return max(0, prompt_tokens - candidate.shared.kept_tokens)
+    return max(0, prompt_tokens - candidate.shared.cached_tokens)
 
 
 def affinity_key(request: OpaqueRequest) -> bytes | None:
@@ -270,9 +273,9 @@
     return prompt.shared_parts[-1].part_id.encode()
 
 
-def first_unread(request: OpaqueRequest, candidate: Candidate) -> bytes | None:
+def first_uncached(request: OpaqueRequest, candidate: Candidate) -> bytes | None:
     """Return the id of the first shared part that is not cached, or None."""
     parts = request.prompt.shared_parts if request.prompt else ()
-    if candidate.shared.kept_parts >= len(parts):
+    if candidate.shared.cached_parts >= len(parts):
         return None
-    return parts[candidate.shared.kept_parts].part_id.encode()
+    return parts[candidate.shared.cached_parts].part_id.encode()
--- a/liftrill/gateway/engines/prefix_directory.py
+++ b/liftrill/gateway/engines/prefix_directory.py
@@ -1,6 +1,7 @@
 """Directory of cached shared prompt parts, as observed by this node or reported by peers.
 
-An engine reads a part, then holds it in memory for some seconds, and may save it to a kept store.
+An engine prefills a part, then caches it in memory for some seconds, and may save it to a prefix
+store.
 """
 
 import math
@@ -31,14 +32,14 @@
 class PartStage(Enum):
     """Progress of an engine with a shared part."""
 
-    BEING_READ = auto()
+    BEING_PREFILLED = auto()
     HELD = auto()
     SAVED = auto()
 
 
 @dataclass(frozen=True, slots=True)
 class PartLocation:
-    """A shared part and the engine that reads, holds or has saved it."""
+    """A shared part and the engine that prefills, holds or has saved it."""
 
     part: int
     engine: int
@@ -67,16 +68,16 @@
     Attributes:
         saved_at: time when the part was last sent to a store, or minus infinity.
         stored_at: time from which a store has the part.
-        engine: number of the engine that reads the part or used it last, or 0.
-        used_at: time of that reading or use.
-        was_read: whether the engine has read the whole part.
+        engine: number of the engine that prefills the part or used it last, or 0.
+        used_at: time of that prefill or use.
+        was_prefilled: whether the engine has prefilled the complete part.
     """
 
     saved_at: float = -math.inf
     stored_at: float = math.inf
     engine: int = 0
     used_at: float = -math.inf
-    was_read: bool = False
+    was_prefilled: bool = False
 
 
 @dataclass(slots=True)
@@ -87,50 +88,52 @@
         capacity: maximum number of parts.
         lifetime_s: time after which a part is saved again, since the store may have dropped it.
         store_delay_s: time that a part takes to reach the store.
-        reading_lifetime_s: time for which an engine is assumed to read a part.
+        prefill_lifetime_s: time for which an engine is assumed to prefill a part.
         held_s: time for which an engine is assumed to hold a part after its last use.
     """
 
     capacity: int = 4_096
     lifetime_s: float = 20.0
     store_delay_s: float = constants.PREFIX_SAVE_SETTLE_S
-    reading_lifetime_s: float = constants.ASSUMED_PREFILL_S
+    prefill_lifetime_s: float = constants.ASSUMED_PREFILL_S
     held_s: float = constants.INITIAL_CACHE_RETENTION_S
     _entries: OrderedDict[int, _Entry] = field(default_factory=OrderedDict)
     _pending: deque[_PendingUpdate] = field(default_factory=lambda: deque(maxlen=MAX_UPDATES))
 
     def is_saved(self, part: int, now: float) -> bool:
-        """Return whether a store is believed to have a part, or to receive it now."""
+        """Return whether a store is assumed to have a part, or to receive it now."""
         entry = self._entries.get(part)
         return entry is not None and now - entry.saved_at < self.lifetime_s
 
     def is_stored(self, part: int, now: float) -> bool:
-        """Return whether a store is believed to have a part already."""
+        """Return whether a store is assumed to have a part already."""
         entry = self._entries.get(part)
         return entry is not None and now >= entry.stored_at and self.is_saved(part, now)
 
-    def reader(self, part: int, now: float) -> int:
-        """Return the number of the engine that is believed to read a part now, or 0."""
+    def prefilling_engine(self, part: int, now: float) -> int:
+        """Return the number of the engine that is assumed to prefill a part now, or 0."""
         entry = self._entries.get(part)
-        if entry is None or entry.was_read or now - entry.used_at >= self.reading_lifetime_s:
+        if entry is None or entry.was_prefilled or now - entry.used_at >= self.prefill_lifetime_s:
             return 0
         return entry.engine
 
     def holder(self, part: int, now: float) -> int:
-        """Return the number of the engine that is believed to hold a part in memory, or 0."""
+        """Return the number of the engine that is assumed to hold a part in memory, or 0."""
         entry = self._entries.get(part)
-        if entry is None or not entry.was_read or now - entry.used_at >= self.held_s:
+        if entry is None or not entry.was_prefilled or now - entry.used_at >= self.held_s:
             return 0
         return entry.engine
 
-    def record_reading(self, part: int, engine: int, now: float) -> None:
-        """Record and announce that an engine is about to read a part."""
-        self._record_and_announce(PartLocation(part, engine, PartStage.BEING_READ), now, own=True)
+    def record_prefill_start(self, part: int, engine: int, now: float) -> None:
+        """Record and announce that an engine is about to prefill a part."""
+        self._record_and_announce(
+            PartLocation(part, engine, PartStage.BEING_PREFILLED), now, own=True
+        )
 
-    def record_read(
+    def record_prefill(
         self, part: int, engine: int, now: float, *, saved: bool, announce: bool
     ) -> None:
-        """Record that an engine has read a prompt with a part, and whether it saves the part."""
+        """Record that an engine has prefilled a part, and whether it saves the part."""
         location = PartLocation(part, engine, PartStage.SAVED if saved else PartStage.HELD)
         if announce and (saved or self._is_new(location, now)):
             self._record_and_announce(location, now, own=True)
@@ -138,9 +141,9 @@
             self._remember(location, now)
 
     def _is_new(self, location: PartLocation, now: float) -> bool:
-        """Return whether peers must be told that an engine holds a part."""
+        """Return whether an engine's copy of a part must be announced to peers."""
         entry = self._entries.get(location.part)
-        if entry is None or not entry.was_read or entry.engine != location.engine:
+        if entry is None or not entry.was_prefilled or entry.engine != location.engine:
             return True
         return now - entry.used_at >= REANNOUNCE_SHARE * self.held_s
 
@@ -161,7 +164,7 @@
             return self.is_saved(location.part, now)
         if location.stage is PartStage.HELD:
             return not self._is_new(location, now)
-        known = self.holder(location.part, now) or self.reader(location.part, now)
+        known = self.holder(location.part, now) or self.prefilling_engine(location.part, now)
         return known != 0 or self.is_saved(location.part, now)
 
     def _record_and_announce(self, location: PartLocation, now: float, own: bool) -> None:
@@ -186,7 +189,7 @@
         entry = self._entries.setdefault(location.part, _Entry())
         entry.engine = location.engine
         entry.used_at = now
-        entry.was_read = location.stage is not PartStage.BEING_READ
+        entry.was_prefilled = location.stage is not PartStage.BEING_PREFILLED
         if location.stage is PartStage.SAVED:
             self._note_saved(entry, now)
         self._entries.move_to_end(location.part)
--- a/liftrill/gateway/store_follower.py
+++ b/liftrill/gateway/store_follower.py
@@ -1,4 +1,4 @@
-"""Keeps a mirror of the store's key range for as long as the node runs.
+"""Maintains a mirror of the store's key range for as long as the node runs.
 
 An interrupted watch does not mean that the store is unreachable: the node first reads the range
 again, and follows another node only if that read fails. Otherwise nodes whose watches are
@@ -52,8 +52,8 @@
         """Handle a complete read of the range that was requested at `asked_at`."""
 
     @abstractmethod
-    def own_name(self) -> str:
-        """Return the name of this node."""
+    def node_id(self) -> str:
+        """Return the id of this node."""
 
     @abstractmethod
     def is_assigned_reader(self) -> bool:
@@ -65,7 +65,7 @@
 
     @abstractmethod
     def relay_answered(self, answer: RelayAnswer, asked_at: float) -> None:
-        """Handle an answer that says how current the followed reader is."""
+        """Handle an answer that reports how current the followed reader is."""
 
     @abstractmethod
     def reader_to_follow(self, store_lost: bool) -> Member | None:
@@ -108,9 +108,9 @@
         self._relay = RelayClient(self, limits)
         self._outage = StoreOutage()
         self._reread = True
-        self._reading = False
-        self._try_store = False
-        self._waiting: asyncio.Task[None] | None = None
+        self._is_reading_range = False
+        self._try_store_first = False
+        self._interruptible_task: asyncio.Task[None] | None = None
         self._followed_since = 0.0
         self._reader_path: tuple[str, ...] = ()
 
@@ -134,13 +134,13 @@
     @property
     def path(self) -> tuple[str, ...]:
         """Return the relay path of changes, from this node to the node that reads the store."""
-        own_name = self._delegate.own_name()
+        node_id = self._delegate.node_id()
         if self.followed is not None:
-            return (own_name, *self._reader_path) if self._reader_path else ()
-        return () if self._outage.unreachable or self._reread else (own_name,)
+            return (node_id, *self._reader_path) if self._reader_path else ()
+        return () if self._outage.unreachable or self._reread else (node_id,)
 
     def watch_lag_s(self) -> float:
-        """Return how long after a read the watch may deliver the changes that the read named."""
+        """Return how long after a read the watch may deliver the changes that the read reported."""
         return WATCH_LAG_S + self._spacing_s()
 
     def reselect_reader(self) -> None:
@@ -152,12 +152,12 @@
             self._interrupt()
 
     def era_began(self) -> None:
-        """Read the range again, because an answer of the store named a later era.
+        """Read the range again, because an answer of the store has a later era.
 
         A read in progress, which may have received that answer, is left to run: it fails if its
         pages are of two eras, and is then repeated.
         """
-        if self.followed is None and not self._reading:
+        if self.followed is None and not self._is_reading_range:
             self.reread()
 
     def store_failed(self) -> None:
@@ -168,19 +168,19 @@
 
     def store_answered(self, revision: int, asked_at: float) -> None:
         """Record the store's revision in its answer to a call sent at `asked_at`."""
-        self._record_reading(revision, asked_at)
+        self._record_read(revision, asked_at)
         if self.followed is None and self._outage.unreachable:
-            # The store is back: waiting out the retry delay would only make the mirror staler.
+            # The store is reachable again: a wait for the retry would only make the mirror staler.
             self._outage.record_success()
-            if not self._reading:
+            if not self._is_reading_range:
                 self.reread()
 
-    def _record_reading(self, revision: int, asked_at: float) -> None:
+    def _record_read(self, revision: int, asked_at: float) -> None:
         self.freshness.record_reading(revision, asked_at)
         self.freshness.record_position(self.mirror.position)
 
     def _reader_to_follow(self) -> Member | None:
-        if self._reread and (self._try_store or not self._outage.unreachable):
+        if self._reread and (self._try_store_first or not self._outage.unreachable):
             return None
         return self._delegate.reader_to_follow(self._outage.unreachable)
 
@@ -191,7 +191,7 @@
 
         Raises:
             RelayLostError: the reader sends no eras although the store does. After a restore of
-                the store such a reader would keep the data from before the restore.
+                the store such a reader would retain the data from before the restore.
         """
         if (
             update.batch.position
@@ -214,7 +214,7 @@
     def relay_confirmed(self, answer: RelayAnswer, asked_at: float) -> None:
         """Record how current the reader was when it answered a question sent at `asked_at`."""
         self._reader_path = answer.path
-        self._record_reading(answer.at, asked_at - answer.mirror_age_s)
+        self._record_read(answer.at, asked_at - answer.mirror_age_s)
         self._delegate.relay_answered(answer, asked_at)
 
     def reader_timeout_s(self) -> float:
@@ -234,8 +234,8 @@
         self.followed = reader
         self._followed_since = clock.now_s()
         self._delegate.reader_followed(reader, store_lost=self._outage.unreachable)
-        # If this reader is given up, the store is tried before another substitute.
-        self._try_store = True
+        # If this reader is abandoned, the store is tried before another substitute.
+        self._try_store_first = True
         self._reader_path = ()
         self.mirror.start_reading()
         try:
@@ -267,34 +267,34 @@
         await self._interruptible(self._watch_once())
 
     async def _interruptible(self, work: Awaitable[None]) -> None:
-        """Await `work`; `_interrupt` can cancel it alone, so that `run` goes on."""
-        self._waiting = asyncio.ensure_future(work)
+        """Await `work`; `_interrupt` can cancel it alone, so that `run` continues."""
+        self._interruptible_task = asyncio.ensure_future(work)
         try:
-            await asyncio.wait({self._waiting})
-            if not self._waiting.cancelled():
-                self._waiting.result()
+            await asyncio.wait({self._interruptible_task})
+            if not self._interruptible_task.cancelled():
+                self._interruptible_task.result()
         finally:
-            self._waiting.cancel()
-            self._waiting = None
+            self._interruptible_task.cancel()
+            self._interruptible_task = None
 
     def _interrupt(self) -> None:
-        if self._waiting is not None:
-            self._waiting.cancel()
+        if self._interruptible_task is not None:
+            self._interruptible_task.cancel()
 
     async def _read_all(self) -> None:
         self._reread = False
-        self._try_store = False
+        self._try_store_first = False
         self.mirror.start_reading()
         asked_at = clock.now_s()
         known_at = self.mirror.position
-        self._reading = True
+        self._is_reading_range = True
         try:
             first_at, change = await self._read_pages()
         except StoreError:
             self._outage.record_read_failure()
             raise
         finally:
-            self._reading = False
+            self._is_reading_range = False
         if first_at < known_at:
             raise StoreUnavailableError(
                 f"range page at position {first_at} is older than the mirror at {known_at}"
@@ -303,7 +303,7 @@
         self._note_connection(True)
         self._report_change(change)
         self._delegate.range_read(asked_at)
-        self._record_reading(first_at, asked_at)
+        self._record_read(first_at, asked_at)
 
     async def _read_pages(self) -> tuple[int, MirrorChange]:
         """Return the position of the first page, and the change that all pages make."""
