--- a/features/gateway_store.py
+++ b/features/gateway_store.py
@@ -18,20 +18,20 @@
     """Keeps items, leases and the whole history.
 
     Attributes:
-        counts_each: whether each item that a transaction writes has a revision of its own.
+        revision_per_item: whether each item that a transaction writes has a revision of its own.
     """
 
     def __init__(self):
         self.now = 0.0
         self.revision = 1
-        self.counts_each = False
+        self.revision_per_item = False
         self.items = {}
         self.leases = {}
         self.changes = []
-        self.lose_answers = 0
+        self.answers_to_lose = 0
         self.page_size = 500
         self.renewals = 0
-        self.loses_renewal = lambda number, now: False
+        self.should_lose_renewal = lambda number, now: False
 
     def put(self, key, value, lease=0):
         self.revision += 1
@@ -80,16 +80,16 @@
                 raise ConditionFailedError(condition.key)
         if any(put.lease and put.lease not in self.leases for put in puts):
             raise LeaseGoneError("no lease")
-        self.revision += 0 if self.counts_each else 1
+        self.revision += 0 if self.revision_per_item else 1
         for put in puts:
-            self.revision += self.counts_each
+            self.revision += self.revision_per_item
             self.items[put.key] = StoredItem(put.key, put.value, self.revision, put.lease)
             self.changes.append(self.items[put.key])
         for key in removed:
             self.items.pop(key, None)
             self.changes.append(RemovedItem(key, self.revision))
-        if self.lose_answers:
-            self.lose_answers -= 1
+        if self.answers_to_lose:
+            self.answers_to_lose -= 1
             raise StoreAnswerLostError("lost")
         return self.revision
 
@@ -104,7 +104,7 @@
         seconds = self.leases[lease][1]
         self.leases[lease] = (self.now + seconds, seconds)
         self.renewals += 1
-        if self.loses_renewal(self.renewals, self.now):
+        if self.should_lose_renewal(self.renewals, self.now):
             raise StoreAnswerLostError("lost")
 
     async def revoke_lease(self, lease):
--- a/features/steps/gateway_forwarding_steps.py
+++ b/features/steps/gateway_forwarding_steps.py
@@ -46,14 +46,14 @@
         self._pieces.clear()
 
 
-class LastingTransport(EngineTransport):
+class LiveEngineTransport(EngineTransport):
     """Engines that never end."""
 
     async def has_ended(self, address):
         return False
 
 
-class ScriptedTransport(LastingTransport):
+class ScriptedTransport(LiveEngineTransport):
     def __init__(self, pieces):
         self._pieces = pieces
 
@@ -124,7 +124,7 @@
         self.closed_at = time.monotonic()
 
 
-class IdleTransport(LastingTransport):
+class IdleTransport(LiveEngineTransport):
     def __init__(self):
         self.made = IdleAttempt()
 
@@ -158,7 +158,7 @@
     return engines
 
 
-class VersionedTransport(LastingTransport):
+class VersionedTransport(LiveEngineTransport):
     """Engines on version 1 that begin nothing, and on newer ones that answer.
 
     Attributes:
@@ -304,7 +304,7 @@
         return await super().read()
 
 
-class SlowTransport(LastingTransport):
+class SlowTransport(LiveEngineTransport):
     def __init__(self, pieces, pause_s):
         self._made = SlowAttempt(pieces, pause_s)
 
--- a/features/steps/gateway_weights_steps.py
+++ b/features/steps/gateway_weights_steps.py
@@ -232,7 +232,7 @@
 @given("the store is in era 1, and counts each item of a transaction as a change")
 def step_counts_each(context):
     context.store.revision = position(1, context.store.revision)
-    context.store.counts_each = True
+    context.store.revision_per_item = True
 
 
 @then("the leader can write that it gives orders")
@@ -282,7 +282,7 @@
 
 @given("the store loses the answer to the first write of a key")
 def step_lose_answer(context):
-    context.store.lose_answers = 1
+    context.store.answers_to_lose = 1
 
 
 @when("both contend")
@@ -314,7 +314,7 @@
 
 @given("the store loses the answer to every second renewal")
 def step_lose_renewals(context):
-    context.store.loses_renewal = lambda number, now: number % 2 == 1
+    context.store.should_lose_renewal = lambda number, now: number % 2 == 1
 
 
 @then("the same one leads for {seconds:g} s")
@@ -329,7 +329,7 @@
 def step_lose_all(context, seconds):
     context.fence = context.leader.leadership.fence
     until = context.store.now + seconds
-    context.store.loses_renewal = lambda number, now: now < until
+    context.store.should_lose_renewal = lambda number, now: now < until
     context.changes = []
     while context.store.now < until + 2.0:
         run_contenders(context, TICK_SECONDS)
@@ -347,7 +347,7 @@
 
 @when("the store loses the answer to the leader's word that it gives orders")
 def step_lose_word(context):
-    context.store.lose_answers = 1
+    context.store.answers_to_lose = 1
     context.run(context.leader.leadership.mark_active())
 
 
@@ -362,7 +362,7 @@
     wait_until_other_leads(context)
     context.run(context.other.leadership.mark_active())
     until = context.store.now + seconds
-    context.store.loses_renewal = lambda number, now: now < until
+    context.store.should_lose_renewal = lambda number, now: now < until
 
 
 @then("the other one gives no order for {seconds:g} s after the killed one's last")
--- a/features/steps/holding_steps.py
+++ b/features/steps/holding_steps.py
@@ -11,7 +11,7 @@
 from hypothesis import strategies as st
 
 from features.gateway_support import engine_record, new_quarantine, opaque_request, route_rule
-from features.steps.gateway_forwarding_steps import LastingTransport, RecordingSink
+from features.steps.gateway_forwarding_steps import LiveEngineTransport, RecordingSink
 from liftrill.coordination.circuit import CircuitBreaker
 from liftrill.errors import ResultCode
 from liftrill.gateway import delivery_events as events
@@ -463,7 +463,7 @@
         self.failures += 1
 
 
-class OneAttempt(LastingTransport):
+class OneAttempt(LiveEngineTransport):
     def __init__(self, attempt):
         self._attempt = attempt
 
@@ -599,7 +599,7 @@
     assert context.view.body_kilobytes == left, context.view.body_kilobytes
 
 
-class NewAttempts(LastingTransport):
+class NewAttempts(LiveEngineTransport):
     """Engines that send one event and break, until one ends well."""
 
     def __init__(self, endings):
