--- a/features/gateway_connections.feature
+++ b/features/gateway_connections.feature
@@ -1,21 +1,21 @@
-Feature: Connections to engines are used again for as long as the engine keeps them
+Feature: Idle connections to engines are reused for as long as the engine keeps them open
 
-  Scenario Outline: How long a connection is used again
-    Given an engine that says "<says>" of its connections
-    When two requests are sent to it, <pause> s apart
-    Then it has seen <connections> connections
+  Scenario Outline: A connection is reused until its keep-alive time is over
+    Given an engine whose Keep-Alive header is "<header>"
+    When two requests are sent to the engine, <pause> s apart
+    Then the engine has accepted <connections> connections
 
     Examples:
-      | says      | pause | connections |
+      | header    | pause | connections |
       | timeout=1 | 0.3   | 1           |
       | timeout=1 | 0.9   | 2           |
       |           | 0.3   | 1           |
 
-  Scenario Outline: What an engine may say of its connections
-    Then a connection of which it says "<says>" is used again for <limit> s
+  Scenario Outline: The Keep-Alive header limits for how long an idle connection is reused
+    Then a connection with the Keep-Alive header "<header>" is reused after up to <limit> s idle
 
     Examples:
-      | says                | limit |
+      | header              | limit |
       | timeout=10          | 8     |
       | max=5, timeout=10   | 8     |
       | timeout=99999999999 | 30    |
--- a/features/gateway_quota.feature
+++ b/features/gateway_quota.feature
@@ -1,8 +1,8 @@
-Feature: What a gateway counts under a tenant's limit, and how large it takes the fleet to be
+Feature: How requests are charged to a tenant's limit, and how a node estimates the fleet size
 
-  Scenario Outline: What a request counts
-    Given a limit in <unit>, with <plain> for a request without a prompt
-    Then a request <kind> counts <units>
+  Scenario Outline: The units that a request is charged
+    Given a limit in <unit> that charges <plain> for a request without a prompt
+    Then a request <kind> is charged <units>
 
     Examples:
       | unit     | plain | kind                        | units |
@@ -11,24 +11,24 @@
       | requests | 0     | of 110 + 20 tokens          | 1     |
       | requests | 0     | without a prompt            | 1     |
 
-  Scenario: A fleet that restarts whole knows from the store how large it is
-    Given a node that leads a fleet of 79
-    When it has been so for 4 s
-    Then a node that starts takes the fleet for 79 before it knows another
-    And 9 s later it still does, and 11 s later it goes by those it knows
+  Scenario: After a restart of the whole fleet, nodes read its size from the store
+    Given the leader of a fleet of 79 nodes
+    When the fleet keeps its size for 4 s
+    Then a starting node assumes a fleet of 79 before it knows another member
+    And 9 s later it still does, and 11 s later it counts the members that it knows
 
-  Scenario: Only the leader writes how large the fleet is, and only where that changed
-    Given a node of a fleet of 79 that does not lead
-    When it has been so for 4 s
-    Then nothing is written
-    Given a node that leads a fleet of 79
-    When it has been so for 4 s
-    And one node of it is lost for 20 s
-    Then it was written once
+  Scenario: Only the leader writes the fleet size, and only when it changed
+    Given a node of a fleet of 79 nodes that is not the leader
+    When the fleet keeps its size for 4 s
+    Then the node wrote no fleet size
+    Given the leader of a fleet of 79 nodes
+    When the fleet keeps its size for 4 s
+    And one of the fleet's nodes is missing for 20 s
+    Then the node wrote the fleet size once
 
-  Scenario: A record that says what is known already does not undo that a fleet has shrunk
-    Given a node that leads a fleet of 79
-    When it has been so for 10 s
-    And only 40 of its nodes are left for 60 s, while other records change
-    Then the node takes the fleet for 40
-    And a node that starts takes the fleet for 40 before it knows another
+  Scenario: Reading an unchanged record does not reset the size of a fleet that has shrunk
+    Given the leader of a fleet of 79 nodes
+    When the fleet keeps its size for 10 s
+    And only 40 of its nodes are alive for 60 s, while other records change
+    Then the node assumes a fleet of 40
+    And a starting node assumes a fleet of 40 before it knows another member
--- a/features/gateway_store.py
+++ b/features/gateway_store.py
@@ -1,4 +1,4 @@
-"""A store in memory with its own clock, for features of coordination."""
+"""An in-memory store with its own clock, for features of coordination."""
 
 from liftrill.coordination.range_store import (
     ConditionFailedError,
@@ -15,10 +15,15 @@
 
 
 class MemoryStore(RangeStore):
-    """Keeps items, leases and the whole history.
+    """Keeps items, leases and the history of changes.
 
     Attributes:
-        revision_per_item: whether each item that a transaction writes has a revision of its own.
+        now: the time of the store's clock, in seconds.
+        revision_per_item: whether each item that a transaction writes gets its own revision.
+        answers_to_lose: how many transactions take effect without an answer to the client.
+        page_size: the most items of one page of a range read.
+        renewals: how many lease renewals took effect.
+        should_lose_renewal: whether the answer to a renewal is lost, by its number and time.
     """
 
     def __init__(self):
@@ -46,8 +51,8 @@
 
     def advance(self, seconds):
         self.now += seconds
-        for lease, (until, _) in list(self.leases.items()):
-            if until <= self.now:
+        for lease, (expires_at, _) in list(self.leases.items()):
+            if expires_at <= self.now:
                 self.drop_lease(lease)
 
     def drop_lease(self, lease):
@@ -69,9 +74,9 @@
     async def watch(self, prefix, after_revision, wait_seconds):
         oldest = self.changes[0].revision if self.changes else self.revision + 1
         if after_revision + 1 < oldest and after_revision < self.revision:
-            raise HistoryGoneError("gone")
-        news = [c for c in self.changes if c.revision > after_revision]
-        return WatchBatch(tuple(c for c in news if c.key.startswith(prefix)), self.revision)
+            raise HistoryGoneError(f"no history before revision {oldest}")
+        changes = [c for c in self.changes if c.revision > after_revision]
+        return WatchBatch(tuple(c for c in changes if c.key.startswith(prefix)), self.revision)
 
     async def transact(self, expected, puts, removed=()):
         for condition in expected:
@@ -79,7 +84,7 @@
             if (item.revision if item else 0) != condition.revision:
                 raise ConditionFailedError(condition.key)
         if any(put.lease and put.lease not in self.leases for put in puts):
-            raise LeaseGoneError("no lease")
+            raise LeaseGoneError("a lease of the transaction does not exist")
         self.revision += 0 if self.revision_per_item else 1
         for put in puts:
             self.revision += self.revision_per_item
@@ -90,7 +95,7 @@
             self.changes.append(RemovedItem(key, self.revision))
         if self.answers_to_lose:
             self.answers_to_lose -= 1
-            raise StoreAnswerLostError("lost")
+            raise StoreAnswerLostError("the answer was lost")
         return self.revision
 
     async def grant_lease(self, seconds):
@@ -100,12 +105,12 @@
 
     async def renew_lease(self, lease):
         if lease not in self.leases:
-            raise LeaseGoneError("over")
+            raise LeaseGoneError(f"lease {lease} does not exist")
         seconds = self.leases[lease][1]
         self.leases[lease] = (self.now + seconds, seconds)
         self.renewals += 1
         if self.should_lose_renewal(self.renewals, self.now):
-            raise StoreAnswerLostError("lost")
+            raise StoreAnswerLostError("the answer was lost")
 
     async def revoke_lease(self, lease):
         self.drop_lease(lease)
--- a/features/gateway_support.py
+++ b/features/gateway_support.py
@@ -1,4 +1,4 @@
-"""Records and requests that the gateway's step modules build."""
+"""Factories of records, requests and quarantines for the gateway's step modules."""
 
 from liftrill.gateway.decision_log import DecisionLog
 from liftrill.gateway.gateway_metrics import GatewayMetrics
@@ -58,8 +58,8 @@
     )
 
 
-class NoKeeper(QuarantineStorage):
-    """Keeps nothing."""
+class NullQuarantineStorage(QuarantineStorage):
+    """Stores nothing."""
 
     def save(self, entry, at_once):
         pass
@@ -68,8 +68,8 @@
         pass
 
 
-class NoPeers(QuarantinePeers):
-    """Tells nobody."""
+class NullQuarantinePeers(QuarantinePeers):
+    """Sends nothing."""
 
     def send_lost_runs(self, runs):
         pass
@@ -81,12 +81,12 @@
         pass
 
 
-def new_quarantine(engines, peers=None, keeper=None):
-    """Return the quarantine of a node, which tells nobody and keeps nothing unless it is to."""
+def new_quarantine(engines, peers=None, storage=None):
+    """Return a node's quarantine, which sends and stores nothing by default."""
     return Quarantine(
         engines,
         DecisionLog("node-1"),
         GatewayMetrics(),
-        peers or NoPeers(),
-        keeper or NoKeeper(),
+        peers or NullQuarantinePeers(),
+        storage or NullQuarantineStorage(),
     )
--- a/features/steps/gateway_admission_steps.py
+++ b/features/steps/gateway_admission_steps.py
@@ -1,4 +1,4 @@
-"""Steps about routes, keys, currency and the budget of repeats."""
+"""Steps on routes, API keys, configuration freshness and the retry allowance."""
 
 from behave import given, then, when
 
@@ -70,8 +70,8 @@
     context.adopted = [version for version in (3, 7, 5, 9) if view.adopt(configuration(version))]
 
 
-@then("versions 3, 7 and 9 were put in force")
-def step_in_force(context):
+@then("versions 3, 7 and 9 were adopted")
+def step_adopted(context):
     assert context.adopted == [3, 7, 9]
 
 
@@ -88,25 +88,25 @@
     context.view = ConfigurationView(PROOF_SECONDS)
 
 
-@given("the store proved it when asked at second {second:g}")
+@given("a store read sent at second {second:g} proved it to be the newest")
 def step_proved(context, second):
     context.view.prove_current(5, second)
 
 
-@given("an answer of the store naming another version, asked at second {second:g}")
+@given("a store read sent at second {second:g} that returned another version")
 def step_other_version(context, second):
     context.view.prove_current(6, second)
 
 
-def admit(context, key, now, path="/a/x", wait=None):
+def admit(context, key, now, path="/a/x", timeout=None):
     incoming = IncomingRequest(
-        "request-1", "POST", "host-1", path, path, (), b"", key, wait, None, None, now
+        "request-1", "POST", "host-1", path, path, (), b"", key, timeout, None, None, now
     )
     return RequestAdmission(context.view, WeightedSplit()).admit(incoming, now)
 
 
-@then('at second {second:g} the key "{key}" is served as "{name}"')
-def step_served(context, second, key, name):
+@then('at second {second:g} the key "{key}" is accepted for tenant "{name}"')
+def step_accepted(context, second, key, name):
     admitted = admit(context, key, second)
     assert not isinstance(admitted, AdmissionRefusal), admitted
     assert admitted.tenant == name
@@ -125,29 +125,33 @@
 
 
 @then(
-    'a request with the key "{key}" and {wait:g} s to wait has priority {priority:d} and {left:g} s'
+    'a request with the key "{key}" and a timeout of {timeout:g} s'
+    " has priority {priority:d} and a deadline in {left:g} s"
 )
-def step_priority(context, key, wait, priority, left):
-    admitted = admit(context, key, 101.0, wait=wait)
+def step_priority(context, key, timeout, priority, left):
+    admitted = admit(context, key, 101.0, timeout=timeout)
     assert admitted.priority == priority
     assert abs(admitted.deadline - 101.0 - left) < 1e-6
 
 
-@given("{nodes:d} nodes share a budget of {ratio:g} of requests and {slack:d} in {window:d} s")
-def step_budget(context, nodes, ratio, slack, window):
+@given(
+    "{nodes:d} nodes share a retry allowance of {ratio:g} of requests"
+    " plus {slack:d} in {window:d} s"
+)
+def step_allowance(context, nodes, ratio, slack, window):
     context.make_allowance = lambda since: RetryAllowance(
         ratio, slack, float(window), slack_from=since, nodes=nodes
     )
     context.allowances = [context.make_allowance(0.0) for _ in range(nodes)]
-    context.repeats = 0
+    context.retries = 0
 
 
 def spend_all(context, allowance, now):
     while allowance.try_spend("service-1", now):
-        context.repeats += 1
+        context.retries += 1
 
 
-@when("each node has {count:d} requests in {window:d} s and repeats whenever it may")
+@when("each node gets {count:d} requests in {window:d} s and retries whenever it may")
 def step_requests(context, count, window):
     for number in range(count):
         now = window * number / count
@@ -156,7 +160,7 @@
             spend_all(context, allowance, now)
 
 
-@when("one of them restarts {count:d} times within {window:d} s and repeats whenever it may")
+@when("one of them restarts {count:d} times within {window:d} s and retries whenever it may")
 def step_restarts(context, count, window):
     for number in range(count):
         now = 9.0 + number * 0.3
@@ -165,6 +169,6 @@
         spend_all(context, allowance, now)
 
 
-@then("all repeats together are at most {limit:d}")
-def step_repeats(context, limit):
-    assert 0 < context.repeats <= limit, context.repeats
+@then("all nodes together made at most {limit:d} retries")
+def step_retries(context, limit):
+    assert 0 < context.retries <= limit, context.retries
--- a/features/steps/gateway_connections_steps.py
+++ b/features/steps/gateway_connections_steps.py
@@ -1,4 +1,4 @@
-"""Steps on connections to engines, over loopback."""
+"""Steps on the reuse of connections to engines, over loopback."""
 
 import asyncio
 
@@ -8,28 +8,28 @@
 
 
 class Engine:
-    """Answers every request, and counts connections."""
+    """An HTTP engine that answers every request and counts its connections."""
 
-    def __init__(self, says):
-        self.says = says
+    def __init__(self, header):
+        self.header = header
         self.connections = 0
 
     async def serve(self, reader, writer):
         self.connections += 1
-        header = f"Keep-Alive: {self.says}\r\n" if self.says else ""
+        line = f"Keep-Alive: {self.header}\r\n" if self.header else ""
         try:
             while await reader.readuntil(b"\r\n\r\n"):
-                writer.write(f"HTTP/1.1 200 OK\r\n{header}Content-Length: 2\r\n\r\nok".encode())
+                writer.write(f"HTTP/1.1 200 OK\r\n{line}Content-Length: 2\r\n\r\nok".encode())
                 await writer.drain()
         except (asyncio.IncompleteReadError, ConnectionError):
             writer.close()
 
 
-@given('an engine that says "{says}" of its connections')
-@given('an engine that says "" of its connections')
-def step_engine(context, says=""):
+@given('an engine whose Keep-Alive header is "{header}"')
+@given('an engine whose Keep-Alive header is ""')
+def step_engine(context, header=""):
     async def start():
-        context.engine = Engine(says)
+        context.engine = Engine(header)
         server = await asyncio.start_server(context.engine.serve, "127.0.0.1", 0)
         context.stack.callback(server.close)
         context.port = server.sockets[0].getsockname()[1]
@@ -37,8 +37,8 @@
     context.run(start())
 
 
-@when("two requests are sent to it, {pause:g} s apart")
-def step_two(context, pause):
+@when("two requests are sent to the engine, {pause:g} s apart")
+def step_two_requests(context, pause):
     async def send():
         async with new_engine_session() as session:
             for number in range(2):
@@ -49,12 +49,12 @@
     context.run(send())
 
 
-@then("it has seen {count:d} connections")
-def step_seen(context, count):
+@then("the engine has accepted {count:d} connections")
+def step_accepted_connections(context, count):
     assert context.engine.connections == count, context.engine.connections
 
 
-@then('a connection of which it says "{says}" is used again for {limit:g} s')
-@then('a connection of which it says "" is used again for {limit:g} s')
-def step_limit(context, limit, says=""):
-    assert idle_limit_s(says) == limit, idle_limit_s(says)
+@then('a connection with the Keep-Alive header "{header}" is reused after up to {limit:g} s idle')
+@then('a connection with the Keep-Alive header "" is reused after up to {limit:g} s idle')
+def step_limit(context, limit, header=""):
+    assert idle_limit_s(header) == limit, idle_limit_s(header)
--- a/features/steps/gateway_quota_steps.py
+++ b/features/steps/gateway_quota_steps.py
@@ -1,4 +1,4 @@
-"""Steps about what requests count under limits, and the size of the fleet that shares them."""
+"""Steps on the units charged to tenant limits, and on the size of the fleet that shares them."""
 
 import asyncio
 
@@ -15,30 +15,30 @@
 from liftrill.gateway.records import Quota
 
 
-@given("a limit in {unit}, with {plain:d} for a request without a prompt")
+@given("a limit in {unit} that charges {plain:d} for a request without a prompt")
 def step_limit(context, unit, plain):
     context.quota = Quota(QuotaLimit(1_000.0, 1_000.0), unit == "tokens", plain)
 
 
-@then("a request of 110 + 20 tokens counts {units:d}")
-def step_prompt_counts(context, units):
+@then("a request of 110 + 20 tokens is charged {units:d}")
+def step_prompt_charge(context, units):
     assert request_units(context.quota, opaque_request()) == units
 
 
-@then("a request without a prompt counts {units:d}")
-def step_plain_counts(context, units):
+@then("a request without a prompt is charged {units:d}")
+def step_plain_charge(context, units):
     assert request_units(context.quota, opaque_request(model=None)) == units
 
 
 class FleetNode:
-    """One node's record of the fleet's size, with a store that it reads at once."""
+    """One node's fleet record, with a mirror that reads the store after each step."""
 
-    def __init__(self, store, nodes, leads):
+    def __init__(self, store, nodes, is_leader):
         self.store = store
         self.fleet = FleetSize()
         self.mirror = StoreMirror()
         self.fence = 0
-        if leads:
+        if is_leader:
             store.put(LEADER_KEY, b"node")
             self.fence = store.items[LEADER_KEY].revision
         log = DecisionLog("node")
@@ -63,57 +63,57 @@
             self.now += 0.25
 
 
-@given("a node that leads a fleet of {nodes:d}")
+@given("the leader of a fleet of {nodes:d} nodes")
 def step_leader(context, nodes):
-    context.node = FleetNode(MemoryStore(), nodes, leads=True)
+    context.node = FleetNode(MemoryStore(), nodes, is_leader=True)
 
 
-@given("a node of a fleet of {nodes:d} that does not lead")
+@given("a node of a fleet of {nodes:d} nodes that is not the leader")
 def step_no_leader(context, nodes):
-    context.node = FleetNode(MemoryStore(), nodes, leads=False)
+    context.node = FleetNode(MemoryStore(), nodes, is_leader=False)
 
 
-@when("it has been so for {seconds:g} s")
-def step_for(context, seconds):
+@when("the fleet keeps its size for {seconds:g} s")
+def step_unchanged(context, seconds):
     context.node.run(seconds)
 
 
-@when("one node of it is lost for {seconds:g} s")
-def step_lost(context, seconds):
+@when("one of the fleet's nodes is missing for {seconds:g} s")
+def step_missing(context, seconds):
     context.node.run(seconds, nodes=context.node.nodes - 1)
 
 
-@when("only {nodes:d} of its nodes are left for {seconds:g} s, while other records change")
+@when("only {nodes:d} of its nodes are alive for {seconds:g} s, while other records change")
 def step_shrunk(context, nodes, seconds):
     context.node.run(seconds, nodes=nodes)
 
 
-@then("the node takes the fleet for {nodes:d}")
-def step_node_takes(context, nodes):
+@then("the node assumes a fleet of {nodes:d}")
+def step_node_size(context, nodes):
     assert context.node.fleet.nodes == nodes, context.node.fleet.nodes
 
 
-@then("a node that starts takes the fleet for {nodes:d} before it knows another")
-def step_takes(context, nodes):
-    context.newcomer = FleetNode(context.node.store, 1, leads=False)
-    context.newcomer.read()
-    assert context.newcomer.fleet.nodes == nodes, context.newcomer.fleet.nodes
+@then("a starting node assumes a fleet of {nodes:d} before it knows another member")
+def step_starting_node_size(context, nodes):
+    context.starting_node = FleetNode(context.node.store, 1, is_leader=False)
+    context.starting_node.read()
+    assert context.starting_node.fleet.nodes == nodes, context.starting_node.fleet.nodes
 
 
-@then("{early:g} s later it still does, and {late:g} s later it goes by those it knows")
-def step_shrinks(context, early, late):
-    fleet = context.newcomer.fleet
+@then("{early:g} s later it still does, and {late:g} s later it counts the members that it knows")
+def step_size_expires(context, early, late):
+    fleet = context.starting_node.fleet
     fleet.record_alive(3, early)
     assert fleet.nodes == context.node.nodes, fleet.nodes
     fleet.record_alive(3, late)
     assert fleet.nodes == 3, fleet.nodes
 
 
-@then("nothing is written")
+@then("the node wrote no fleet size")
 def step_nothing_written(context):
     assert context.node.writes == 0
 
 
-@then("it was written once")
+@then("the node wrote the fleet size once")
 def step_written_once(context):
     assert context.node.writes == 1, context.node.writes
--- a/features/steps/gateway_rules_steps.py
+++ b/features/steps/gateway_rules_steps.py
@@ -1,4 +1,4 @@
-"""Steps about the code's own rules, and about its logs."""
+"""Steps on the rules for the source code, and on the log."""
 
 import ast
 import json
@@ -20,7 +20,7 @@
 from liftrill.gateway.log_output import BoundedOutput
 
 ROOT = Path(__file__).resolve().parent.parent.parent
-# Names that only the platform uses; general words of HTTP and of the field are not among them.
+# Names specific to the platform; general terms of HTTP and of the field are not listed.
 PLATFORM_NAMES = (
     "X-Attempt-Id",
     "X-Deadline-Ms",
@@ -83,7 +83,7 @@
     "weight_targets",
 )
 IO_MODULES = {"asyncio", "aiohttp", "socket", "uvloop", "time"}
-ADAPTOR_MODULES = {"boot", "engines", "ingress", "interpreter", "names", "serve", "store"}
+ADAPTER_MODULES = {"boot", "engines", "ingress", "interpreter", "names", "serve", "store"}
 
 
 def imports_of(path):
@@ -98,7 +98,7 @@
     return [path for path in (ROOT / folder).rglob("*.py") if "_pb2" not in path.name]
 
 
-@then("no file of the product outside platform/ has a name of the platform's protocol")
+@then("no source file outside platform/ contains a name of the platform's protocol")
 def step_no_names(context):
     found = [
         (path.name, name)
@@ -118,13 +118,13 @@
 
 
 @then("no module of liftrill imports a module of platform/")
-def step_no_adaptor(context):
+def step_no_adapter(context):
     for path in sources("liftrill"):
-        found = set(imports_of(path)) & ADAPTOR_MODULES
+        found = set(imports_of(path)) & ADAPTER_MODULES
         assert not found, (path, found)
 
 
-@then("the gateway imports nothing of liftrill.node but the codec of membership")
+@then("the gateway imports nothing from liftrill.node but the membership codec")
 def step_gateway_layers(context):
     for path in sources("liftrill/gateway"):
         found = [m for m in imports_of(path) if m.startswith("liftrill.node")]
@@ -138,8 +138,8 @@
 
 
 def line(at, node, kind, **fields):
-    told = {"message_type": f"liftrill:{kind}", "timestamp": at, "node": node, **fields}
-    return f"  {at:.4f} {node} {json.dumps(told)}\n"
+    message = {"message_type": f"liftrill:{kind}", "timestamp": at, "node": node, **fields}
+    return f"  {at:.4f} {node} {json.dumps(message)}\n"
 
 
 @given("a log in which a request was refused by one engine and lost by another")
@@ -158,25 +158,27 @@
     context.lines = log_reader.read_lines(context.texts)
 
 
-@then("its story has both attempts, what was believed of the engines, and the cause")
-def step_story(context):
-    story = log_reader.explain(context.lines, "r1")
-    assert [row.split()[3] for row in story[:-1]] == [
+@then("its explanation has both attempts, the known state of the engines, and the cause")
+def step_explanation(context):
+    explanation = log_reader.explain(context.lines, "r1")
+    assert [row.split()[3] for row in explanation[:-1]] == [
         "engine",
         "attempt_failed",
         "retried",
         "attempt_failed",
         "request",
-    ], story
-    assert "overloaded, broken: reset" in story[-1] and "broke after" in story[-1], story[-1]
+    ], explanation
+    assert "overloaded, broken: reset" in explanation[-1] and "broke after" in explanation[-1], (
+        explanation[-1]
+    )
 
 
-@then("a request that no line tells of is said to be unknown")
+@then("a request without log lines is reported as unknown")
 def step_unknown(context):
     assert log_reader.explain(context.lines, "r9")[0].startswith("no log lines for r9")
 
 
-@then("the summary counts how requests ended and what was left out")
+@then("the summary counts request outcomes and omitted lines")
 def step_summary(context):
     rows = [row.split() for row in log_reader.summarize(context.lines)]
     assert ["1", "unknown", "ENGINE_LOST"] in rows
@@ -195,14 +197,14 @@
     )
 
 
-@then("its story has the limit in force at that node, and the cause")
-def step_limited_story(context):
-    story = log_reader.explain(context.lines, "r1")
-    assert [row.split()[2:4] for row in story[:-1]] == [
+@then("its explanation has the limit in force at that node, and the cause")
+def step_limited_explanation(context):
+    explanation = log_reader.explain(context.lines, "r1")
+    assert [row.split()[2:4] for row in explanation[:-1]] == [
         ["node-1", "quota_limited"],
         ["node-1", "refused"],
-    ], story
-    assert "used up its limit over all nodes" in story[-1], story[-1]
+    ], explanation
+    assert "used up its limit over all nodes" in explanation[-1], explanation[-1]
 
 
 @given("a log in which a stream's events came at 0.4, 0.5, 1.3 and 1.4 s")
@@ -219,34 +221,34 @@
 
 
 @then(
-    "its story tells of the first event after {first:d} ms"
-    " and of a pause of {pause:d} ms after event {number:d}"
+    "its explanation names the first event after {first:d} ms"
+    " and a pause of {pause:d} ms after event {number:d}"
 )
-def step_late_story(context, first, pause, number):
+def step_late_explanation(context, first, pause, number):
     cause = log_reader.explain(context.lines, "request-1")[-1]
     expected = f"first event after {first} ms, longest pause {pause} ms after event {number}"
     assert cause.endswith(expected), cause
 
 
-@given("a log that may write {count:d} ordinary lines a second")
-def step_bounded(context, count):
+@given("a log limited to {count:d} ordinary lines a second")
+def step_limited(context, count):
     context.messages = []
     eliot.add_destinations(context.messages.append)
-    # eliot hands its first destination what was logged before there was one.
+    # eliot passes messages that were logged earlier to its first destination.
     context.messages.clear()
     context.stack.callback(eliot.remove_destination, context.messages.append)
     context.log = DecisionLog("node-1", _ordinary=TokenBucket(count, 2.0 * count))
 
 
-def end_well(context):
+def end_successfully(context):
     machine = DeliveryMachine(opaque_request(), None)
     context.log.request_ended(machine, events.FinishStream())
 
 
-@when("{count:d} requests end well within one second")
-def step_end_well(context, count):
+@when("{count:d} requests succeed within one second")
+def step_succeed(context, count):
     for _ in range(count):
-        end_well(context)
+        end_successfully(context)
 
 
 @then("at most {count:d} lines were written")
@@ -254,15 +256,15 @@
     assert 0 < len(context.messages) <= count, len(context.messages)
 
 
-@then("a later line tells that the others were left out")
-def step_left_out(context):
+@then("a later line counts the omitted ones")
+def step_omitted(context):
     written = len(context.messages)
     time.sleep(0.4)
-    end_well(context)
+    end_successfully(context)
     assert context.messages[-1]["left_out"] == 100 - written, context.messages[-1]
 
 
-@given("an output whose reader stalls")
+@given("a log output whose reader has stalled")
 def step_stalled(context):
     reader, writer = os.pipe()
     context.stack.callback(os.close, reader)
@@ -272,19 +274,19 @@
 
 @when("{count:d} lines are written")
 def step_write(context, count):
-    began = time.monotonic()
+    started_at = time.monotonic()
     for _ in range(count):
         context.output.write(b"x" * 200 + b"\n")
-    context.took = time.monotonic() - began
+    context.duration_s = time.monotonic() - started_at
 
 
-@then("it took less than {seconds:g} s and the lines that were dropped are counted")
+@then("writing them took less than {seconds:g} s, and the dropped lines are counted")
 def step_dropped(context, seconds):
-    assert context.took < seconds, context.took
+    assert context.duration_s < seconds, context.duration_s
     assert context.output.dropped > 90_000, context.output.dropped
 
 
-@given("a log whose lines are read")
+@given("a log whose output is read")
 def step_read_log(context):
     reader, writer = os.pipe()
     context.stack.callback(os.close, reader)
@@ -294,8 +296,8 @@
     context.stack.callback(eliot.remove_destination, destination)
 
 
-@when("a request is refused whose id holds bytes that are no text, with a number of 70 bits")
-def step_odd_refusal(context):
+@when("a request whose id is not valid UTF-8 is refused, and its line gets a number of 70 bits")
+def step_refuse_odd_id(context):
     context.id = b"r-\xff".decode(errors="surrogateescape")
     DecisionLog("node-1").request_refused(context.id, "MALFORMED_REQUEST", number=2**70)
 
@@ -308,7 +310,7 @@
     assert {"timestamp", "task_uuid", "task_level"} < set(written), written
 
 
-@when("the program of the platform's machines is imported in a process of its own")
+@when("the platform's serve module is imported in a separate process")
 def step_import_program(context):
     code = "import serve, sys; print(*sys.modules)"
     ran = subprocess.run(
@@ -326,7 +328,7 @@
     assert len(context.imported) <= count, len(context.imported)
 
 
-@then('none of "{first}", "{second}" and "{third}" was')
+@then('none of "{first}", "{second}" and "{third}" was imported')
 def step_not_imported(context, **names):
     found = context.imported & set(names.values())
     assert not found, found
