--- a/features/steps/gateway_delivery_steps.py
+++ b/features/steps/gateway_delivery_steps.py
@@ -1,4 +1,4 @@
-"""Steps that replay events on a delivery machine."""
+"""Steps that feed events to a delivery machine."""
 
 import random
 
@@ -12,19 +12,19 @@
 
 ENGINES = ("engine-1", "engine-2", "engine-3", "engine-4")
 KINDS = {
-    "opaque request that may run at most once": (RequestKind.AT_MOST_ONCE, False),
-    "opaque request that may be repeated": (RequestKind.IDEMPOTENT, False),
+    "at-most-once request": (RequestKind.AT_MOST_ONCE, False),
+    "idempotent request": (RequestKind.IDEMPOTENT, False),
     "stream request": (RequestKind.STREAM, False),
     "resumable stream request": (RequestKind.STREAM, True),
 }
 
 
 class FakePorts(DeliveryPorts):
-    """Offers engines in order."""
+    """Offers the engines in order, with a limited number of retries."""
 
     def __init__(self):
         self.ready = True
-        self.repeats = 10
+        self.retries = 10
         self.backup = None
         self.next_backup = None
 
@@ -45,8 +45,8 @@
         )
 
     def try_spend_retry(self, request):
-        self.repeats -= 1
-        return self.repeats >= 0
+        self.retries -= 1
+        return self.retries >= 0
 
     def retry_after_seconds(self, request):
         return 0.5
@@ -57,12 +57,12 @@
     route = route_rule(kind=request_kind, resumable=resumable, attempts=int(attempts))
     context.ports = FakePorts()
     context.machine = DeliveryMachine(opaque_request(route=route), context.ports)
-    context.passed = []
+    context.instructions = []
 
 
 def feed(context, event):
     context.last = context.machine.handle(event)
-    context.passed.extend(context.last)
+    context.instructions.extend(context.last)
 
 
 def find(instructions, kind):
@@ -77,26 +77,26 @@
     begin(context, kind, attempts)
 
 
-@given('its engine sends a copy of the run to "{engine}"')
+@given('its engine sends a backup of the run to "{engine}"')
 def step_backup(context, engine):
     context.ports.backup = events.EngineAddress(engine, "backup address")
 
 
-@then('it goes on at "{engine}" with the copy, after event {number:d}')
-def step_goes_on(context, engine, number):
+@then('it continues at "{engine}" with the backup, after event {number:d}')
+def step_continues(context, engine, number):
     start = find(context.last, events.StartAttempt)[0]
     assert start.choice.engine_id == engine and start.choice.continues_at_backup, start
     assert start.resume_after == number
 
 
-@given('the copy\'s engine sends one to "{engine}" in turn')
+@given('the backup\'s engine sends a backup to "{engine}" in turn')
 def step_next_backup(context, engine):
     context.ports.next_backup = events.EngineAddress(engine, "next address")
 
 
-@given("no repeats are left")
-def step_no_repeats(context):
-    context.ports.repeats = 0
+@given("the retry allowance is used up")
+def step_no_retries(context):
+    context.ports.retries = 0
 
 
 @given("no engine is ready")
@@ -109,7 +109,7 @@
     feed(context, events.Started())
 
 
-@when("the engine turns it away as overloaded")
+@when("the engine refuses it as overloaded")
 def step_overloaded(context):
     feed(context, events.AttemptRefused(events.RefusalKind.OVERLOADED))
 
@@ -158,13 +158,13 @@
     assert starts[0].choice.engine_id not in earlier
 
 
-@then("it is sent to another engine to go on after event {number:d}")
+@then("it is sent to another engine to resume after event {number:d}")
 def step_sent_after(context, number):
     step_sent_again(context)
     assert find(context.last, events.StartAttempt)[0].resume_after == number
 
 
-@then("it is refused with a time to come back")
+@then("it is refused with a retry time")
 def step_refused(context):
     refusals = find(context.last, events.RefuseRequest)
     assert refusals and refusals[0].retry_after_seconds > 0, context.last
@@ -181,30 +181,30 @@
     assert len(context.machine.attempts) == count, context.machine.attempts
 
 
-@then("the caller gets the engine's answer with status {status:d}")
+@then("the caller gets the engine's response with status {status:d}")
 def step_answer(context, status):
     assert [a.response.status for a in find(context.last, events.SendResponse)] == [status]
 
 
-@then("the caller has events {first:d} to {last:d} and one head")
+@then("the caller got events {first:d} to {last:d} and one response head")
 def step_has_events(context, first, last):
-    numbers = [i.event.event_id for i in find(context.passed, events.SendEvent)]
+    numbers = [i.event.event_id for i in find(context.instructions, events.SendEvent)]
     assert numbers == list(range(first, last + 1)), numbers
-    assert len(find(context.passed, events.SendHead)) == 1
+    assert len(find(context.instructions, events.SendHead)) == 1
 
 
-@then("the answer ended complete")
+@then("the stream ended complete")
 def step_ended_complete(context):
     assert find(context.last, events.FinishStream), context.last
 
 
-@then("the answer ended broken off")
-def step_ended_broken(context):
+@then("the stream was aborted")
+def step_aborted(context):
     assert find(context.last, events.AbortStream), context.last
 
 
-@then("it is held for an engine")
-def step_waits(context):
+@then("it is queued for an engine")
+def step_queued(context):
     assert find(context.last, events.WaitForEngine), context.last
 
 
@@ -230,10 +230,10 @@
     source = random.Random(20261202)
     context.histories = []
     for kind in KINDS:
-        # Few histories of streams come as far as a copy.
+        # Few histories of streams reach a backup.
         for _ in range(5_000 if kind == "stream request" else 500):
             begin(context, kind, source.randrange(1, 4))
-            context.ports.repeats = source.randrange(0, 4)
+            context.ports.retries = source.randrange(0, 4)
             if source.random() < 0.5:
                 context.ports.backup = events.EngineAddress("engine-4", "address")
                 context.ports.next_backup = events.EngineAddress("engine-3", "address")
@@ -245,7 +245,7 @@
 
 
 def may_have_run(history):
-    """Whether an attempt of a history may have run, by what was heard of each."""
+    """Yield, by event, whether an earlier attempt may have run and the resulting instructions."""
     open_attempts = 0
     for event, instructions in history:
         if isinstance(event, events.AttemptRefused):
@@ -254,23 +254,23 @@
         open_attempts += len(find(instructions, events.StartAttempt))
 
 
-@then("none is sent again after it may have run unless that is allowed")
-def step_never_again(context):
+@then("none is retried after it may have run, unless that is allowed")
+def step_never_retried(context):
     for machine, history in context.histories:
-        for ran, instructions in may_have_run(history):
+        for may_have_started, instructions in may_have_run(history):
             starts = find(instructions, events.StartAttempt)
-            # Going on with the copy of a run is the same run; see the next step.
-            again = [start for start in starts if not start.choice.continues_at_backup]
-            assert not (again and ran and not machine.request.may_run_again), history
+            # A continuation at a backup belongs to the same run; the next step checks these.
+            retries = [start for start in starts if not start.choice.continues_at_backup]
+            assert not (retries and may_have_started and not machine.request.may_run_again), history
 
 
-@then("copies are gone on with three times at most, and only by a stream that has begun")
-def step_copy_once(context):
+@then("each continues at a backup three times at most, and only as a stream that has begun")
+def step_backup_limit(context):
     found = 0
     for machine, history in context.histories:
-        copies = [c for c in machine.attempts if c.continues_at_backup]
-        found += len(copies)
-        assert len(copies) <= 3 and not (copies and machine.request.may_run_again), history
+        continued = [c for c in machine.attempts if c.continues_at_backup]
+        found += len(continued)
+        assert len(continued) <= 3 and not (continued and machine.request.may_run_again), history
         for number, (_, instructions) in enumerate(history):
             starts = find(instructions, events.StartAttempt)
             if any(start.choice.continues_at_backup for start in starts):
@@ -279,14 +279,14 @@
     assert found > 5, found
 
 
-@then("none is called not run while an attempt may have run")
-def step_never_not_run(context):
+@then("none is refused while an attempt may have run")
+def step_never_refused(context):
     for _, history in context.histories:
-        for ran, instructions in may_have_run(history):
-            assert not (ran and find(instructions, events.RefuseRequest)), history
+        for may_have_started, instructions in may_have_run(history):
+            assert not (may_have_started and find(instructions, events.RefuseRequest)), history
 
 
-# Refusals without a byte that reached an engine.
+# Refusals of attempts of which no byte reached an engine.
 NOT_SENT = (events.RefusalKind.UNREACHABLE, events.RefusalKind.WITHDRAWN)
 
 
@@ -296,8 +296,8 @@
         unreached = sum(
             isinstance(e, events.AttemptRefused) and e.kind in NOT_SENT for e, _ in history
         )
-        copies = sum(choice.continues_at_backup for choice in machine.attempts)
-        sent = len(machine.attempts) - unreached - copies
+        continuations = sum(choice.continues_at_backup for choice in machine.attempts)
+        sent = len(machine.attempts) - unreached - continuations
         assert sent <= machine.request.route.maximum_attempts, history
 
 
--- a/features/steps/gateway_load_steps.py
+++ b/features/steps/gateway_load_steps.py
@@ -1,4 +1,4 @@
-"""Steps on the exchange of loads between nodes."""
+"""Steps on the exchange of load reports between nodes."""
 
 from dataclasses import replace
 
@@ -26,7 +26,7 @@
 @given('an engine table with engine "{name}"')
 def step_table(context, name):
     context.engines = EngineTable()
-    context.board = LoadTable(context.engines)
+    context.load_table = LoadTable(context.engines)
     add_engine(context, name)
 
 
@@ -35,25 +35,25 @@
     add_engine(context, name)
 
 
-@when('a peer tells of {first:d} requests on "{one}" and {second:d} on "{other}"')
-@when('the peer tells of {first:d} requests on "{one}" and {second:d} on "{other}"')
-def step_word(context, first, one, second, other):
-    context.board.update("peer", {one: load(first), other: load(second)}, 0.0)
+@when('a peer reports {first:d} requests on "{one}" and {second:d} on "{other}"')
+@when('the peer reports {first:d} requests on "{one}" and {second:d} on "{other}"')
+def step_report(context, first, one, second, other):
+    context.load_table.update("peer", {one: load(first), other: load(second)}, 0.0)
 
 
-@when('a peer of zone "{zone}" tells of {count:d} requests on "{name}"')
-def step_zone_word(context, zone, count, name):
-    context.board.update("peer", {name: load(count)}, 0.0, zone)
+@when('a peer of zone "{zone}" reports {count:d} requests on "{name}"')
+def step_zone_report(context, zone, count, name):
+    context.load_table.update("peer", {name: load(count)}, 0.0, zone)
 
 
-@when('zone "{zone}" is told to have {count:d} requests on "{name}"')
+@when('zone "{zone}" is reported to have {count:d} requests on "{name}"')
 def step_sum(context, zone, count, name):
-    context.board.update_zone(zone, {name: load(count)}, 0.0)
+    context.load_table.update_zone(zone, {name: load(count)}, 0.0)
 
 
-@when("{seconds:g} s pass without a word")
+@when("{seconds:g} s pass without a report")
 def step_pass(context, seconds):
-    context.board.expire(seconds)
+    context.load_table.expire(seconds)
 
 
 @then('the peers have {first:d} requests on "{one}" and {second:d} on "{other}"')
@@ -67,14 +67,14 @@
     assert context.engines.get(name).peer_load == load(count), context.engines.get(name)
 
 
-@when('a peer tells at {now:g} s that "{name}" is given {tokens:d} tokens to read')
-def step_reading_told(context, now, name, tokens):
-    context.board.add_peer_prefill(context.engines.get(name).number, tokens, now)
+@when('a peer announces at {now:g} s that a prefill of {tokens:d} tokens starts at "{name}"')
+def step_prefill_announced(context, now, tokens, name):
+    context.load_table.add_peer_prefill(context.engines.get(name).number, tokens, now)
 
 
-@when("a peer's word without that reading comes")
-def step_word_without(context):
-    context.board.update("peer", {"e1": EngineLoad(1, 0, 6_100)}, 0.2)
+@when("a peer's report without that prefill arrives")
+def step_report_without_prefill(context):
+    context.load_table.update("peer", {"e1": EngineLoad(1, 0, 6_100)}, 0.2)
 
 
 @then('{tokens:d} tokens of peers wait at "{name}"')
@@ -82,22 +82,22 @@
     assert context.engines.get(name).peer_load.waiting_tokens == tokens
 
 
-@when('this node sends a prompt of {tokens:d} tokens to "{name}" at {now:g} s, and tells of it')
-def step_own_reading(context, tokens, name, now):
+@when('this node sends a prompt of {tokens:d} tokens to "{name}" at {now:g} s, and announces it')
+def step_own_prefill(context, tokens, name, now):
     view = context.engines.get(name)
     view.own_load.add(EngineLoad(1, tokens, tokens + 20))
-    context.board.add_own_prefill(view, tokens, now)
+    context.load_table.add_own_prefill(view, tokens, now)
 
 
-@then("its word at {now:g} s tells of {count:d} request and {tokens:d} waiting tokens there")
-def step_own_word(context, now, count, tokens):
-    context.board.expire_prefills(now)
-    told = context.board.own_loads()["e1"]
-    assert (told.requests, told.waiting_tokens) == (count, tokens), told
+@then("its report at {now:g} s has {count:d} request and {tokens:d} waiting tokens there")
+def step_own_report(context, now, count, tokens):
+    context.load_table.expire_prefills(now)
+    reported = context.load_table.own_loads()["e1"]
+    assert (reported.requests, reported.waiting_tokens) == (count, tokens), reported
 
 
 class FakeNode:
-    """One node's board, as a gateway uses it."""
+    """One node's load table and prefix directory, as a gateway uses them."""
 
     def __init__(self, number, zones, engines):
         zone = f"zone-{number % zones}"
@@ -105,15 +105,15 @@
         table = EngineTable()
         for name in engines:
             table.update(engine_record(name)).own_load.add(load(1))
-        self.board = LoadTable(table)
+        self.load_table = LoadTable(table)
         self.directory = PrefixDirectory()
 
-    def take(self, report, members, now):
+    def apply(self, report, members, now):
         self.directory.apply_updates(report.kept, now, report.zone == self.own.zone)
         if report.scope is LoadScope.NODE:
-            self.board.update(report.node, report.loads, now, report.zone)
+            self.load_table.update(report.node, report.loads, now, report.zone)
             return []
-        self.board.update_zone(report.zone, report.loads, now)
+        self.load_table.update_zone(report.zone, report.loads, now)
         return topology_for(members).relayed_reports(self.own, report, members)
 
 
@@ -123,45 +123,47 @@
     context.nodes = {f"node-{n}": FakeNode(n, zones, names) for n in range(count)}
 
 
-def send(context, sender, words, now):
+def send(context, sender, messages, now):
     members = [node.own for node in context.nodes.values()]
-    for word in words:
-        for member in word.members:
+    for message in messages:
+        for member in message.members:
             across = context.nodes[sender].own.zone != member.zone
-            report = deliver(context, sender, replace(word.report, quota=context.quota), across)
-            further = context.nodes[member.node_id].take(report, members, now)
-            passed_on = sum(len(word.members) for word in further)
-            context.most_passed_on = max(context.most_passed_on, passed_on)
-            send(context, member.node_id, further, now)
+            report = deliver(context, sender, replace(message.report, quota=context.quota), across)
+            relayed = context.nodes[member.node_id].apply(report, members, now)
+            receivers = sum(len(message.members) for message in relayed)
+            context.most_relayed = max(context.most_relayed, receivers)
+            send(context, member.node_id, relayed, now)
 
 
 def deliver(context, sender, report, across):
-    """Return what a report is after its way through datagrams."""
-    assembler, found = ReportAssembler(), None
+    """Return a report as its receiver assembles it from datagrams."""
+    assembler, received = ReportAssembler(), None
     for datagram in datagrams_from_report(report, 1):
         data = datagram.SerializeToString()
-        context.longest = max(context.longest, len(data))
+        context.longest_datagram = max(context.longest_datagram, len(data))
         context.sent[sender] = context.sent.get(sender, 0) + 1
         context.across += across
-        found = assembler.add(peer_pb2.Datagram.FromString(data))
-    assert found is not None
-    return found
+        received = assembler.add(peer_pb2.Datagram.FromString(data))
+    assert received is not None
+    return received
 
 
-@when("they tell each other of their load {rounds:d} times")
+@when("they exchange load reports {rounds:d} times")
 def step_rounds(context, rounds):
     members = [node.own for node in context.nodes.values()]
     topology = topology_for(members)
     for number in range(rounds):
-        context.sent, context.across, context.longest = {}, 0, 0
-        context.most_passed_on = 0
+        context.sent, context.across, context.longest_datagram = {}, 0, 0
+        context.most_relayed = 0
         context.quota = getattr(context, "quota", None)
         for name, node in context.nodes.items():
             now = number * 0.1
             send(
                 context,
                 name,
-                topology.own_reports(node.own, node.board, node.directory.updates(now), members),
+                topology.own_reports(
+                    node.own, node.load_table, node.directory.updates(now), members
+                ),
                 now,
             )
 
@@ -169,19 +171,19 @@
 @then("every node counts {count:d} requests on each engine")
 def step_whole(context, count):
     for name, node in context.nodes.items():
-        counted = [view.requests for view in node.board.engines]
+        counted = [view.requests for view in node.load_table.engines]
         assert counted == [count] * len(counted), (name, counted)
 
 
-@given("one of them has sent a shared part to the kept store")
+@given("one of them has saved a shared part in the prefix store")
 def step_saved(context):
     context.part = part_number("salt", "part")
     first = next(iter(context.nodes.values()))
     first.directory.record_read(context.part, 7, 0.0, saved=True, announce=True)
 
 
-@then("every node knows that the part is kept, and forgets it after {seconds:g} s")
-def step_kept(context, seconds):
+@then("every node knows that the part is saved, and forgets it after {seconds:g} s")
+def step_saved_known(context, seconds):
     for name, node in context.nodes.items():
         assert node.directory.is_saved(context.part, 0.2), name
         assert node.directory.holder(context.part, 0.2) == 7, name
@@ -189,8 +191,8 @@
 
 
 @given(
-    "one of them has sent {count:d} shared parts to the kept store,"
-    " and {tenants:d} tenants spend there"
+    "one of them has saved {count:d} shared parts in the prefix store,"
+    " and {tenants:d} tenants use quota there"
 )
 def step_saved_many(context, count, tenants):
     first = next(iter(context.nodes.values()))
@@ -201,21 +203,21 @@
     context.quota = QuotaReport(1, spent)
 
 
-@then("every node knows of {count:d} kept parts")
+@then("every node knows of {count:d} saved parts")
 def step_knows_parts(context, count):
     for name, node in context.nodes.items():
         known = sum(node.directory.is_saved(part, 0.2) for part in context.parts)
         assert known == count, (name, known)
 
 
-@then("no node passes one report on to more than {most:d} others")
-def step_passed_on(context, most):
-    assert 0 < context.most_passed_on <= most, context.most_passed_on
+@then("no node relays one report to more than {most:d} others")
+def step_relayed(context, most):
+    assert 0 < context.most_relayed <= most, context.most_relayed
 
 
 @then("no datagram has more than {most:d} bytes")
-def step_longest(context, most):
-    assert 0 < context.longest <= most, context.longest
+def step_longest_datagram(context, most):
+    assert 0 < context.longest_datagram <= most, context.longest_datagram
 
 
 @given("a report on {engines:d} engines in several datagrams")
@@ -225,28 +227,28 @@
     context.assembler = ReportAssembler()
 
 
-@when("one of them is lost")
-def step_piece_lost(context):
+@when("one of its datagrams is lost")
+def step_datagram_lost(context):
     datagrams = datagrams_from_report(context.report, 1)
     assert len(datagrams) > 2
-    context.taken = [context.assembler.add(d) for d in datagrams[1:]]
+    context.received = [context.assembler.add(d) for d in datagrams[1:]]
 
 
-@then("nothing is taken from the others")
-def step_nothing_taken(context):
-    assert context.taken == [None] * len(context.taken), context.taken
+@then("the others result in no report")
+def step_no_report(context):
+    assert context.received == [None] * len(context.received), context.received
 
 
-@then("the whole of the next report is taken, whatever the order of its datagrams")
-def step_next_taken(context):
+@then("the next report is received whole, whatever the order of its datagrams")
+def step_next_received(context):
     datagrams = datagrams_from_report(context.report, 2)
-    taken = [context.assembler.add(d) for d in reversed(datagrams)]
-    assert taken[:-1] == [None] * (len(taken) - 1)
-    assert taken[-1].loads == context.report.loads
+    received = [context.assembler.add(d) for d in reversed(datagrams)]
+    assert received[:-1] == [None] * (len(received) - 1)
+    assert received[-1].loads == context.report.loads
 
 
-@then("nobody tells of it any more after {seconds:g} s")
-def step_no_news(context, seconds):
+@then("no node reports it any more after {seconds:g} s")
+def step_not_reported(context, seconds):
     for name, node in context.nodes.items():
         assert node.directory.updates(seconds + 0.2).zone == (), name
 
@@ -262,7 +264,7 @@
 
 
 @then(
-    "the interval of a node's words is {short:g} s in a zone of {few:d}"
+    "the interval between a node's reports is {short:g} s in a zone of {few:d}"
     " and {long:g} s in one of {many:d}"
 )
 def step_interval(context, short, few, long, many):
@@ -297,6 +299,6 @@
 
 
 @then("it is still known {seconds:g} s later")
-def step_still_used(context, seconds):
+def step_still_known(context, seconds):
     assert context.known_engines.expire_vanished(10.0 + seconds) == []
     assert context.known_engines.get("engine-1") is not None
