--- a/features/gateway_delivery.feature
+++ b/features/gateway_delivery.feature
@@ -3,9 +3,9 @@
   Scenario: A request that one engine refuses goes to another, and is then refused with a retry time
     Given an at-most-once request, with 2 attempts
     When it starts
-    And the engine refuses it as overloaded
+    And the engine refuses the request as overloaded
     Then it is sent to another engine
-    When the engine refuses it as overloaded
+    When the engine refuses the request as overloaded
     Then it is refused with a retry time
 
   Scenario: An at-most-once request is not retried after a broken connection, and its outcome is unknown
@@ -41,7 +41,7 @@
   Scenario: The route limits the number of attempts
     Given an at-most-once request, with 1 attempt
     When it starts
-    And the engine refuses it as overloaded
+    And the engine refuses the request as overloaded
     Then it is refused with a retry time
     And it was sent 1 time
 
@@ -56,7 +56,7 @@
     Given an idempotent request, with 2 attempts
     And the retry allowance is used up
     When it starts
-    And the engine refuses it as overloaded
+    And the engine refuses the request as overloaded
     Then it is refused with a retry time
     And it was sent 1 time
 
@@ -124,10 +124,10 @@
     And it was sent 2 times
 
     Examples:
-      | what                                   |
-      | the engine refuses it as overloaded    |
-      | the connection to the engine breaks    |
-      | the engine cannot be reached           |
+      | what                                         |
+      | the engine refuses the request as overloaded |
+      | the connection to the engine breaks          |
+      | the engine cannot be reached                 |
 
   Scenario: A run without an event is not continued at its backup
     Given a stream request, with 2 attempts
--- a/features/steps/gateway_delivery_steps.py
+++ b/features/steps/gateway_delivery_steps.py
@@ -109,7 +109,7 @@
     feed(context, events.Started())
 
 
-@when("the engine refuses it as overloaded")
+@when("the engine refuses the request as overloaded")
 def step_overloaded(context):
     feed(context, events.AttemptRefused(events.RefusalKind.OVERLOADED))
 
--- a/features/steps/gateway_forwarding_steps.py
+++ b/features/steps/gateway_forwarding_steps.py
@@ -47,7 +47,7 @@
 
 
 class LiveEngineTransport(EngineTransport):
-    """Engines that never end."""
+    """A transport to engines that never end."""
 
     async def has_ended(self, address):
         return False
@@ -62,7 +62,7 @@
 
 
 class RecordingSink(ResponseSink):
-    """Keeps what a caller would receive."""
+    """Records what a caller would receive."""
 
     def __init__(self):
         self.data = b""
@@ -111,7 +111,7 @@
     closed_at = None
 
     def before_wait(self):
-        """Do what a scenario wants done as a read begins."""
+        """Run the action of a scenario as a read begins."""
 
     async def open(self):
         return [events.StreamOpened(200, ())]
@@ -126,13 +126,13 @@
 
 class IdleTransport(LiveEngineTransport):
     def __init__(self):
-        self.made = IdleAttempt()
+        self.last_attempt = IdleAttempt()
 
     def attempt(self, request, start):
-        return self.made
+        return self.last_attempt
 
 
-@given("an engine that begins nothing, whose weights go out of use in {seconds:g} s")
+@given("an engine that begins nothing, on a version that must begin requests within {seconds:g} s")
 def step_idle_engine(context, seconds):
     context.transport = IdleTransport()
     context.targets = WeightTargets(8.0, 8.0)
@@ -143,7 +143,7 @@
 
 @then("the attempt was closed within {seconds:g} s")
 def step_closed(context, seconds):
-    closed_at = context.transport.made.closed_at
+    closed_at = context.transport.last_attempt.closed_at
     assert closed_at is not None and closed_at - context.started_at < seconds
 
 
@@ -159,7 +159,7 @@
 
 
 class VersionedTransport(LiveEngineTransport):
-    """Engines on version 1 that begin nothing, and on newer ones that answer.
+    """Engines that begin nothing on version 1, and that answer on newer versions.
 
     Attributes:
         attempts: every attempt with its engine's version, in order.
@@ -171,9 +171,9 @@
 
     def attempt(self, request, start):
         version = start.choice.weight_version
-        made = IdleAttempt() if version == 1 else ScriptedAttempt(self._pieces)
-        self.attempts.append((version, made))
-        return made
+        attempt = IdleAttempt() if version == 1 else ScriptedAttempt(self._pieces)
+        self.attempts.append((version, attempt))
+        return attempt
 
 
 @given("a {kind} request at an engine on version 1 that opens the stream and begins nothing")
@@ -181,54 +181,57 @@
     context.transport = VersionedTransport([b"id: 1\ndata: a\n\n"])
     context.route = route_rule(resumable=kind == "resumable")
     context.engines = engine_on_version_1()
-    context.happenings = []
+    context.scheduled_actions = []
 
 
-@given("version 2 is named {seconds:g} s after it was sent, and an engine has it")
+@given("version 2 is published {seconds:g} s after the request was sent, and an engine has it")
 @given(
-    "version 2 is named {seconds:g} s after it was sent, "
+    "version 2 is published {seconds:g} s after the request was sent, "
     "and an engine with {tokens:d} waiting tokens has it"
 )
-def step_named_while_waiting(context, seconds, tokens=0):
-    def name():
+def step_published_while_waiting(context, seconds, tokens=0):
+    def publish():
         view = context.engines.update(engine_record("engine-2", weights={"model": 2}))
         view.own_load.waiting_tokens = tokens
         context.targets.add(WeightTarget("model", 2, 1), time.monotonic())
 
-    context.happenings.append((seconds, name))
+    context.scheduled_actions.append((seconds, publish))
 
 
 @given(
-    "version 2, which was named {earlier:g} s earlier, is heard of {seconds:g} s after it was sent"
+    "version 2, published {earlier:g} s earlier, "
+    "becomes known {seconds:g} s after the request was sent"
 )
-def step_heard_late(context, earlier, seconds):
-    def name():
+def step_known_late(context, earlier, seconds):
+    def publish():
         context.targets.add(WeightTarget("model", 2, 1), time.monotonic() - earlier)
 
-    context.happenings.append((seconds, name))
+    context.scheduled_actions.append((seconds, publish))
 
 
-@given("version 3 is named in the moment in which its attempt is given up")
-def step_named_while_given_up(context):
-    def name():
+@given("version 3 is published at the moment at which the wait ends")
+def step_published_as_wait_ends(context):
+    def publish():
         try:
             context.targets.add(WeightTarget("model", 3, 2), time.monotonic())
         except RuntimeError as error:
             context.error = error
 
     context.error = None
-    # What a read asks the loop to do comes right after the timer of a wait that is over.
-    context.transport.made.before_wait = lambda: asyncio.get_running_loop().call_soon(name)
+    # A callback that the read schedules runs right after the expired timer of the wait.
+    context.transport.last_attempt.before_wait = lambda: asyncio.get_running_loop().call_soon(
+        publish
+    )
 
 
-@then("version 3 was taken in without an error")
-def step_taken_in(context):
+@then("version 3 was added without an error")
+def step_added(context):
     assert context.targets.newest("model") == 3
     assert context.error is None, repr(context.error)
 
 
 class FailingAttempt(EngineAttempt):
-    """An engine that waits, and then tells of a failure."""
+    """An engine that waits and then fails."""
 
     def __init__(self, opening, failure, pause_s):
         self._opening = list(opening)
@@ -249,21 +252,21 @@
 
 
 class FailingTransport(VersionedTransport):
-    """The first attempt fails; engines answer all others."""
+    """Engines of which the first fails its attempt, and all others answer."""
 
     def __init__(self, pieces, failing):
         super().__init__(pieces)
         self._failing = failing
 
     def attempt(self, request, start):
-        made = ScriptedAttempt(self._pieces) if self.attempts else self._failing
-        self.attempts.append((start.choice.weight_version, made))
-        return made
+        attempt = ScriptedAttempt(self._pieces) if self.attempts else self._failing
+        self.attempts.append((start.choice.weight_version, attempt))
+        return attempt
 
 
 FIRST_EVENT = events.EventReceived(StreamEvent(1, b"id: 1\ndata: a\n\n"))
 OPENING_AND_FAILURE = {
-    "turns it away as overloaded": (
+    "refuses it as overloaded": (
         [],
         events.AttemptRefused(events.RefusalKind.OVERLOADED),
     ),
@@ -282,7 +285,7 @@
     context.route = route_rule(resumable=True)
     context.engines = engine_on_version_1()
     context.engines.update(engine_record("engine-3", weights={"model": 1}))
-    context.happenings = []
+    context.scheduled_actions = []
 
 
 @then("it was sent to engines on versions {one:d} and {two:d}")
@@ -306,11 +309,11 @@
 
 class SlowTransport(LiveEngineTransport):
     def __init__(self, pieces, pause_s):
-        self._made = SlowAttempt(pieces, pause_s)
+        self._attempt = SlowAttempt(pieces, pause_s)
 
     def attempt(self, request, start):
         assert start.choice.weight_version == 1, start.choice
-        return self._made
+        return self._attempt
 
 
 @given(
@@ -320,10 +323,10 @@
     pieces = [b"id: 1\ndata: a\n\n", b"id: 2\ndata: b\n\n"]
     context.transport = SlowTransport(pieces, seconds)
     context.engines = engine_on_version_1()
-    context.happenings = []
+    context.scheduled_actions = []
 
 
-@given("a run on version 1 that broke, and an engine that has its copy")
+@given("a broken run on version 1, and an engine that has its backup")
 def step_broken_run(context):
     context.engines = engine_on_version_1()
     view = context.engines.update(engine_record("engine-2", weights={"model": 1}))
@@ -333,33 +336,33 @@
     context.broken = events.EngineChoice("engine-1", "address", 1, "salt", backup=backup)
 
 
-@when("version 2 is named")
-def step_name_2(context):
+@when("version 2 is published")
+def step_publish_2(context):
     context.targets.add(WeightTarget("model", 2, 1), 100.0)
 
 
-@then("it goes on there, and nothing bounds when it does")
-def step_goes_on_unbounded(context):
+@then("it continues there, without a limit on its start")
+def step_continues_unlimited(context):
     choice = context.selector.continue_at_backup(opaque_request(), context.broken, 101.0)
     assert choice.engine_id == "engine-2" and choice.continues_at_backup, choice
     assert context.selector.begin_by(choice, opaque_request()) == math.inf
 
 
-@then("a request that was sent there to begin may do so for {seconds:g} s")
-def step_begins_bounded(context, seconds):
+@then("a new request sent there may begin for {seconds:g} s")
+def step_begins_limited(context, seconds):
     choice = events.EngineChoice("engine-2", "address", 1, "salt")
     assert context.selector.begin_by(choice, opaque_request()) == 100.0 + seconds
 
 
-@given("a request may begin on a version for {seconds:g} s after a newer one was named")
+@given("a request may begin on a version for {seconds:g} s after a newer one was published")
 def step_begin_time(context, seconds):
     context.targets = WeightTargets(seconds, seconds)
     context.started_at = time.monotonic()
 
 
 @given(
-    "a request may be sent to a version for {sent:g} s after a newer one was named, "
-    "and begin in {begin:g} s"
+    "a request may be sent to a version for {sent:g} s after a newer one was published, "
+    "and begin within {begin:g} s"
 )
 def step_send_time(context, sent, begin):
     context.targets = WeightTargets(sent, begin)
@@ -367,29 +370,31 @@
 
 @then("the attempt on version 1 was closed between {low:g} s and {high:g} s after it was sent")
 def step_closed_between(context, low, high):
-    version, made = context.transport.attempts[0]
+    version, attempt = context.transport.attempts[0]
     assert version == 1, version
-    assert made.closed_at is not None
-    assert low <= made.closed_at - context.started_at <= high, made.closed_at - context.started_at
+    assert attempt.closed_at is not None
+    assert low <= attempt.closed_at - context.started_at <= high, (
+        attempt.closed_at - context.started_at
+    )
 
 
-@then("the answer came whole from the engine on version 2")
-def step_from_other(context):
+@then("the complete answer came from the engine on version 2")
+def step_answer_on_version_2(context):
     assert [version for version, _ in context.transport.attempts] == [1, 2]
     assert context.sink.ending == "complete", context.sink.ending
     assert context.sink.data == b"id: 1\ndata: a\n\n", context.sink.data
 
 
-@given("its node's beliefs hold again after {seconds:g} s")
-def step_beliefs_later(context, seconds):
-    holds_at = time.monotonic() + seconds
-    context.beliefs_hold = lambda now: now >= holds_at
+@given("its node's state is current again after {seconds:g} s")
+def step_current_later(context, seconds):
+    current_at = time.monotonic() + seconds
+    context.state_is_current = lambda now: now >= current_at
     context.transport = RecordingTransport(context.pieces)
-    context.holds_at = holds_at
+    context.current_at = current_at
 
 
 class RecordingTransport(ScriptedTransport):
-    """Engines that answer; notes when each attempt was made."""
+    """Engines that answer; records when each attempt was made."""
 
     def __init__(self, pieces):
         super().__init__(pieces)
@@ -400,50 +405,50 @@
         return super().attempt(request, start)
 
 
-@then("it was sent after {seconds:g} s at the earliest")
+@then("it was sent no earlier than after {seconds:g} s")
 def step_sent_later(context, seconds):
     (sent_at,) = context.transport.sent_at
-    assert sent_at >= context.holds_at, (sent_at, context.holds_at)
+    assert sent_at >= context.current_at, (sent_at, context.current_at)
 
 
-@given("its node's beliefs do not hold")
-def step_beliefs_never(context):
+@given("its node's state is out of date")
+def step_out_of_date(context):
     context.ports = ForwardingPorts(context.selector, RetryAllowance(0.2, 20.0, 10.0, 0.0))
     context.ports.state_is_current = lambda now: False
 
 
-@then("it goes on nowhere")
-def step_goes_on_nowhere(context):
+@then("it continues there only once the state is current")
+def step_continues_when_current(context):
     assert context.ports.continue_at_backup(opaque_request(), context.broken) is None
     context.ports.state_is_current = lambda now: True
     assert context.ports.continue_at_backup(opaque_request(), context.broken) is not None
 
 
 @given(
-    "a process that beats every {interval:g} s until {stop:g} s, "
-    "stands still and beats again at {again:g} s"
+    "a process that ticks every {interval:g} s until {stop:g} s, "
+    "stalls and ticks again at {again:g} s"
 )
-def step_beats(context, interval, stop, again):
-    context.standstill = StallDetector(max_catch_up_s=2.0)
-    beats = [n * interval for n in range(round(stop / interval) + 1)]
-    assert not any(context.standstill.tick(now) for now in beats)
-    assert context.standstill.tick(again)
+def step_stall(context, interval, stop, again):
+    context.stall_detector = StallDetector(max_catch_up_s=2.0)
+    ticks = [n * interval for n in range(round(stop / interval) + 1)]
+    assert not any(context.stall_detector.tick(now) for now in ticks)
+    assert context.stall_detector.tick(again)
 
 
-@then("at {now:g} s, with all known until {known:g} s, what it believes is from before")
-def step_from_before(context, now, known):
-    assert not context.standstill.has_caught_up(now, known)
+@then("at {now:g} s, with updates until {known:g} s, its state is out of date")
+def step_not_caught_up(context, now, known):
+    assert not context.stall_detector.has_caught_up(now, known)
 
 
-@then("at {now:g} s, with all known until {known:g} s, it is not")
-@then("at {now:g} s, with all known until {known:g} s, it is used again")
-def step_used_again(context, now, known):
-    assert context.standstill.has_caught_up(now, known)
+@then("at {now:g} s, with updates until {known:g} s, its state is current")
+@then("at {now:g} s, with updates until {known:g} s, its state is used again")
+def step_caught_up(context, now, known):
+    assert context.stall_detector.has_caught_up(now, known)
 
 
 @given(
-    "an engine whose weights may begin requests for {seconds:g} s, "
-    "and {tokens:d} tokens that wait there"
+    "an engine whose version may begin requests for {seconds:g} s more, "
+    "with {tokens:d} waiting tokens"
 )
 def step_queue(context, seconds, tokens):
     context.engines = EngineTable()
@@ -461,21 +466,21 @@
 
 @then("no engine is ready for a request")
 def step_none_ready(context):
-    found = context.selector.choose(opaque_request(), frozenset(), 100.0)
-    assert found is Unavailable.NONE_READY, found
+    choice = context.selector.choose(opaque_request(), frozenset(), 100.0)
+    assert choice is Unavailable.NONE_READY, choice
 
 
 @then("the engine is ready for a request")
 def step_one_ready(context):
-    found = context.selector.choose(opaque_request(), frozenset(), 100.0)
-    assert isinstance(found, events.EngineChoice), found
+    choice = context.selector.choose(opaque_request(), frozenset(), 100.0)
+    assert isinstance(choice, events.EngineChoice), choice
 
 
 async def deliver(context, forwarder, request):
-    """Deliver a request while what is to happen meanwhile happens."""
+    """Deliver a request while the scheduled actions of the scenario run."""
     loop = asyncio.get_running_loop()
-    for after_s, happen in getattr(context, "happenings", []):
-        loop.call_later(after_s, happen)
+    for after_s, action in getattr(context, "scheduled_actions", []):
+        loop.call_later(after_s, action)
     await forwarder.deliver(request, context.sink)
 
 
@@ -489,7 +494,7 @@
     allowance = RetryAllowance(0.2, 20.0, 10.0, 0.0)
     context.metrics = GatewayMetrics()
     ports = ForwardingPorts(selector, allowance)
-    ports.state_is_current = getattr(context, "beliefs_hold", ports.state_is_current)
+    ports.state_is_current = getattr(context, "state_is_current", ports.state_is_current)
     forwarder = Forwarder(
         engines,
         ports,
@@ -516,16 +521,16 @@
     assert context.sink.ending == "complete", context.sink.ending
 
 
-@then("it is known how fast {count:d} events of its engine came")
-def step_pace_known(context, count):
+@then("the speed of {count:d} events is recorded for its engine")
+def step_event_speed(context, count):
     (view,) = context.delivering_engines
     work = view.speed.event.own_work(clock.now_s())
-    # The longest pause is left out of them.
+    # The longest pause is excluded.
     assert 0.9 * count < work.units <= count, work
 
 
-@then("the answer is broken off")
-def step_broken_off(context):
+@then("the answer is aborted")
+def step_aborted(context):
     assert context.sink.ending == "broken off", context.sink.ending
 
 
@@ -541,7 +546,7 @@
     context.sink = ClosedSink()
 
 
-@then("the request counts as one whose caller is gone")
+@then('the request is counted with the outcome "caller_gone"')
 def step_counts_gone(context):
     text = context.metrics.text().decode()
     assert 'liftrill_requests_total{outcome="caller_gone"} 1.0' in text, text
