--- a/features/gateway_quarantine.feature
+++ b/features/gateway_quarantine.feature
@@ -1,103 +1,103 @@
-Feature: What one node does about requests under which engines end
+Feature: Requests that crash engines are put into quarantine at all nodes
 
   Background:
-    Given three nodes that hear each other at once, and engines 1 to 6
+    Given three nodes that receive each other's reports at once, and engines 1 to 6
 
-  Scenario: All nodes judge alike, and the loser writes and tells
-    When node 1 loses "deadly" early with engine 1, and node 2 with engine 2 a second later
-    Then after 0.2 s all nodes keep "deadly" from engines for about 600 s
-    And a node that lost it wrote it at once, and node 3 only if nobody does
+  Scenario: All nodes quarantine a request alike, and a node that lost it stores and reports the entry
+    When node 1 loses "deadly" early as engine 1 ends, and node 2 as engine 2 ends a second later
+    Then after 0.2 s all nodes quarantine "deadly" for about 600 s
+    And a node that lost it stored the entry at once, and node 3 only in case no other node does
 
-  Scenario: A request that ends engines now and then for longer than they are remembered is judged
-    When node 1 loses "deadly" early with engine 1
+  Scenario: A request that crashes engines over a longer time than their ends are remembered is quarantined
+    When node 1 loses "deadly" early as engine 1 ends
     And nothing happens for 500 s
-    And an engine without it has ended, and node 2 loses "deadly" early with engine 2
+    And another engine has ended without it, and node 2 loses "deadly" early as engine 2 ends
     And nothing happens for 110 s
-    And node 3 loses "deadly" early with engine 3
-    Then after 0.2 s all nodes keep "deadly" from engines for about 600 s
+    And node 3 loses "deadly" early as engine 3 ends
+    Then after 0.2 s all nodes quarantine "deadly" for about 600 s
 
-  Scenario: A loser that hears of a quarantine before it has judged writes what it knows, at once
-    When node 1 loses "deadly" early with engine 1, and node 2 with engine 2 a second later
-    And node 2 hears from node 3 that "deadly" is kept from engines
-    Then node 2 wrote it at once, with its route
+  Scenario: A node with a loss that learns of a quarantine before its own decision stores the entry at once
+    When node 1 loses "deadly" early as engine 1 ends, and node 2 as engine 2 ends a second later
+    And node 2 is told by node 3 that "deadly" is in quarantine
+    Then node 2 stored the entry at once, with its route
 
-  Scenario: A report that is told again is no new run of a request in quarantine
-    When node 1 loses "deadly" early with engine 1, and node 2 with engine 2 a second later
-    And after 0.3 s node 2 tells of its run again
-    Then no node answers it
+  Scenario: A repeated report is not taken for a new run of a request in quarantine
+    When node 1 loses "deadly" early as engine 1 ends, and node 2 as engine 2 ends a second later
+    And after 0.3 s node 2 reports its run again
+    Then no node answers the report
 
-  Scenario: A request waits for its judgement, and others do not
-    When node 1 loses "deadly" early with engine 1, and node 2 with engine 2 a second later
+  Scenario: A request waits for the decision on it, and others do not
+    When node 1 loses "deadly" early as engine 1 ends, and node 2 as engine 2 ends a second later
     Then node 2 holds "deadly" back for 0.1 s and "other" not at all
 
-  Scenario: A loser that hears of the first end after the second one writes at once, too
-    Given node 2 hears node 1 half a second late
-    When node 1 loses "deadly" early with engine 1, and node 2 with engine 2 a second later
-    Then after 0.8 s all nodes keep "deadly" from engines for about 600 s
-    And a node that lost it wrote it at once, and node 3 only if nobody does
+  Scenario: A node with a loss that learns of the first end after the second one stores the entry at once, too
+    Given node 2 receives the reports of node 1 half a second after the second end
+    When node 1 loses "deadly" early as engine 1 ends, and node 2 as engine 2 ends a second later
+    Then after 0.8 s all nodes quarantine "deadly" for about 600 s
+    And a node that lost it stored the entry at once, and node 3 only in case no other node does
 
-  Scenario: A run that breaks at an engine that goes on tells nothing
-    When node 1 loses "deadly" early with engine 1 that goes on, twice
+  Scenario: A run that breaks at an engine that does not end is no evidence
+    When node 1 twice loses "deadly" early at engine 1, which does not end
     Then no node suspects "deadly"
 
-  Scenario: Whoever was given up by its caller just before the end is a suspect
-    When node 1 gives "deadly" up 0.2 s before it finds that engine 1 has ended
+  Scenario: A request that its caller gave up just before the end is a suspect
+    When node 1 abandons "deadly" 0.2 s before it finds that engine 1 has ended
     Then all nodes suspect "deadly"
 
-  Scenario: Whoever was given up long before is none
-    When node 1 gives "deadly" up 0.8 s before it finds that engine 1 has ended
+  Scenario: A request that its caller gave up long before the end is no suspect
+    When node 1 abandons "deadly" 0.8 s before it finds that engine 1 has ended
     Then no node suspects "deadly"
 
-  Scenario: A suspect that is served is none any more, at any node
-    When node 1 loses "deadly" early with engine 1, and node 3 sees it served
+  Scenario: A suspect that is served is cleared at all nodes
+    When node 1 loses "deadly" early as engine 1 ends, and node 3 sees it served
     Then no node suspects "deadly"
 
-  Scenario: What one node has served lately is a suspect at none
+  Scenario: A request that one node served recently is a suspect at no node
     When node 3 sees "deadly" served
-    And node 1 loses "deadly" early with engine 1, and node 2 with engine 2 a second later
+    And node 1 loses "deadly" early as engine 1 ends, and node 2 as engine 2 ends a second later
     Then no node suspects "deadly"
 
-  Scenario: What a node has served lately itself it tells nobody of
+  Scenario: A node does not report the loss of a request that it served recently itself
     When node 1 sees "deadly" served
-    And node 1 loses "deadly" early with engine 1
-    Then no node was told anything, and no node suspects "deadly"
+    And node 1 loses "deadly" early as engine 1 ends
+    Then no report was sent, and no node suspects "deadly"
 
-  Scenario: What was served long ago may be one
+  Scenario: A request that was served long ago may be a suspect
     When node 3 sees "deadly" served
     And nothing happens for 12 s
-    And node 1 loses "deadly" early with engine 1, and node 2 with engine 2 a second later
-    Then after 0.2 s all nodes keep "deadly" from engines for about 600 s
-
-  Scenario: An end under a request in quarantine counts against no other one
-    Given node 3 heard nothing of it that "deadly" is kept from engines
-    When node 3 loses "deadly" early with engine 3, and "other" with it
-    And node 1 loses "other" early with engine 4
-    Then after 0.2 s nobody keeps "other" from engines
-
-  Scenario: A node that knows of no quarantine is told when it reports a run
-    Given node 3 heard nothing of it that "deadly" is kept from engines
-    When node 3 loses "deadly" early with engine 3
-    Then after 0.2 s all nodes keep "deadly" from engines for about 600 s
-
-  Scenario: Each further end doubles the time, and a success after it ends the record
-    Given all nodes kept "deadly" from engines until a moment ago
-    When node 1 loses "deadly" early with engine 4
-    Then after 0.2 s all nodes keep "deadly" from engines for about 1200 s
-
-  Scenario: A request that is served after its time leaves the list and the store
-    Given all nodes kept "deadly" from engines until a moment ago
+    And node 1 loses "deadly" early as engine 1 ends, and node 2 as engine 2 ends a second later
+    Then after 0.2 s all nodes quarantine "deadly" for about 600 s
+
+  Scenario: An end during a request in quarantine is no evidence against another request
+    Given node 3 alone does not know that "deadly" is in quarantine
+    When node 3 loses "deadly" early as engine 3 ends, and "other" with it
+    And node 1 loses "other" early as engine 4 ends
+    Then after 0.2 s no node quarantines "other"
+
+  Scenario: A node that does not know of a quarantine is told when it reports a run
+    Given node 3 alone does not know that "deadly" is in quarantine
+    When node 3 loses "deadly" early as engine 3 ends
+    Then after 0.2 s all nodes quarantine "deadly" for about 600 s
+
+  Scenario: Each further end doubles the time in quarantine
+    Given the quarantine of "deadly" ended a moment ago at all nodes
+    When node 1 loses "deadly" early as engine 4 ends
+    Then after 0.2 s all nodes quarantine "deadly" for about 1200 s
+
+  Scenario: A request that is served after its quarantine is removed from the list and the store
+    Given the quarantine of "deadly" ended a moment ago at all nodes
     When node 3 sees "deadly" served
     Then no node suspects "deadly"
-    And node 3 removes its record
+    And node 3 deletes its record
 
-  Scenario: A record that an operator removed is not written again
-    When node 1 loses "deadly" early with engine 1, and node 2 with engine 2 a second later
-    And its record is removed before node 3 would have written it
+  Scenario: A record that an operator deleted is not stored again
+    When node 1 loses "deadly" early as engine 1 ends, and node 2 as engine 2 ends a second later
+    And its record is deleted before node 3 would have stored it
     Then no node suspects "deadly"
-    And node 3 writes nothing
+    And node 3 stores nothing
 
-  Scenario Outline: Random <bytes> are records or refused, never more
-    Then 300 random <bytes> are taken or refused without an error of another kind
+  Scenario Outline: Random <bytes> are decoded or refused, without another error
+    Then 300 random <bytes> are decoded or refused without another error
 
     Examples:
       | bytes     |
--- a/features/steps/gateway_overload_steps.py
+++ b/features/steps/gateway_overload_steps.py
@@ -1,4 +1,4 @@
-"""Steps on overload: engines that read prompts one after the other, in virtual time."""
+"""Steps on overload: a simulation of engines that prefill one prompt at a time."""
 
 import heapq
 import itertools
@@ -18,20 +18,20 @@
 from liftrill.gateway.weight_targets import WeightTargets
 
 TARGET_S = 0.6
-LEAVES_AFTER_S = 4.0
-HOLD_S = 0.12
+CANCEL_AFTER_S = 4.0
+MAX_HOLD_S = 0.12
 HOLD_STEP_S = 0.03
 BEGIN_S = 10.0
 AFTER_S = 10.0
-COMES_BACK_S = (0.5, 1.5)
+RETRY_AFTER_S = (0.5, 1.5)
 LARGE_TOKENS = 5_000
 SMALL_TOKENS = 500
-# One urgent request of ten tenths of what the others ask is small.
+# Every fourth request is small and urgent, with a tenth of the tokens of the others.
 SMALL_EVERY = 4
 
 
-class Unbounded:
-    """Lets any wait pass."""
+class UnlimitedGuard:
+    """An overload guard that allows any wait."""
 
     def max_wait_s(self, request, least_wait_s, now):
         return math.inf
@@ -41,7 +41,7 @@
 
 
 class Simulation:
-    """Callers that come back once, and engines that read prompts in the order of arrival."""
+    """Callers that retry once, and engines that prefill prompts in the order of arrival."""
 
     def __init__(self, engines, tokens_per_s):
         self.rate = tokens_per_s
@@ -90,39 +90,39 @@
         prompt = PromptShape("model", parts, tokens, 10)
         return replace(request, prompt=prompt, priority=0 if small else 1)
 
-    def ask(self, number, came_at, asked_at, first):
+    def ask(self, number, arrived_at, asked_at, first):
         request = self.request(number, asked_at)
         choice = self.selector.choose(request, frozenset(), self.now)
         if isinstance(choice, Unavailable):
-            self.wait(number, came_at, asked_at, first)
+            self.wait(number, arrived_at, asked_at, first)
             return
         tokens = request.prompt.prompt_tokens
         view = self.table.get(choice.engine_id)
         load = EngineLoad(1, tokens, 0)
         view.own_load.add(load)
-        ahead = view.waiting_tokens
-        begins = max(self.now, self.free_at[choice.engine_id])
-        if begins - asked_at > LEAVES_AFTER_S:
-            leaves_at = asked_at + LEAVES_AFTER_S
-            self.at(leaves_at, lambda: view.own_load.add(load, -1))
+        tokens_ahead = view.waiting_tokens
+        starts_at = max(self.now, self.free_at[choice.engine_id])
+        if starts_at - asked_at > CANCEL_AFTER_S:
+            cancel_at = asked_at + CANCEL_AFTER_S
+            self.at(cancel_at, lambda: view.own_load.add(load, -1))
             return
-        done = begins + tokens / self.rate
-        self.free_at[choice.engine_id] = done
+        done_at = starts_at + tokens / self.rate
+        self.free_at[choice.engine_id] = done_at
         sent_at = self.now
-        self.at(done, lambda: self.answered(number, asked_at, sent_at, view, load, ahead))
+        self.at(done_at, lambda: self.answered(number, asked_at, sent_at, view, load, tokens_ahead))
 
-    def wait(self, number, came_at, asked_at, first):
-        if self.now < asked_at + HOLD_S:
-            self.at(self.now + HOLD_STEP_S, lambda: self.ask(number, came_at, asked_at, first))
+    def wait(self, number, arrived_at, asked_at, first):
+        if self.now < asked_at + MAX_HOLD_S:
+            self.at(self.now + HOLD_STEP_S, lambda: self.ask(number, arrived_at, asked_at, first))
             return
         self.refused += 1
         if first:
-            back = self.now + self.random.uniform(*COMES_BACK_S)
-            self.at(back, lambda: self.ask(number, came_at, back, first=False))
+            retry_at = self.now + self.random.uniform(*RETRY_AFTER_S)
+            self.at(retry_at, lambda: self.ask(number, arrived_at, retry_at, first=False))
 
-    def answered(self, number, asked_at, sent_at, view, load, ahead):
+    def answered(self, number, asked_at, sent_at, view, load, tokens_ahead):
         view.own_load.add(load, -1)
-        self.selector.speeds.record_read(view.engine_id, ahead, self.now - sent_at, self.now)
+        self.selector.speeds.record_read(view.engine_id, tokens_ahead, self.now - sent_at, self.now)
         if self.now - asked_at <= TARGET_S:
             self.in_time.append((self.now, number))
 
@@ -139,38 +139,39 @@
         return len(answered & set(numbers)) / len(set(numbers))
 
 
-@given("{engines:d} engines that read {rate:d} tokens a second each")
+@given("{engines:d} engines that prefill {rate:d} tokens a second each")
 def step_engines(context, engines, rate):
     context.simulation = Simulation(engines, rate)
 
 
-@given("nothing bounds what waits at them")
-def step_unbounded(context):
-    context.simulation.selector.guard = Unbounded()
+@given("the waiting requests at them are not limited")
+def step_unlimited(context):
+    context.simulation.selector.guard = UnlimitedGuard()
 
 
 @when(
-    "{load:g} times what they can read is asked for during {seconds:g} s, "
+    "the offered load is {load:g} times their capacity for {seconds:g} s, "
     "and 0.5 times before and after"
 )
 def step_run(context, load, seconds):
     context.simulation.run(load, seconds)
 
 
-@then("at least {share:g} of what they could read in those seconds was answered in time")
+@then("at least {share:g} of their capacity in that time was answered within the target")
 def step_goodput(context, share):
     found = context.simulation.answered_share()
     assert found >= share, found
 
 
-@then("less than {share:g} of what they could read in those seconds was answered in time")
+@then("less than {share:g} of their capacity in that time was answered within the target")
 def step_collapse(context, share):
     found = context.simulation.answered_share()
     assert found < share, found
 
 
 @then(
-    "of what came {seconds:g} s after the overload or later at least {share:g} was answered in time"
+    "of the requests from {seconds:g} s after the overload on,"
+    " at least {share:g} were answered within the target"
 )
 def step_recovered(context, seconds, share):
     simulation = context.simulation
@@ -181,51 +182,51 @@
 
 
 @then("nothing was refused")
-def step_none_refused(context):
+def step_no_refusal(context):
     assert context.simulation.refused == 0, context.simulation.refused
 
 
-@then("of the urgent requests at least {share:g} were answered in time")
+@then("of the urgent requests at least {share:g} were answered within the target")
 def step_urgent(context, share):
     found = context.simulation.share_in_time(context.simulation.urgent)
     assert found >= share, found
 
 
-@given("nothing is known of how fast engines read")
-def step_unknown_rate(context):
+@given("the prefill rate of engines is unknown")
+def step_rate_unknown(context):
     table = EngineTable()
-    context.reader = table.update(engine_record("e0"))
+    context.engine = table.update(engine_record("e0"))
     context.speeds = SpeedEstimator(table)
     context.now = 0.0
 
 
-@when("{count:d} prompts of {tokens:d} tokens are each read within {seconds:g} s")
-def step_read_many(context, count, tokens, seconds):
+@when("{count:d} prompts of {tokens:d} tokens are each prefilled within {seconds:g} s")
+def step_prefill_many(context, count, tokens, seconds):
     for _ in range(count):
-        step_read_one(context, tokens, seconds)
+        step_prefill_one(context, tokens, seconds)
 
 
-@when("a prompt of {tokens:d} tokens is read within {seconds:g} s")
-def step_read_one(context, tokens, seconds):
+@when("a prompt of {tokens:d} tokens is prefilled within {seconds:g} s")
+def step_prefill_one(context, tokens, seconds):
     context.now += seconds
-    context.speeds.record_read(context.reader.engine_id, tokens, seconds, context.now)
+    context.speeds.record_read(context.engine.engine_id, tokens, seconds, context.now)
 
 
-@then("engines are taken to read between {least:d} and {most:d} tokens a second")
+@then("the estimated prefill rate is between {least:d} and {most:d} tokens a second")
 def step_rate(context, least, most):
-    found = 1.0 / context.speeds.read_s_per_token(context.reader)
+    found = 1.0 / context.speeds.read_s_per_token(context.engine)
     assert least <= found <= most, found
 
 
-@given("2 engines of which one has its memory taken")
+@given("2 engines of which one has its memory full")
 def step_memory(context):
     context.simulation = Simulation(2, 50_000)
     profile = ServiceProfile("service-1", 0, cache_tokens=10_000)
     context.simulation.selector.parts.services["service-1"] = profile
-    take_memory(context, "e0")
+    fill_memory(context, "e0")
 
 
-def take_memory(context, name):
+def fill_memory(context, name):
     context.simulation.table.get(name).own_load.add(EngineLoad(3, 0, 11_990))
 
 
@@ -239,19 +240,19 @@
     assert place(context).engine_id == "e1"
 
 
-@when("the memory of both is taken")
-def step_both_taken(context):
-    take_memory(context, "e1")
+@when("the memory of both is full")
+def step_both_full(context):
+    fill_memory(context, "e1")
 
 
-@then("the prompt waits for room")
-def step_waits(context):
+@then("the prompt finds no engine with free memory")
+def step_no_memory(context):
     assert place(context) is Unavailable.FULL
 
 
 @given(
-    "2 engines with {slots:d} slots of which the home of a part has {count:d} requests"
-    " that last {seconds:g} s"
+    "2 engines with {slots:d} slots, and {count:d} requests that last {seconds:g} s"
+    " at the one that holds a part"
 )
 def step_slots(context, slots, count, seconds):
     context.simulation = Simulation(2, 50_000)
@@ -262,29 +263,28 @@
         context.simulation.table.update(
             engine_record(name, weights={"model": 1}, slots=slots, revision=2)
         )
-    context.home = place(context).engine_id
-    context.simulation.table.get(context.home).own_load.add(EngineLoad(count))
+    context.holder = place(context).engine_id
+    context.simulation.table.get(context.holder).own_load.add(EngineLoad(count))
 
 
 @then("a prompt with that part goes to the other engine")
 def step_goes_to_other(context):
-    assert place(context).engine_id != context.home
+    assert place(context).engine_id != context.holder
 
 
-@when("that one has {count:d} requests too")
+@when("the other engine has {count:d} requests too")
 def step_other_full(context, count):
-    other = next(v for v in context.simulation.table if v.engine_id != context.home)
+    other = next(v for v in context.simulation.table if v.engine_id != context.holder)
     other.own_load.add(EngineLoad(count))
 
 
-@then("a prompt with that part goes to its home again")
-def step_goes_home(context):
-    assert place(context).engine_id == context.home
+@then("a prompt with that part goes to the engine that holds it again")
+def step_goes_to_holder(context):
+    assert place(context).engine_id == context.holder
 
 
 @then(
-    "a request would wait between {least:g} and {most:g} s for a slot there,"
-    " and not at all at the other"
+    "a request would wait between {least:g} and {most:g} s for a slot there, and 0 s at the other"
 )
 def step_slot_wait(context, least, most):
     slot_times = context.simulation.selector.slot_times
@@ -292,7 +292,7 @@
         view.engine_id: slot_times.wait_s("service-1", view.requests, view.record.slots)
         for view in context.simulation.table
     }
-    assert least <= waits.pop(context.home) <= most, waits
+    assert least <= waits.pop(context.holder) <= most, waits
     assert list(waits.values()) == [0.0], waits
 
 
@@ -302,7 +302,7 @@
     context.times.record_event(1, second)
 
 
-@then("at {now:g} s the first tells nothing, and the second {held:g} s")
+@then("at {now:g} s the first has no slot time, and the second one of {held:g} s")
 def step_held(context, now, held):
     assert context.without.since_first_event_s(now) is None
     assert context.times.since_first_event_s(now) == held
--- a/features/steps/gateway_quarantine_steps.py
+++ b/features/steps/gateway_quarantine_steps.py
@@ -1,4 +1,4 @@
-"""Steps about the quarantine of requests at nodes that share what they lost."""
+"""Steps on the quarantine of requests at nodes that report lost runs to each other."""
 
 import random
 import time
@@ -24,35 +24,35 @@
 RAN_S = 0.05
 
 
-class Kept(QuarantineStorage):
-    """Notes what a node would write."""
+class RecordingStorage(QuarantineStorage):
+    """Records what a node would store."""
 
     def __init__(self):
-        self.kept = []
-        self.dropped = []
+        self.saved = []
+        self.deleted = []
 
     def save(self, entry, at_once):
-        self.kept.append((entry, at_once))
+        self.saved.append((entry, at_once))
 
     def delete(self, fingerprint):
-        self.dropped.append(fingerprint)
+        self.deleted.append(fingerprint)
 
 
-class Told(QuarantinePeers):
-    """Tells the other nodes of a scenario, in virtual time."""
+class SimulatedPeers(QuarantinePeers):
+    """Delivers a node's reports to the other nodes of a scenario, in virtual time."""
 
     def __init__(self, fleet, name):
         self._fleet = fleet
         self._name = name
 
     def send_lost_runs(self, runs):
-        self._fleet.tell(self._name, lambda node, now: node.apply_lost_runs(self._name, runs, now))
+        self._fleet.send(self._name, lambda node, now: node.apply_lost_runs(self._name, runs, now))
 
     def send_served(self, fingerprint):
-        self._fleet.tell(self._name, lambda node, now: node.apply_served(fingerprint, now))
+        self._fleet.send(self._name, lambda node, now: node.apply_served(fingerprint, now))
 
     def send_quarantined(self, entry, node=""):
-        self._fleet.tell(self._name, lambda other, now: other.apply_quarantined(entry, now), node)
+        self._fleet.send(self._name, lambda other, now: other.apply_quarantined(entry, now), node)
 
 
 @dataclass
@@ -60,31 +60,33 @@
     """Three nodes that know the same engines.
 
     Attributes:
-        late: by (teller, hearer), how late news comes.
+        delays_s: by (sender, receiver), how late a report arrives.
     """
 
     nodes: dict = field(default_factory=dict)
     engines: dict = field(default_factory=dict)
-    keepers: dict = field(default_factory=dict)
-    late: dict = field(default_factory=dict)
+    storages: dict = field(default_factory=dict)
+    delays_s: dict = field(default_factory=dict)
     now: float = 100.0
-    waiting: list = field(default_factory=list)
-    told: int = 0
+    pending: list = field(default_factory=list)
+    sent: int = 0
 
-    def tell(self, teller, news, only=""):
-        self.told += 1
+    def send(self, sender, deliver, only=""):
+        self.sent += 1
         for name in self.nodes:
-            if name != teller and only in ("", name):
-                self.waiting.append((self.now + self.late.get((teller, name), 0.0), name, news))
+            if name != sender and only in ("", name):
+                self.pending.append(
+                    (self.now + self.delays_s.get((sender, name), 0.0), name, deliver)
+                )
         self.pass_time(0.0)
 
     def pass_time(self, seconds):
         until = self.now + seconds
-        while due := sorted((row for row in self.waiting if row[0] <= until), key=lambda r: r[0]):
-            at, name, news = due[0]
-            self.waiting.remove(due[0])
+        while due := sorted((row for row in self.pending if row[0] <= until), key=lambda r: r[0]):
+            at, name, deliver = due[0]
+            self.pending.remove(due[0])
             self.now = max(self.now, at)
-            news(self.nodes[name], self.now)
+            deliver(self.nodes[name], self.now)
         self.now = until
         for node in self.nodes.values():
             node.expire(self.now)
@@ -104,7 +106,7 @@
     return opaque_request(body=name.encode())
 
 
-@given("three nodes that hear each other at once, and engines 1 to 6")
+@given("three nodes that receive each other's reports at once, and engines 1 to 6")
 def step_fleet(context):
     fleet = context.fleet = Fleet()
     for name in ("1", "2", "3"):
@@ -112,18 +114,18 @@
         for number in range(1, 7):
             table.update(engine_record(str(number)))
         fleet.engines[name] = table
-        fleet.keepers[name] = Kept()
-        fleet.nodes[name] = new_quarantine(table, Told(fleet, name), fleet.keepers[name])
+        fleet.storages[name] = RecordingStorage()
+        fleet.nodes[name] = new_quarantine(table, SimulatedPeers(fleet, name), fleet.storages[name])
 
 
-@given("node {hearer} hears node {teller} half a second late")
-def step_late(context, hearer, teller):
-    context.fleet.late[teller, hearer] = 1.5
+@given("node {receiver} receives the reports of node {sender} half a second after the second end")
+def step_delay(context, receiver, sender):
+    context.fleet.delays_s[sender, receiver] = 1.5
 
 
 @when(
-    'node {one} loses "{name}" early with engine {first}, and node {other} with engine {second} '
-    "a second later"
+    'node {one} loses "{name}" early as engine {first} ends, '
+    "and node {other} as engine {second} ends a second later"
 )
 def step_two_ends(context, one, name, first, other, second):
     request = request_named(name)
@@ -132,22 +134,22 @@
     context.fleet.lose(other, request, second)
 
 
-@when('node {node} loses "{name}" early with engine {engine} that goes on, twice')
-def step_goes_on(context, node, name, engine):
+@when('node {node} twice loses "{name}" early at engine {engine}, which does not end')
+def step_no_end(context, node, name, engine):
     for _ in range(2):
         context.fleet.lose(node, request_named(name), engine, ends=False)
         context.fleet.pass_time(1.0)
 
 
-@when('node {node} gives "{name}" up {seconds:g} s before it finds that engine {engine} has ended')
-def step_given_up(context, node, name, seconds, engine):
+@when('node {node} abandons "{name}" {seconds:g} s before it finds that engine {engine} has ended')
+def step_abandoned(context, node, name, seconds, engine):
     fleet = context.fleet
     fleet.lose(node, request_named(name), engine, ends=False)
     fleet.pass_time(seconds)
     fleet.nodes[node].engine_ended(fleet.view(node, engine), fleet.now)
 
 
-@when('node {node} loses "{name}" early with engine {engine}, and node {other} sees it served')
+@when('node {node} loses "{name}" early as engine {engine} ends, and node {other} sees it served')
 def step_lost_and_served(context, node, name, engine, other):
     context.fleet.lose(node, request_named(name), engine)
     context.fleet.pass_time(0.2)
@@ -155,7 +157,7 @@
     step_served(context, other, name)
 
 
-@when('node {node} loses "{name}" early with engine {engine:d}')
+@when('node {node} loses "{name}" early as engine {engine:d} ends')
 def step_one_end(context, node, name, engine):
     context.fleet.lose(node, request_named(name), str(engine))
 
@@ -165,23 +167,26 @@
     context.fleet.pass_time(seconds)
 
 
-@when('node {node} loses "{name}" early with engine {engine}, and "{other}" with it')
+@when('node {node} loses "{name}" early as engine {engine} ends, and "{other}" with it')
 def step_both_lost(context, node, name, engine, other):
     context.fleet.lose(node, request_named(name), engine, ends=False)
     context.fleet.lose(node, request_named(other), engine)
     context.fleet.pass_time(1.0)
 
 
-@when('an engine without it has ended, and node {node} loses "{name}" early with engine {engine}')
-def step_beside(context, node, name, engine):
+@when(
+    "another engine has ended without it, "
+    'and node {node} loses "{name}" early as engine {engine} ends'
+)
+def step_unrelated_end(context, node, name, engine):
     fleet = context.fleet
     for other in fleet.nodes:
         fleet.nodes[other].engine_ended(fleet.view(other, "6"), fleet.now)
     fleet.lose(node, request_named(name), engine)
 
 
-@then('after {seconds:g} s nobody keeps "{name}" from engines')
-def step_not_kept(context, seconds, name):
+@then('after {seconds:g} s no node quarantines "{name}"')
+def step_not_quarantined(context, seconds, name):
     context.fleet.pass_time(seconds)
     context.fleet.pass_time(0.2)
     for node, quarantine in context.fleet.nodes.items():
@@ -194,7 +199,7 @@
     context.fleet.pass_time(0.2)
 
 
-@given('node {node} heard nothing of it that "{name}" is kept from engines')
+@given('node {node} alone does not know that "{name}" is in quarantine')
 def step_uninformed(context, node, name):
     entry = QuarantineEntry(request_named(name).fingerprint, time.time() + 600.0, 1, "", "", ("1",))
     for other, quarantine in context.fleet.nodes.items():
@@ -202,23 +207,23 @@
             quarantine.apply_record(entry, context.fleet.now)
 
 
-@given('all nodes kept "{name}" from engines until a moment ago')
-def step_over(context, name):
+@given('the quarantine of "{name}" ended a moment ago at all nodes')
+def step_quarantine_over(context, name):
     entry = QuarantineEntry(request_named(name).fingerprint, time.time() - 1.0, 1, "", "", ("1",))
     for quarantine in context.fleet.nodes.values():
         quarantine.apply_record(entry, context.fleet.now)
         assert quarantine.is_suspect(request_named(name))
 
 
-@when("its record is removed before node 3 would have written it")
-def step_removed(context):
+@when("its record is deleted before node 3 would have stored it")
+def step_deleted(context):
     context.fleet.pass_time(0.2)
     for quarantine in context.fleet.nodes.values():
         quarantine.release(request_named("deadly").fingerprint, context.fleet.now)
 
 
-@then('after {seconds:g} s all nodes keep "{name}" from engines for about {lasts:g} s')
-def step_kept(context, seconds, name, lasts):
+@then('after {seconds:g} s all nodes quarantine "{name}" for about {lasts:g} s')
+def step_quarantined(context, seconds, name, lasts):
     context.fleet.pass_time(seconds)
     context.fleet.pass_time(0.2)
     for node, quarantine in context.fleet.nodes.items():
@@ -229,42 +234,44 @@
         assert quarantine.check(request_named("other")) is None
 
 
-@then("a node that lost it wrote it at once, and node {other} only if nobody does")
-def step_writer(context, other):
-    losers = (context.fleet.keepers["1"], context.fleet.keepers["2"])
-    assert any(at_once for keeper in losers for _, at_once in keeper.kept)
-    assert {at_once for _, at_once in context.fleet.keepers[other].kept} == {False}
+@then(
+    "a node that lost it stored the entry at once, and node {other} only in case no other node does"
+)
+def step_stored(context, other):
+    storages = (context.fleet.storages["1"], context.fleet.storages["2"])
+    assert any(at_once for storage in storages for _, at_once in storage.saved)
+    assert {at_once for _, at_once in context.fleet.storages[other].saved} == {False}
 
 
-@when('node {node} hears from node {other} that "{name}" is kept from engines')
-def step_hears(context, node, other, name):
+@when('node {node} is told by node {other} that "{name}" is in quarantine')
+def step_told_of_quarantine(context, node, other, name):
     fingerprint = request_named(name).fingerprint
     entry = QuarantineEntry(fingerprint, time.time() + 600.0, 1, "", "", ("1", "2"))
     context.fleet.nodes[node].apply_quarantined(entry, context.fleet.now)
 
 
-@then("node {node} wrote it at once, with its route")
-def step_wrote_route(context, node):
+@then("node {node} stored the entry at once, with its route")
+def step_stored_route(context, node):
     context.fleet.pass_time(0.4)
-    ((entry, at_once),) = context.fleet.keepers[node].kept
+    ((entry, at_once),) = context.fleet.storages[node].saved
     assert at_once and entry.route == "route-1", entry
 
 
-@when("after {seconds:g} s node {node} tells of its run again")
-def step_tells_again(context, seconds, node):
+@when("after {seconds:g} s node {node} reports its run again")
+def step_reports_again(context, seconds, node):
     fleet = context.fleet
     ended_at = fleet.now
     fleet.pass_time(seconds)
-    fleet.told = 0
+    fleet.sent = 0
     fingerprint = request_named("deadly").fingerprint
     number = fleet.view(node, "2").number
     run = LostRun(fingerprint, number, True, ended_at - RAN_S, ended_at)
-    Told(fleet, node).send_lost_runs([run])
+    SimulatedPeers(fleet, node).send_lost_runs([run])
 
 
-@then("no node answers it")
+@then("no node answers the report")
 def step_unanswered(context):
-    assert context.fleet.told == 1, context.fleet.told
+    assert context.fleet.sent == 1, context.fleet.sent
 
 
 @then('node {node} holds "{name}" back for {seconds:g} s and "{other}" not at all')
@@ -276,9 +283,9 @@
     assert quarantine.remaining_s(request_named(name)) > 0
 
 
-@then('no node was told anything, and no node suspects "{name}"')
-def step_untold(context, name):
-    assert context.fleet.told == 0, context.fleet.told
+@then('no report was sent, and no node suspects "{name}"')
+def step_no_report(context, name):
+    assert context.fleet.sent == 0, context.fleet.sent
     step_no_suspect(context, name)
 
 
@@ -296,18 +303,18 @@
         assert quarantine.is_suspect(request_named(name)), node
 
 
-@then("node {node} removes its record")
-def step_removes(context, node):
-    assert context.fleet.keepers[node].dropped == [request_named("deadly").fingerprint]
+@then("node {node} deletes its record")
+def step_deletes(context, node):
+    assert context.fleet.storages[node].deleted == [request_named("deadly").fingerprint]
 
 
-@then("node {node} writes nothing")
-def step_writes_nothing(context, node):
-    keeper = context.fleet.keepers[node]
-    assert keeper.dropped[-1:] == [request_named("deadly").fingerprint], keeper.dropped
+@then("node {node} stores nothing")
+def step_stores_nothing(context, node):
+    storage = context.fleet.storages[node]
+    assert storage.deleted[-1:] == [request_named("deadly").fingerprint], storage.deleted
 
 
-@then("{count:d} random records are taken or refused without an error of another kind")
+@then("{count:d} random records are decoded or refused without another error")
 def step_random_records(context, count):
     records = QuarantineRecords(None, StoreMirror(), DecisionLog("node-1"))
     draw = random.Random(35)
@@ -317,7 +324,7 @@
         assert found is None or len(found.fingerprint) == 16
 
 
-@then("{count:d} random datagrams are taken or refused without an error of another kind")
+@then("{count:d} random datagrams are decoded or refused without another error")
 def step_random_datagrams(context, count):
     draw = random.Random(35)
     for _ in range(count):
@@ -331,7 +338,7 @@
         message.quarantined.fingerprint = draw.randbytes(draw.choice((0, 16)))
         found = runs_of(message, clock.now_s())
         assert all(len(run.fingerprint) == 16 for run in found)
-        for told in datagrams_from_runs("node-1", found, clock.now_s()):
-            assert len(told.SerializeToString()) < 1_200
+        for datagram in datagrams_from_runs("node-1", found, clock.now_s()):
+            assert len(datagram.SerializeToString()) < 1_200
         entry = entry_from_notice(message.quarantined)
         assert entry is None or entry.quarantine_count >= 1
