--- a/features/steps/gateway_placement_steps.py
+++ b/features/steps/gateway_placement_steps.py
@@ -1,4 +1,4 @@
-"""Steps on where the shared parts of prompts are kept."""
+"""Steps on the placement of prompts, and on where their shared parts are saved."""
 
 from dataclasses import replace
 
@@ -26,7 +26,7 @@
     return selector
 
 
-@given("{stores:d} kept stores and {engines:d} engines")
+@given("{stores:d} prefix stores and {engines:d} engines")
 def step_selectors(context, stores, engines):
     context.selectors = [new_selector(stores, engines) for _ in range(2)]
 
@@ -46,7 +46,7 @@
 
 
 @then("both nodes fetch each part from the same store, and save it there")
-def step_alike(context):
+def step_same_store(context):
     for one, other in context.choices:
         assert one.fetch_from == other.fetch_from == one.save_to == other.save_to != ""
 
@@ -82,7 +82,7 @@
 
 
 @then("it goes to the engine without streams")
-def step_away(context):
+def step_to_other(context):
     assert context.placed != context.holder
 
 
@@ -91,30 +91,30 @@
     assert context.placed == context.holder
 
 
-@given("moving the memory of a token takes {move:g} microseconds")
+@given("transferring the memory of a token takes {move:g} microseconds")
 def step_move_time(context, move):
     profile = ServiceProfile("service-1", 0, store_transfer_s_per_token=move / 1e6)
     context.selectors[0].parts.services["service-1"] = profile
 
 
-def kept_request():
+def saved_request():
     parts = (PromptPart("part", 10_000), PromptPart("own", 10))
     return replace(opaque_request(), prompt=PromptShape("model", parts, 10_010, 20))
 
 
-@given("a part of 10000 tokens is kept, and {waiting:d} tokens wait at the engine that holds it")
-def step_kept_part(context, waiting):
+@given("a part of 10000 tokens is saved, and {waiting:d} tokens wait at the engine that holds it")
+def step_saved_part(context, waiting):
     selector = context.selectors[0]
-    choice = selector.choose(kept_request(), frozenset(), 0.0)
-    selector.parts.record_read(choice, kept_request(), 0.0)
+    choice = selector.choose(saved_request(), frozenset(), 0.0)
+    selector.parts.record_read(choice, saved_request(), 0.0)
     context.holder = choice.engine_id
     load = EngineLoad(requests=1, waiting_tokens=waiting)
     selector._engines.get(choice.engine_id).own_load.add(load)
 
 
 @when("a prompt with that part is placed")
-def step_place_kept(context):
-    context.placed = context.selectors[0].choose(kept_request(), frozenset(), 2.0).engine_id
+def step_place_saved(context):
+    context.placed = context.selectors[0].choose(saved_request(), frozenset(), 2.0).engine_id
 
 
 @then("it goes to the engine that holds it")
@@ -127,7 +127,7 @@
     assert context.placed != context.holder
 
 
-def begun_alike(number):
+def request_with_beginning(number):
     parts = (
         PromptPart("beginning", 2_000),
         PromptPart(f"continuation-{number}", 3_000),
@@ -137,10 +137,10 @@
 
 
 @when("{count:d} prompts with one beginning and different continuations are placed on two nodes")
-def step_place_alike(context, count):
+def step_place_common_beginning(context, count):
     now = getattr(context, "placed_at", 0.0)
-    requests = [begun_alike(number) for number in range(count)]
-    context.placed_alike = [
+    requests = [request_with_beginning(number) for number in range(count)]
+    context.placed_pairs = [
         [selector.choose(request, frozenset(), now) for selector in context.selectors]
         for request in requests
     ]
@@ -148,12 +148,12 @@
 
 @then("all go to one engine")
 def step_one_engine(context):
-    assert len({choice.engine_id for row in context.placed_alike for choice in row}) == 1
+    assert len({choice.engine_id for row in context.placed_pairs for choice in row}) == 1
 
 
-@when("the beginning has been read and kept")
-def step_beginning_kept(context):
-    request = begun_alike(0)
+@when("the beginning has been read and saved")
+def step_beginning_saved(context):
+    request = request_with_beginning(0)
     for selector in context.selectors:
         choice = selector.choose(request, frozenset(), 0.0)
         selector.parts.record_read(choice, request, 0.0)
@@ -162,40 +162,40 @@
 
 @then("they go to at least {least:d} engines")
 def step_many_engines(context, least):
-    engines = {row[0].engine_id for row in context.placed_alike}
+    engines = {row[0].engine_id for row in context.placed_pairs}
     assert len(engines) >= least, engines
 
 
 @then("each node sends a continuation to the same engine")
 def step_same_on_nodes(context):
-    for first, second in context.placed_alike:
+    for first, second in context.placed_pairs:
         assert first.engine_id == second.engine_id
 
 
-@when("one node has had a prompt read, and the other one hears of it")
-def step_heard(context):
+@when("one node has had a prompt read, and reports it to the other one")
+def step_reported(context):
     first, second = context.selectors
-    choice = first.choose(begun_alike(0), frozenset(), 0.0)
-    first.parts.record_read(choice, begun_alike(0), 0.0)
+    choice = first.choose(request_with_beginning(0), frozenset(), 0.0)
+    first.parts.record_read(choice, request_with_beginning(0), 0.0)
     second.parts.directory.apply_updates(
         first.parts.directory.updates(0.1).own, 0.1, of_own_zone=True
     )
-    context.heard = second.choose(begun_alike(0), frozenset(), 1.0)
+    context.choice_of_other = second.choose(request_with_beginning(0), frozenset(), 1.0)
 
 
 @then("the other node has both shared parts fetched, and saves nothing")
 def step_fetched(context):
-    assert context.heard.fetch_from and not context.heard.save_to
-    assert context.heard.expected_prefill_tokens == 10, context.heard
+    assert context.choice_of_other.fetch_from and not context.choice_of_other.save_to
+    assert context.choice_of_other.expected_prefill_tokens == 10, context.choice_of_other
 
 
-@when("one node sends a prompt on, and another of the same beginning comes {delay:g} s later")
+@when("one node sends a prompt, and another with the same beginning arrives {delay:g} s later")
 def step_sends(context, delay):
     selector = context.selectors[0]
-    context.first = selector.choose(begun_alike(0), frozenset(), 0.0)
-    selector.parts.record_sent(context.first, begun_alike(0), 0.0)
-    context.later = replace(begun_alike(1), received_at=delay)
-    context.at = delay
+    context.first = selector.choose(request_with_beginning(0), frozenset(), 0.0)
+    selector.parts.record_sent(context.first, request_with_beginning(0), 0.0)
+    context.later = replace(request_with_beginning(1), received_at=delay)
+    context.arrived_at = delay
 
 
 def place_later(context, now):
@@ -204,45 +204,47 @@
 
 @then("the later one waits")
 def step_later_waits(context):
-    assert place_later(context, context.at) is Unavailable.NONE_READY
+    assert place_later(context, context.arrived_at) is Unavailable.NONE_READY
 
 
 @when("the part has been read")
 def step_part_read(context):
-    context.selectors[0].parts.record_read(context.first, begun_alike(0), context.at)
+    context.selectors[0].parts.record_read(
+        context.first, request_with_beginning(0), context.arrived_at
+    )
 
 
 @then("the later one is sent, with the beginning fetched")
 def step_later_sent(context):
-    choice = place_later(context, context.at)
+    choice = place_later(context, context.arrived_at)
     assert choice.expected_prefill_tokens == 3_010, choice
 
 
-@when("the reading takes too long instead")
+@when("reading the part takes too long instead")
 def step_reading_long(context):
     context.selectors = [new_selector(1, 6)]
-    context.first = context.selectors[0].choose(begun_alike(0), frozenset(), 0.0)
-    context.selectors[0].parts.record_sent(context.first, begun_alike(0), 0.0)
+    context.first = context.selectors[0].choose(request_with_beginning(0), frozenset(), 0.0)
+    context.selectors[0].parts.record_sent(context.first, request_with_beginning(0), 0.0)
 
 
 @then("the later one is sent to the engine that reads it")
 def step_later_same(context):
-    assert place_later(context, context.at) is Unavailable.NONE_READY
-    assert place_later(context, context.at + 0.25).engine_id == context.first.engine_id
+    assert place_later(context, context.arrived_at) is Unavailable.NONE_READY
+    assert place_later(context, context.arrived_at + 0.25).engine_id == context.first.engine_id
 
 
 @when("one node has had a prompt read, and its engine is busy")
 def step_read_and_busy(context):
     selector = context.selectors[0]
-    context.first = selector.choose(begun_alike(0), frozenset(), 0.0)
-    selector.parts.record_read(context.first, begun_alike(0), 0.0)
+    context.first = selector.choose(request_with_beginning(0), frozenset(), 0.0)
+    selector.parts.record_read(context.first, request_with_beginning(0), 0.0)
     busy = selector._engines.get(context.first.engine_id)
     busy.own_load.add(EngineLoad(requests=9, waiting_tokens=90_000))
 
 
 @then("{delay:g} s later the prompt goes to another engine, which fetches from {source}")
 def step_fetches_from(context, delay, source):
-    choice = context.selectors[0].choose(begun_alike(0), frozenset(), delay)
+    choice = context.selectors[0].choose(request_with_beginning(0), frozenset(), delay)
     assert choice.engine_id != context.first.engine_id
     held = choice.fetch_from == context.first.address
     assert held == (source == "the busy one") and choice.fetch_from, choice
@@ -269,7 +271,7 @@
 
 @then("{delay:g} s later the prompt is fetched from no engine")
 def step_not_fetched(context, delay):
-    choice = context.selectors[0].choose(begun_alike(0), frozenset(), delay)
+    choice = context.selectors[0].choose(request_with_beginning(0), frozenset(), delay)
     assert choice.fetch_from == "10.0.0.0:1", choice
 
 
@@ -277,17 +279,17 @@
 def step_new_weights(context, tokens):
     context.selector = context.selectors[0]
     context.selector._targets.add(WeightTarget("model", 2, 1), 0.0)
-    context.renewed = context.selector._engines.get("e0")
-    context.renewed.learn_weights("model", 2)
-    context.renewed.own_load.waiting_tokens = tokens
+    context.updated_engine = context.selector._engines.get("e0")
+    context.updated_engine.learn_weights("model", 2)
+    context.updated_engine.own_load.waiting_tokens = tokens
 
 
 @when("{tokens:d} prompt tokens wait there")
 def step_more_wait(context, tokens):
-    context.renewed.own_load.waiting_tokens = tokens
+    context.updated_engine.own_load.waiting_tokens = tokens
 
 
-@then("{delay:g} s after they were named a prompt goes to the {which} weights")
+@then("{delay:g} s after the new weights were published a prompt goes to the {which} weights")
 def step_which_weights(context, delay, which):
     request = replace(opaque_request(), received_at=delay)
     choice = context.selector.choose(request, frozenset(), delay)
@@ -295,22 +297,22 @@
 
 
 @given(
-    "the beginning of a prompt is kept, and {waiting:d} tokens wait at the engine"
+    "the beginning of a prompt is saved, and {waiting:d} tokens wait at the engine"
     " that is to read the rest"
 )
 def step_rest_unread(context, waiting):
     selector = context.selectors[0]
-    salt = selector.choose(begun_alike(0), frozenset(), 0.0).cache_salt
+    salt = selector.choose(request_with_beginning(0), frozenset(), 0.0).cache_salt
     beginning = part_number(salt, "beginning")
     selector.parts.directory.record_read(beginning, 0, 0.0, saved=True, announce=True)
-    context.first = selector.choose(begun_alike(0), frozenset(), 2.0)
+    context.first = selector.choose(request_with_beginning(0), frozenset(), 2.0)
     view = selector._engines.get(context.first.engine_id)
     view.own_load.add(EngineLoad(requests=1, waiting_tokens=waiting))
 
 
 @when("the prompt is placed")
 def step_rest_placed(context):
-    context.placed = context.selectors[0].choose(begun_alike(0), frozenset(), 2.0)
+    context.placed = context.selectors[0].choose(request_with_beginning(0), frozenset(), 2.0)
 
 
 @then("it goes to an engine where nothing waits")
@@ -321,8 +323,8 @@
 @when("another node has begun to read the rest at the first engine")
 def step_rest_begun(context):
     rest = part_number(context.first.cache_salt, "continuation-0")
-    news = PartLocation(rest, engine_number(context.first.engine_id), PartStage.BEING_READ)
-    context.selectors[0].parts.directory.apply_updates([news], 1.9, of_own_zone=True)
+    update = PartLocation(rest, engine_number(context.first.engine_id), PartStage.BEING_READ)
+    context.selectors[0].parts.directory.apply_updates([update], 1.9, of_own_zone=True)
 
 
 @then("it goes to the engine that reads the rest")
@@ -330,31 +332,31 @@
     assert context.placed.engine_id == context.first.engine_id
 
 
-@when("another prompt of the same beginning is read {seconds:g} s later")
+@when("another prompt with the same beginning is read {seconds:g} s later")
 def step_saved_again(context, seconds):
     selector = context.selectors[0]
-    choice = selector.choose(begun_alike(1), frozenset(), seconds)
+    choice = selector.choose(request_with_beginning(1), frozenset(), seconds)
     assert choice.save_to
-    selector.parts.record_read(choice, begun_alike(1), seconds)
+    selector.parts.record_read(choice, request_with_beginning(1), seconds)
 
 
-@then("{seconds:g} s after the first the beginning counts as kept for a third prompt")
-def step_still_kept(context, seconds):
-    choice = context.selectors[0].choose(begun_alike(2), frozenset(), seconds)
+@then("{seconds:g} s after the first the beginning counts as saved for a third prompt")
+def step_still_saved(context, seconds):
+    choice = context.selectors[0].choose(request_with_beginning(2), frozenset(), seconds)
     assert choice.expected_prefill_tokens == 3_010, choice
 
 
-@then("a prompt of the same beginning {seconds:g} s later is fetched from the store")
+@then("a prompt with the same beginning {seconds:g} s later is fetched from the store")
 def step_from_store(context, seconds):
-    choice = context.selectors[0].choose(begun_alike(1), frozenset(), seconds)
+    choice = context.selectors[0].choose(request_with_beginning(1), frozenset(), seconds)
     assert choice.fetch_from == "10.0.0.0:1", choice
 
 
 @given(
-    "a token takes a store's link {us:g} us, and {count:d} prompts of {tokens:d} tokens"
-    " come each second for {seconds:d} s"
+    "a token takes {us:g} us on a store's link, and {count:d} prompts of {tokens:d} tokens"
+    " arrive each second for {seconds:d} s"
 )
-def step_demand(context, us, count, tokens, seconds):
+def step_store_load(context, us, count, tokens, seconds):
     selector = context.selectors[0]
     profile = ServiceProfile("service-1", 0, store_transfer_s_per_token=us / 1e6)
     selector.parts.services["service-1"] = profile
@@ -376,7 +378,7 @@
 
 
 @given(
-    "engines that keep {capacity:d} tokens, and {nodes:d} nodes that each send {rate:d}"
+    "engines with memory for {capacity:d} tokens, and {nodes:d} nodes that each send {rate:d}"
     " tokens a second"
 )
 def step_traffic(context, capacity, nodes, rate):
@@ -390,7 +392,7 @@
         selector.parts.record_sent(choice, request, float(second))
 
 
-@then("engines are taken to hold what they used for {seconds:g} s")
+@then("engines are estimated to hold a part for {seconds:g} s")
 def step_held_for(context, seconds):
     held_s = context.selectors[0].parts.directory.held_s
     assert abs(held_s - seconds) < 0.1 * seconds, held_s
