--- a/features/gateway_delivery.feature
+++ b/features/gateway_delivery.feature
@@ -52,7 +52,7 @@
     And the engine cannot be reached
     Then it is sent to another engine
 
-  Scenario: Without a retry allowance nothing is sent retries
+  Scenario: Without a retry allowance nothing is sent again
     Given an idempotent request, with 2 attempts
     And the retry allowance is used up
     When it starts
--- a/features/steps/gateway_weights_steps.py
+++ b/features/steps/gateway_weights_steps.py
@@ -1,4 +1,4 @@
-"""Steps about weight versions, rollouts and the right to give orders, in virtual time."""
+"""Steps on weight versions, rollouts and the leadership that they need, in virtual time."""
 
 from behave import given, then, when
 
@@ -23,10 +23,10 @@
 
 
 @given(
-    "versions {one:d} at second {first:g} and {two:d} at second {second:g} are named, "
-    "with {grace:g} s of grace"
+    "versions {one:d} at second {first:g} and {two:d} at second {second:g} are published, "
+    "with a grace period of {grace:g} s"
 )
-def step_named(context, one, first, two, second, grace):
+def step_published(context, one, first, two, second, grace):
     context.targets = WeightTargets(grace)
     context.targets.add(WeightTarget("model", one, 1), first)
     context.targets.add(WeightTarget("model", two, 2), second)
@@ -43,7 +43,7 @@
 
 
 class SimulatedEngines:
-    """Engines that load in a fixed time and take each order once."""
+    """Engines with a fixed load time, under the orders of a rollout."""
 
     def __init__(self, count):
         self.table = EngineTable()
@@ -53,13 +53,13 @@
         self.rollout = WeightRollout(self.targets)
         self.loading = {}
         self.orders = []
-        self.most_at_once = 0
-        self.lost = set()
+        self.most_loading = 0
+        self.orders_to_lose = set()
         self.load_seconds = 0.7
         self.refuses_until = {}
         self.ordered_at = {}
 
-    def name(self, version, now):
+    def publish(self, version, now):
         self.targets.add(WeightTarget("model", version, version), now)
 
     def step(self, now):
@@ -73,7 +73,7 @@
             elif isinstance(instruction, AskReport):
                 busy = instruction.engine_id in self.loading
                 self.rollout.record_report(instruction.engine_id, busy, now)
-        self.most_at_once = max(self.most_at_once, len(self.loading))
+        self.most_loading = max(self.most_loading, len(self.loading))
 
     def _order(self, order, now):
         if now < self.refuses_until.get(order.engine_id, 0.0):
@@ -81,8 +81,8 @@
             return
         self.orders.append(order.engine_id)
         self.ordered_at.setdefault(order.engine_id, now)
-        if order.engine_id in self.lost:
-            self.lost.discard(order.engine_id)
+        if order.engine_id in self.orders_to_lose:
+            self.orders_to_lose.discard(order.engine_id)
             self.rollout.order_unanswered(order.engine_id, now)
             return
         self.loading[order.engine_id] = (now + self.load_seconds, order.version)
@@ -97,41 +97,41 @@
 @given("{count:d} engines with version 1")
 def step_engines(context, count):
     context.engines = SimulatedEngines(count)
-    context.happenings = []
+    context.scheduled_actions = []
 
 
-@when("version {version:d} is named and engines take {seconds:g} s to load")
-def step_name(context, version, seconds):
+@when("version {version:d} is published and engines take {seconds:g} s to load")
+def step_publish(context, version, seconds):
     context.engines.load_seconds = seconds
-    context.happenings.append((0.0, lambda: context.engines.name(version, 0.0)))
+    context.scheduled_actions.append((0.0, lambda: context.engines.publish(version, 0.0)))
 
 
-@when("version {version:d} is named after {seconds:g} s")
-def step_name_later(context, version, seconds):
-    context.happenings.append((seconds, lambda: context.engines.name(version, seconds)))
+@when("version {version:d} is published after {seconds:g} s")
+def step_publish_later(context, version, seconds):
+    context.scheduled_actions.append((seconds, lambda: context.engines.publish(version, seconds)))
 
 
 @when("engine {number:d} restarts with version 1 after {seconds:g} s")
 def step_restart_engine(context, number, seconds):
-    context.happenings.append((seconds, lambda: context.engines.restart(f"engine-{number}")))
+    context.scheduled_actions.append((seconds, lambda: context.engines.restart(f"engine-{number}")))
 
 
-@when("engine {number:d} takes no order before {seconds:g} s")
-def step_refuses(context, number, seconds):
+@when("engine {number:d} refuses orders before {seconds:g} s")
+def step_refuses_orders(context, number, seconds):
     context.engines.refuses_until[f"engine-{number}"] = seconds
 
 
 @when("the first order to engine {number:d} is lost")
 def step_lose_order(context, number):
-    context.engines.lost.add(f"engine-{number}")
+    context.engines.orders_to_lose.add(f"engine-{number}")
 
 
-@given("{tokens:d} tokens wait at engine 1 until {seconds:g} s, and at engine 2 for ever")
+@given("{tokens:d} tokens wait at engine 1 until {seconds:g} s, and at engine 2 without end")
 def step_tokens_wait(context, tokens, seconds):
     first = context.engines.table.get("engine-1").own_load
     first.waiting_tokens = tokens
     context.engines.table.get("engine-2").peer_load.waiting_tokens = tokens
-    context.happenings.append((seconds, lambda: setattr(first, "waiting_tokens", 0)))
+    context.scheduled_actions.append((seconds, lambda: setattr(first, "waiting_tokens", 0)))
 
 
 @then(
@@ -139,26 +139,26 @@
     "and engine 2 between {three:g} s and {four:g} s"
 )
 def step_ordered_between(context, one, two, three, four):
-    play(context, 4.0)
+    run_rollout(context, 4.0)
     first, second = (context.engines.ordered_at[f"engine-{n}"] for n in (1, 2))
     assert one <= first + 1e-6 and first <= two, first
     assert three <= second + 1e-6 and second <= four, second
 
 
-def play(context, seconds):
+def run_rollout(context, seconds):
     now = 0.0
     while now < seconds:
-        due = [h for h in context.happenings if h[0] <= now]
-        context.happenings = [h for h in context.happenings if h[0] > now]
-        for _, happen in due:
-            happen()
+        due = [a for a in context.scheduled_actions if a[0] <= now]
+        context.scheduled_actions = [a for a in context.scheduled_actions if a[0] > now]
+        for _, action in due:
+            action()
         context.engines.step(now)
         now += TICK_SECONDS
 
 
 @then("every engine has version {version:d} within {seconds:g} s")
 def step_reached(context, version, seconds):
-    play(context, seconds)
+    run_rollout(context, seconds)
     versions = [view.weight_version("model") for view in context.engines.table]
     assert set(versions) == {version}, versions
 
@@ -177,11 +177,11 @@
 
 @then("at most {count:d} engines loaded at once")
 def step_at_once(context, count):
-    assert context.engines.most_at_once <= count, context.engines.most_at_once
+    assert context.engines.most_loading <= count, context.engines.most_loading
 
 
 class Contender:
-    """One node's leadership with its own copy of the store."""
+    """One node's leadership, with its own mirror of the store."""
 
     def __init__(self, store, name):
         self.store = store
@@ -229,20 +229,20 @@
     context.contenders = [Contender(context.store, f"node-{n}") for n in range(count)]
 
 
-@given("the store is in era 1, and counts each item of a transaction as a change")
-def step_counts_each(context):
+@given("the store is in era 1, and gives each item of a transaction its own revision")
+def step_revision_per_item(context):
     context.store.revision = position(1, context.store.revision)
     context.store.revision_per_item = True
 
 
-@then("the leader can write that it gives orders")
+@then("the leader can mark itself active")
 def step_can_activate(context):
     context.run(context.leader.leadership.mark_active())
     assert context.leader.leadership.may_order(context.store.now)
 
 
-@when("the leader finds that it cannot write")
-def step_finds(context):
+@when("the leader resigns because it cannot write")
+def step_resigns(context):
     context.leader.leadership.step_down("cannot write")
     context.run(context.leader.leadership.resign())
     context.leader.frozen = True
@@ -259,7 +259,7 @@
     context.leader.candidate = False
 
 
-@when("the store comes back from an older copy, which both hear before they read it")
+@when("the store is restored from an older copy, and both learn of it before they read it")
 def step_restored_unread(context):
     store = context.store
     store.drop_lease(store.items[LEADER_KEY].lease)
@@ -304,7 +304,7 @@
 
 
 @when("the leader gives orders and is killed")
-def step_kill_busy(context):
+def step_kill_active(context):
     context.run(context.leader.leadership.mark_active())
     context.leader.leadership.record_order(context.store.now)
     assert context.leader.leadership.may_order(context.store.now)
@@ -318,7 +318,7 @@
 
 
 @then("the same one leads for {seconds:g} s")
-def step_leads_on(context, seconds):
+def step_continues_to_lead(context, seconds):
     until = context.store.now + seconds
     while context.store.now < until:
         run_contenders(context, TICK_SECONDS)
@@ -330,35 +330,38 @@
     context.fence = context.leader.leadership.fence
     until = context.store.now + seconds
     context.store.should_lose_renewal = lambda number, now: now < until
-    context.changes = []
+    context.leading = []
     while context.store.now < until + 2.0:
         run_contenders(context, TICK_SECONDS)
         leads = bool(leaders(context))
-        if not context.changes or context.changes[-1] != leads:
-            context.changes.append(leads)
+        if not context.leading or context.leading[-1] != leads:
+            context.leading.append(leads)
 
 
 @then("the same one leads again, with the same fence, after one loss")
 def step_leads_again(context):
-    assert context.changes == [True, False, True], context.changes
+    assert context.leading == [True, False, True], context.leading
     assert leaders(context) == [context.leader]
     assert context.leader.leadership.fence == context.fence
 
 
-@when("the store loses the answer to the leader's word that it gives orders")
-def step_lose_word(context):
+@when("the store loses the answer to the leader's write of its activity record")
+def step_lose_activity(context):
     context.store.answers_to_lose = 1
     context.run(context.leader.leadership.mark_active())
 
 
-@then("the leader may give orders, and the word in the store is its own")
+@then("the leader may give orders, and the activity record in the store is its own")
 def step_may_order(context):
     assert context.leader.leadership.may_order(context.store.now)
     assert context.store.items[ACTIVITY_KEY].value == context.leader.name.encode()
 
 
-@when("the other one leads and says so, and then hears no answer to its renewals for {seconds:g} s")
-def step_successor_unheard(context, seconds):
+@when(
+    "the other one leads and marks itself active,"
+    " and then its renewals go unanswered for {seconds:g} s"
+)
+def step_successor_unanswered(context, seconds):
     wait_until_other_leads(context)
     context.run(context.other.leadership.mark_active())
     until = context.store.now + seconds
@@ -385,7 +388,7 @@
     context.other.frozen = True
 
 
-@then("nobody leads for {seconds:g} s")
+@then("no node leads for {seconds:g} s")
 def step_nobody_leads(context, seconds):
     until = context.store.now + seconds
     while context.store.now < until:
@@ -435,7 +438,7 @@
     while not context.other.leadership.may_order(context.store.now):
         run_contenders(context, TICK_SECONDS)
         assert context.store.now < 20.0
-    # The leader's belief could have lasted until its lease ran out less the margin.
+    # The leader could have held its lease until the time to live less the safety margin.
     last_order = context.killed_at + LEASE.time_to_live - LEASE.safety_margin
     assert context.store.now - last_order >= seconds, context.store.now - last_order
 
@@ -447,14 +450,14 @@
     assert context.other.leadership.may_order(context.store.now)
 
 
-@then("the leader cannot write that it gives orders")
+@then("the leader cannot mark itself active")
 def step_cannot_activate(context):
     try:
         context.run(context.leader.leadership.mark_active())
     except StoreError:
         assert not context.leader.leadership.may_order(context.store.now)
         return
-    raise AssertionError("it could")
+    raise AssertionError("the leader marked itself active without its lease")
 
 
 @given("the second one is no candidate")
@@ -469,23 +472,23 @@
 
 @given(
     "engines with versions {first:d}, {second:d} and {third:d}, "
-    "and a node that finds version {named:d} named when it starts"
+    "and a node that finds version {published:d} published when it starts"
 )
-def step_start_late(context, first, second, third, named):
-    context.table_of_engines = EngineTable()
+def step_start_late(context, first, second, third, published):
+    context.engine_table = EngineTable()
     for number, version in enumerate((first, second, third)):
         record = engine_record(f"engine-{number}", weights={"model": version})
-        context.table_of_engines.update(record)
+        context.engine_table.update(record)
     targets = WeightTargets(GRACE_SECONDS)
-    targets.add(WeightTarget("model", named, 1), 100.0, age_known=False)
-    context.selector = EngineSelector(context.table_of_engines, targets, "zone-1")
+    targets.add(WeightTarget("model", published, 1), 100.0, age_known=False)
+    context.selector = EngineSelector(context.engine_table, targets, "zone-1")
 
 
 @when("the engine with version {version:d} is the only one left")
 def step_only_left(context, version):
-    for view in list(context.table_of_engines):
+    for view in list(context.engine_table):
         if view.weight_version("model") != version:
-            context.table_of_engines.remove(view.engine_id)
+            context.engine_table.remove(view.engine_id)
 
 
 @then("its requests go to engines with version {version:d} only")
