--- a/features/steps/gateway_load_steps.py
+++ b/features/steps/gateway_load_steps.py
@@ -68,7 +68,7 @@
 
 
 @when('a peer announces at {now:g} s that a prefill of {tokens:d} tokens starts at "{name}"')
-def step_prefill_announced(context, now, tokens, name):
+def step_prefill_announced(context, now, name, tokens):
     context.load_table.add_peer_prefill(context.engines.get(name).number, tokens, now)
 
 
--- a/features/steps/gateway_relay_steps.py
+++ b/features/steps/gateway_relay_steps.py
@@ -1,4 +1,4 @@
-"""Steps on nodes that follow other nodes' copies of the store."""
+"""Steps on nodes that follow the mirrors of other nodes instead of the store."""
 
 import asyncio
 import os
@@ -60,7 +60,7 @@
 def step_region(context, count, zones):
     context.count = count
     context.members = region_members(count, zones)
-    context.plans = {m.node_id: ReaderSelection(m) for m in context.members}
+    context.selections = {m.node_id: ReaderSelection(m) for m in context.members}
     context.now = 0.0
 
 
@@ -68,14 +68,16 @@
 def step_zone(context, count):
     context.count = count
     context.members = zone_members(count)
-    context.plans = {m.node_id: ReaderSelection(m) for m in context.members if m.zone == "zone"}
+    context.selections = {
+        m.node_id: ReaderSelection(m) for m in context.members if m.zone == "zone"
+    }
     context.now = 0.0
 
 
 def followed(context):
     return {
-        name: plan.reader(context.members, context.now, False)
-        for name, plan in context.plans.items()
+        name: selection.reader(context.members, context.now, False)
+        for name, selection in context.selections.items()
         if name not in getattr(context, "dead", ())
     }
 
@@ -95,24 +97,24 @@
     assert all(count <= most for count in counts.values()), counts
 
 
-@when("the reader that a node follows fails it")
+@when("the reader that a node follows fails")
 def step_fail(context):
     if not hasattr(context, "name"):
         context.name = next(n for n, reader in followed(context).items() if reader is not None)
-    plan = context.plans[context.name]
-    context.failed_reader = plan.reader(context.members, context.now, False)
-    plan.back_off(context.failed_reader.node_id, context.now)
+    selection = context.selections[context.name]
+    context.failed_reader = selection.reader(context.members, context.now, False)
+    selection.back_off(context.failed_reader.node_id, context.now)
 
 
 @then("the node follows the other reader")
 def step_other(context):
-    reader = context.plans[context.name].reader(context.members, context.now, False)
+    reader = context.selections[context.name].reader(context.members, context.now, False)
     assert reader is not None and reader.node_id != context.failed_reader.node_id
 
 
 @then("the node reads the store itself")
-def step_itself(context):
-    assert context.plans[context.name].reader(context.members, context.now, False) is None
+def step_reads_store(context):
+    assert context.selections[context.name].reader(context.members, context.now, False) is None
 
 
 @when("{seconds:d} s pass")
@@ -122,25 +124,25 @@
 
 @then("the node follows a reader again")
 def step_again(context):
-    assert context.plans[context.name].reader(context.members, context.now, False) is not None
+    assert context.selections[context.name].reader(context.members, context.now, False) is not None
 
 
 @when("the same reader fails a node {count:d} times, each time as soon as it is followed again")
 def step_fails_often(context, count):
     name, reader = next((n, r) for n, r in followed(context).items() if r is not None)
-    context.plan = ReaderSelection(context.plans[name].own)
+    context.selection = ReaderSelection(context.selections[name].own)
     context.failed_reader = reader
     context.now = 0.0
     for _ in range(count):
-        while context.plan._is_backed_off(reader.node_id, context.now):
+        while context.selection._is_backed_off(reader.node_id, context.now):
             context.now += 0.1
-        context.plan.back_off(reader.node_id, context.now)
+        context.selection.back_off(reader.node_id, context.now)
 
 
 @then("that reader is followed again after {seconds:g} s")
 def step_followed_after(context, seconds):
     def is_followed(now):
-        reader = context.plan.reader(context.members, now, False)
+        reader = context.selection.reader(context.members, now, False)
         return reader is not None and reader.node_id == context.failed_reader.node_id
 
     assert not is_followed(context.now + seconds - 0.1)
@@ -148,7 +150,7 @@
 
 
 class CountedStore:
-    """A store with one configuration, whose watches tell of nothing."""
+    """A store with one configuration, whose watches report no change."""
 
     def __init__(self):
         self.reads = 0
@@ -165,14 +167,14 @@
 
 
 class StartingNode(FollowerDelegate):
-    """A node that finds out some time after its start whom to follow."""
+    """A node that knows a reader only some time after its start."""
 
-    def __init__(self, knows_after_s):
+    def __init__(self, known_after_s):
         self.view = ConfigurationView(4.5)
-        self.prover = FreshnessChecker(None, stub_follower(None), None, self.view, None)
+        self.prover = FreshnessChecker(None, fake_follower(None), None, self.view, None)
         self.store = CountedStore()
         self.follower = StoreFollower(self.store, "", self, LIMITS)
-        self.knows_at = time.monotonic() + knows_after_s
+        self.known_at = time.monotonic() + known_after_s
 
     def own_name(self):
         return LIMITS.own_name
@@ -193,7 +195,7 @@
         pass
 
     def reader_to_follow(self, store_lost):
-        known = time.monotonic() >= self.knows_at
+        known = time.monotonic() >= self.known_at
         return Member("reader", "127.0.0.1:9", "region", "zone", 1) if known else None
 
     def is_reader_eligible(self, reader, since):
@@ -203,7 +205,7 @@
         pass
 
     def reader_lost(self, reader, reason):
-        self.knows_at = float("inf")
+        self.known_at = float("inf")
 
 
 @given("a store whose calls are counted, and a node that learns {when} whom to follow")
@@ -216,7 +218,7 @@
 def step_node_runs(context, seconds):
     async def run():
         node = context.node
-        # A reader that is found is one that serves: following it lasts until the end.
+        # A known reader serves: following it lasts until the task is cancelled.
         node.follower._relay.follow = lambda address, after: asyncio.sleep(60)
         task = asyncio.ensure_future(node.follower.run())
         until = time.monotonic() + seconds
@@ -246,40 +248,40 @@
     context.members = zone_members(context.count, {dead: Condition.DEAD})
 
 
-@then("the dead one is followed by nobody")
-def step_nobody(context):
+@then("no node follows the dead one")
+def step_not_followed(context):
     readers = {reader.node_id for reader in followed(context).values() if reader is not None}
     assert not readers & context.dead
 
 
 @when("the store does not answer one of them")
 def step_store_lost(context):
-    context.name = next(iter(context.plans))
-    context.plan = context.plans[context.name]
+    context.name = next(iter(context.selections))
+    context.selection = context.selections[context.name]
 
 
 @then("it follows {count:d} other nodes one after the other, and then none")
-def step_stand_ins(context, count):
+def step_substitutes(context, count):
     context.followed = []
     for _ in range(count):
-        reader = context.plan.reader(context.members, context.now, True)
+        reader = context.selection.reader(context.members, context.now, True)
         context.followed.append(reader)
-        context.plan.back_off(reader.node_id, context.now)
+        context.selection.back_off(reader.node_id, context.now)
     assert len({m.node_id for m in context.followed} - {context.name}) == count
-    assert context.plan.reader(context.members, context.now, True) is None
+    assert context.selection.reader(context.members, context.now, True) is None
 
 
 @then("those of its own zone come first")
-def step_near_first(context):
+def step_own_zone_first(context):
     zones = [m.zone for m in context.followed]
     assert zones[:2] == ["zone", "zone"], zones
 
 
-@then("one that serves it is left after {seconds:g} s to try the store again")
-def step_left(context, seconds):
+@then("it follows one of them for {seconds:g} s before it tries the store again")
+def step_followed_until(context, seconds):
     reader = context.followed[0]
-    assert context.plan.is_eligible(reader, context.members, 0.0, seconds - 0.1)
-    assert not context.plan.is_eligible(reader, context.members, 0.0, seconds)
+    assert context.selection.is_eligible(reader, context.members, 0.0, seconds - 0.1)
+    assert not context.selection.is_eligible(reader, context.members, 0.0, seconds)
 
 
 @given('a mirror at revision {at:d} from which "{key}" was removed at {removed:d}')
@@ -290,7 +292,7 @@
     context.mirror.apply_batch(WatchBatch((RemovedItem(key, removed),), at))
 
 
-@when('a reader that is behind tells of "{key}" as written at {revision:d}')
+@when('a reader that is behind reports "{key}" as written at {revision:d}')
 def step_behind(context, key, revision):
     context.mirror.apply_batch(WatchBatch((StoredItem(key, b"", revision),), revision))
 
@@ -304,7 +306,7 @@
     return WatchBatch((StoredItem(f"key-{at}", b"", at),), at)
 
 
-@given("a log of changes with batches up to revisions 10, 12 and 15 after 8")
+@given("a change log with batches up to revisions 10, 12 and 15 after 8")
 def step_log(context):
     context.log = ChangeLog()
     context.log.reset(8)
@@ -339,7 +341,7 @@
 def step_in_force(context, version):
     context.view = ConfigurationView(4.5)
     context.view.adopt(GatewayConfiguration(version, (route_rule(),), {}))
-    context.prover = FreshnessChecker(None, stub_follower(None), None, context.view, None)
+    context.prover = FreshnessChecker(None, fake_follower(None), None, context.view, None)
 
 
 @when("a peer asked at {asked:g} s answers with version {version:d} and a proof {age:g} s old")
@@ -419,7 +421,7 @@
 async def eventually(condition, seconds=3.0):
     until = time.monotonic() + seconds
     while not condition():
-        assert time.monotonic() < until, "it did not come about in time"
+        assert time.monotonic() < until, "the condition did not hold in time"
         await asyncio.sleep(0.01)
 
 
@@ -454,13 +456,13 @@
     context.run(follow())
 
 
-def same(context):
+def has_same_items(context):
     return set(context.follower.mirror.items()) == set(context.reader.mirror.items())
 
 
 @then("the follower has the {count:d} items")
 def step_has(context, count):
-    assert same(context) and len(context.follower.mirror.items()) == count
+    assert has_same_items(context) and len(context.follower.mirror.items()) == count
 
 
 @when("the reader learns of a written and of a removed item")
@@ -475,12 +477,12 @@
 
 @then("the follower has them too, with the same revision")
 def step_has_too(context):
-    context.run(eventually(lambda: same(context)))
+    context.run(eventually(lambda: has_same_items(context)))
     assert context.follower.mirror.get("key-0002") is None
     assert context.follower.mirror.position == context.reader.mirror.position
 
 
-@when("the follower loses it, and the reader learns of {count:d} more items")
+@when("the follower loses the connection, and the reader learns of {count:d} more items")
 def step_loses(context, count):
     async def lose():
         context.follower.task.cancel()
@@ -502,7 +504,7 @@
 
 @then("the follower has all of the reader's items without reading them all again")
 def step_resumed(context):
-    assert same(context)
+    assert has_same_items(context)
     assert context.follower.snapshots == 1, context.follower.snapshots
 
 
@@ -534,12 +536,12 @@
 FAILURES = {
     "falls silent": fall_silent,
     "has no fresh proof": lose_proof,
-    "sends what is no message": send_garbage,
+    "sends an invalid message": send_garbage,
     "closes": close,
 }
 
 
-@when("the reader can no longer be relied on: it {fails}")
+@when("the reader becomes unreliable: it {fails}")
 def step_reader_fails(context, fails):
     async def fail():
         FAILURES[fails](context)
@@ -558,7 +560,7 @@
 
 
 @when("a follower follows it and stops reading")
-def step_stalled(context):
+def step_follow_without_reading(context):
     async def follow():
         host, _, port = context.reader.address.rpartition(":")
         context.stalled = await asyncio.open_connection(host, int(port), limit=1024)
@@ -578,34 +580,34 @@
 @when("the reader learns of {count:d} items of {size:d} bytes each")
 def step_many(context, count, size):
     async def learn():
-        context.held = 0
+        context.most_queued_bytes = 0
         for _ in range(count):
             context.reader.write(1, os.urandom(size))
-            held = sum(s.queued_bytes for s in context.reader.server._subscribers)
-            context.held = max(context.held, held)
+            queued_bytes = sum(s.queued_bytes for s in context.reader.server._subscribers)
+            context.most_queued_bytes = max(context.most_queued_bytes, queued_bytes)
             await asyncio.sleep(0)
 
     context.run(learn())
 
 
-@then("the reader has no followers, and holds less than {size:d} MB for any")
-def step_cut_off(context, size):
+@then("the reader has no followers, and queued less than {size:d} MB for any")
+def step_disconnected(context, size):
     context.run(eventually(lambda: context.reader.followers == 0))
-    assert context.held < size * 1_000_000, context.held
+    assert context.most_queued_bytes < size * 1_000_000, context.most_queued_bytes
 
 
 def new_prover(context, store, follower):
     context.store = store
     context.view = ConfigurationView(4.5)
     context.view.adopt(GatewayConfiguration(7, (), {}))
-    beliefs = SimpleNamespace(
+    state = SimpleNamespace(
         decoder=SimpleNamespace(configuration_key="config"), configuration_revision=5
     )
-    context.prover = FreshnessChecker(store, follower, beliefs, context.view, None)
+    context.prover = FreshnessChecker(store, follower, state, context.view, None)
 
 
-def stub_follower(followed):
-    """Return a follower whose copy has all that the stores of these steps tell."""
+def fake_follower(followed):
+    """Return a follower whose mirror has reached the revision of the stores of these steps."""
     return SimpleNamespace(
         followed=followed,
         mirror=SimpleNamespace(position=9),
@@ -615,37 +617,37 @@
 
 
 class SlowStore:
-    """Answers with one configuration item after a while, and counts questions."""
+    """A store that answers with one configuration item after a delay, and counts reads."""
 
     def __init__(self, delay):
         self.delay = delay
-        self.asked = 0
+        self.reads = 0
 
     async def read(self, key):
-        self.asked += 1
+        self.reads += 1
         await asyncio.sleep(self.delay)
         return ReadResult(StoredItem(key, b"", 5), 9)
 
 
 @given(
-    "a follower whose proof ran out while it stood still, and a store that answers in {delay:g} s"
+    "a follower whose proof expired while it was suspended, and a store that answers in {delay:g} s"
 )
-def step_stood_still(context, delay):
-    follower = stub_follower(object())
+def step_suspended(context, delay):
+    follower = fake_follower(object())
     new_prover(context, SlowStore(delay), follower)
 
 
-@when("requests with keys come")
-def step_need_proof(context):
-    async def need():
+@when("requests with API keys arrive")
+def step_requests(context):
+    async def request():
         loop = asyncio.ensure_future(context.prover.run())
         await asyncio.sleep(0.02)
-        assert context.store.asked == 0
+        assert context.store.reads == 0
         await asyncio.gather(*(context.prover.wait_for_proof(0.08) for _ in range(5)))
         context.proven = context.view.is_proven(time.monotonic())
         loop.cancel()
 
-    context.run(need())
+    context.run(request())
 
 
 @then("they are served: {answer}")
@@ -653,64 +655,64 @@
     assert context.proven == (answer == "yes")
 
 
-@then("the store was asked {count:d} time")
-def step_asked(context, count):
-    assert context.store.asked == count, context.store.asked
+@then("the store was read {count:d} time")
+def step_store_reads(context, count):
+    assert context.store.reads == count, context.store.reads
 
 
 class FailingStore:
-    """A store that fails until it is mended."""
+    """A store that fails until it has recovered."""
 
     def __init__(self, delay):
         self.delay = delay
-        self.asked = 0
-        self.mended = False
+        self.reads = 0
+        self.recovered = False
 
     async def read(self, key):
-        self.asked += 1
+        self.reads += 1
         await asyncio.sleep(self.delay)
-        if not self.mended:
+        if not self.recovered:
             raise StoreUnavailableError("no answer")
         return ReadResult(StoredItem(key, b"", 5), 9)
 
 
-@given("a node whose proof ran out, and a store that fails after {delay:g} s")
+@given("a node whose proof has expired, and a store that fails after {delay:g} s")
 def step_failing_store(context, delay):
-    follower = stub_follower(None)
+    follower = fake_follower(None)
     new_prover(context, FailingStore(delay), follower)
 
 
-async def ask_often(prover, seconds):
+async def request_proofs(prover, seconds):
     until = time.monotonic() + seconds
     while time.monotonic() < until:
         await prover.wait_for_proof(0.08)
 
 
-@when("requests with keys come for {seconds:g} s")
+@when("requests with API keys arrive for {seconds:g} s")
 def step_requests_for(context, seconds):
-    async def need():
+    async def request():
         loop = asyncio.ensure_future(context.prover.run())
-        await ask_often(context.prover, seconds)
+        await request_proofs(context.prover, seconds)
         loop.cancel()
 
-    context.run(need())
+    context.run(request())
 
 
-@then("the store was asked at most {count:d} times")
-def step_asked_most(context, count):
-    assert 1 <= context.store.asked <= count, context.store.asked
+@then("the store was read at most {count:d} times")
+def step_store_reads_at_most(context, count):
+    assert 1 <= context.store.reads <= count, context.store.reads
 
 
-@when("the failing store is mended")
-def step_answers_again(context):
-    context.store.mended = True
+@when("the failing store recovers")
+def step_store_recovers(context):
+    context.store.recovered = True
 
 
 @then("the node has a proof within {seconds:g} s")
 def step_has_proof(context, seconds):
-    async def need():
+    async def request():
         loop = asyncio.ensure_future(context.prover.run())
         await eventually(lambda: context.view.is_proven(time.monotonic()), seconds)
         loop.cancel()
 
-    context.run(need())
+    context.run(request())
