--- a/features/steps/gateway_relay_steps.py
+++ b/features/steps/gateway_relay_steps.py
@@ -378,7 +378,7 @@
 
     def prove(self):
         self.view.prove_current(5, time.monotonic())
-        self.freshness.note_reading(1, time.monotonic())
+        self.freshness.record_reading(1, time.monotonic())
         self.freshness.record_position(1)
 
     def learn(self, *changes):
