--- a/features/gateway_relay.feature
+++ b/features/gateway_relay.feature
@@ -35,7 +35,7 @@
     Then that reader is followed again after 8 s
 
   Scenario Outline: A node that starts reads the store once, and watches it only if it must
-    Given a store whose calls are counted, and a node that learns <when> whom to follow
+    Given a store whose calls are counted, and a node that finds a reader <when>
     When the node runs for 1.6 s
     Then the store was read <reads> times and watched <watches> times
     And the node's configuration is proven
--- a/features/gateway_support.py
+++ b/features/gateway_support.py
@@ -8,53 +8,55 @@
 from liftrill.gateway.records import BackendShare, EngineRecord, RequestKind, RouteRule
 
 
-def engine_record(engine_id, service="service-1", weights=None, draining=False, revision=1, **more):
+def engine_record(
+    engine_id, service="service-1", weights=None, draining=False, revision=1, **overrides
+):
     return EngineRecord(
         engine_id=engine_id,
         service=service,
-        address=more.get("address", f"10.0.0.1:{engine_id[-1]}"),
-        zone=more.get("zone", "zone-1"),
-        slots=more.get("slots", 8),
+        address=overrides.get("address", f"10.0.0.1:{engine_id[-1]}"),
+        zone=overrides.get("zone", "zone-1"),
+        slots=overrides.get("slots", 8),
         draining=draining,
         weights=weights or {},
         revision=revision,
     )
 
 
-def route_rule(kind=RequestKind.STREAM, resumable=False, attempts=2, **more):
+def route_rule(kind=RequestKind.STREAM, resumable=False, attempts=2, **overrides):
     return RouteRule(
-        name=more.get("name", "route-1"),
-        host=more.get("host", "host-1"),
-        path_prefix=more.get("path_prefix", "/a/"),
-        backends=more.get("backends", (BackendShare("service-1", 1.0),)),
+        name=overrides.get("name", "route-1"),
+        host=overrides.get("host", "host-1"),
+        path_prefix=overrides.get("path_prefix", "/a/"),
+        backends=overrides.get("backends", (BackendShare("service-1", 1.0),)),
         kind=kind,
         timeout_seconds=10.0,
         target_seconds=1.0,
         maximum_attempts=attempts,
-        priority=more.get("priority", 1),
-        public=more.get("public", False),
+        priority=overrides.get("priority", 1),
+        public=overrides.get("public", False),
         resumable=resumable,
     )
 
 
-def opaque_request(route=None, model="model", deadline=100.0, received_at=0.0, **more):
+def opaque_request(route=None, model="model", deadline=100.0, received_at=0.0, **overrides):
     parts = (PromptPart("shared", 100), PromptPart("own", 10))
     prompt = PromptShape(model, parts, 110, 20) if model else None
     return OpaqueRequest(
-        request_id=more.get("request_id", "request-1"),
+        request_id=overrides.get("request_id", "request-1"),
         method="POST",
         target="/a/b?c=d",
         headers=(),
-        body=more.get("body", b""),
+        body=overrides.get("body", b""),
         route=route or route_rule(),
         service="service-1",
-        tenant=more.get("tenant", ""),
-        isolated=more.get("isolated", False),
+        tenant=overrides.get("tenant", ""),
+        isolated=overrides.get("isolated", False),
         priority=1,
         prompt=prompt,
         received_at=received_at,
         deadline=deadline,
-        last_event_id=more.get("last_event_id"),
+        last_event_id=overrides.get("last_event_id"),
     )
 
 
--- a/features/steps/gateway_delivery_steps.py
+++ b/features/steps/gateway_delivery_steps.py
@@ -31,10 +31,10 @@
     def choose(self, request, excluded):
         if not self.ready:
             return Unavailable.NONE_READY
-        left = [engine for engine in ENGINES if engine not in excluded]
-        if not left:
+        remaining = [engine for engine in ENGINES if engine not in excluded]
+        if not remaining:
             return Unavailable.NONE_LEFT
-        return events.EngineChoice(left[0], "address", backup=self.backup)
+        return events.EngineChoice(remaining[0], "address", backup=self.backup)
 
     def continue_at_backup(self, request, broken):
         backup = broken.backup
--- a/features/steps/gateway_relay_steps.py
+++ b/features/steps/gateway_relay_steps.py
@@ -208,7 +208,7 @@
         self.known_at = float("inf")
 
 
-@given("a store whose calls are counted, and a node that learns {when} whom to follow")
+@given("a store whose calls are counted, and a node that finds a reader {when}")
 def step_starting_node(context, when):
     seconds = {"after 0.4 s": 0.4, "never": float("inf")}[when]
     context.node = StartingNode(seconds)
@@ -525,7 +525,7 @@
     context.reader.server._view = StaleView()
 
 
-def send_garbage(context):
+def send_invalid_message(context):
     context.reader.server._send_all(b"\xff\xff\xff")
 
 
@@ -536,7 +536,7 @@
 FAILURES = {
     "falls silent": fall_silent,
     "has no fresh proof": lose_proof,
-    "sends an invalid message": send_garbage,
+    "sends an invalid message": send_invalid_message,
     "closes": close,
 }
 
