--- a/features/gateway_support.py
+++ b/features/gateway_support.py
@@ -1,4 +1,4 @@
-"""Records and requests that the gateway's step modules build."""
+"""Factories of records, requests and quarantines for the gateway's step modules."""
 
 from liftrill.gateway.decision_log import DecisionLog
 from liftrill.gateway.gateway_metrics import GatewayMetrics
@@ -8,58 +8,60 @@
 from liftrill.gateway.records import BackendShare, EngineRecord, RequestKind, RouteRule
 
 
-def engine_record(engine_id, service="service-1", weights=None, draining=False, revision=1, **more):
+def engine_record(
+    engine_id, service="service-1", weights=None, draining=False, revision=1, **overrides
+):
     return EngineRecord(
         engine_id=engine_id,
         service=service,
-        address=more.get("address", f"10.0.0.1:{engine_id[-1]}"),
-        zone=more.get("zone", "zone-1"),
-        slots=more.get("slots", 8),
+        address=overrides.get("address", f"10.0.0.1:{engine_id[-1]}"),
+        zone=overrides.get("zone", "zone-1"),
+        slots=overrides.get("slots", 8),
         draining=draining,
         weights=weights or {},
         revision=revision,
     )
 
 
-def route_rule(kind=RequestKind.STREAM, resumable=False, attempts=2, **more):
+def route_rule(kind=RequestKind.STREAM, resumable=False, attempts=2, **overrides):
     return RouteRule(
-        name=more.get("name", "route-1"),
-        host=more.get("host", "host-1"),
-        path_prefix=more.get("path_prefix", "/a/"),
-        backends=more.get("backends", (BackendShare("service-1", 1.0),)),
+        name=overrides.get("name", "route-1"),
+        host=overrides.get("host", "host-1"),
+        path_prefix=overrides.get("path_prefix", "/a/"),
+        backends=overrides.get("backends", (BackendShare("service-1", 1.0),)),
         kind=kind,
         timeout_seconds=10.0,
         target_seconds=1.0,
         maximum_attempts=attempts,
-        priority=more.get("priority", 1),
-        public=more.get("public", False),
+        priority=overrides.get("priority", 1),
+        public=overrides.get("public", False),
         resumable=resumable,
     )
 
 
-def opaque_request(route=None, model="model", deadline=100.0, received_at=0.0, **more):
+def opaque_request(route=None, model="model", deadline=100.0, received_at=0.0, **overrides):
     parts = (PromptPart("shared", 100), PromptPart("own", 10))
     prompt = PromptShape(model, parts, 110, 20) if model else None
     return OpaqueRequest(
-        request_id=more.get("request_id", "request-1"),
+        request_id=overrides.get("request_id", "request-1"),
         method="POST",
         target="/a/b?c=d",
         headers=(),
-        body=more.get("body", b""),
+        body=overrides.get("body", b""),
         route=route or route_rule(),
         service="service-1",
-        tenant=more.get("tenant", ""),
-        isolated=more.get("isolated", False),
+        tenant=overrides.get("tenant", ""),
+        isolated=overrides.get("isolated", False),
         priority=1,
         prompt=prompt,
         received_at=received_at,
         deadline=deadline,
-        last_event_id=more.get("last_event_id"),
+        last_event_id=overrides.get("last_event_id"),
     )
 
 
-class NoKeeper(QuarantineStorage):
-    """Keeps nothing."""
+class NullQuarantineStorage(QuarantineStorage):
+    """Stores nothing."""
 
     def save(self, entry, at_once):
         pass
@@ -68,8 +70,8 @@
         pass
 
 
-class NoPeers(QuarantinePeers):
-    """Tells nobody."""
+class NullQuarantinePeers(QuarantinePeers):
+    """Sends nothing."""
 
     def send_lost_runs(self, runs):
         pass
@@ -81,12 +83,12 @@
         pass
 
 
-def new_quarantine(engines, peers=None, keeper=None):
-    """Return the quarantine of a node, which tells nobody and keeps nothing unless it is to."""
+def new_quarantine(engines, peers=None, storage=None):
+    """Return a node's quarantine, which sends and stores nothing by default."""
     return Quarantine(
         engines,
         DecisionLog("node-1"),
         GatewayMetrics(),
-        peers or NoPeers(),
-        keeper or NoKeeper(),
+        peers or NullQuarantinePeers(),
+        storage or NullQuarantineStorage(),
     )
