--- a/features/engine_words.feature
+++ b/features/engine_words.feature
@@ -1,18 +1,16 @@
-Feature: What engines say of themselves in their answers
+Feature: Signals in the answers of engines
 
-  Engines that had said in their answers that they leave got requests for up to 11.5 s more, while
-  the store was away and their records said nothing of it: the nodes had each answer as "served",
-  and wrote "leaving: true" when the record came, "news_age_s: 14.2". Engines that had asked for 3 s
-  of rest got requests twice a second from each node, as after any refusal: each was left alone for
-  0.15 s. No header of an answer was read but those that tell whether the request ran; and
-  what a node did know of an engine lay in the view of its record, and went with the record.
+  Guards against nodes that ignore what an engine announces in its answers, or lose it with the
+  engine's record. During a store outage, engines that had announced in answers that they were
+  leaving got requests for up to 11.5 s more. Engines that had asked for a backoff of 3 s got two
+  requests a second from each node, because any refusal paused sends for 0.15 s only.
 
-  # Where it is said
+  # Kinds of answers
 
-  Scenario Outline: An engine's word is heard in whatever answer it stands
-    Given an engine that says that it leaves in the <answer> alone
-    When a node sends it what brings that answer
-    Then the node has heard that it leaves
+  Scenario Outline: A signal is read from every kind of answer
+    Given an engine that announces that it is leaving in the <answer> alone
+    When a node sends it a call that gets this answer
+    Then the node has read that it is leaving
 
     Examples:
       | answer          |
@@ -24,191 +22,191 @@
 
   # What is remembered
 
-  Scenario Outline: What an engine said holds, whatever becomes of its record
+  Scenario Outline: An engine that is leaving stays so whatever happens to its record
     Given a node that knows engines a and b with the weights of version 1
-    When a says in an answer that it leaves
-    And <news>
+    When a announces in an answer that it is leaving
+    And <change>
     Then b alone is in use
-    And no run goes on at a, nor is a copy kept there
+    And a is neither resumed at nor chosen as a backup
 
     Examples:
-      | news                                            |
-      | its record is written again                     |
-      | its record goes and comes back                  |
-      | its record goes while the store is away and back |
-      | its record is spoiled and good again            |
-      | its record comes back with an older revision    |
-      | a reader's copy is taken over whole             |
-
-  Scenario: The weights that an engine was seen to have hold when an older record of it comes back
+      | change                                                         |
+      | its record is written again                                    |
+      | its record is removed and written again                        |
+      | its record is removed during a store outage and written again  |
+      | its record becomes invalid and valid again                     |
+      | its record is removed and written again with an older revision |
+      | the snapshot of a store reader is applied                      |
+
+  Scenario: The weights version observed at an engine outlives an older record
     Given a node that knows engines a and b with the weights of version 1
-    When a is seen to have version 2 of the weights
-    And its record goes and comes back
+    When a is observed to have version 2 of the weights
+    And its record is removed and written again
     Then a is asked for version 2 of the weights
 
-  Scenario: An engine that starts again under its id is free of its former word
+  Scenario: An engine that restarts under its id is not leaving any more
     Given a node that knows engines a and b with the weights of version 1
     And both tell when they started
-    When a says in an answer that it leaves
+    When a announces in an answer that it is leaving
     And the entry of a is written again with born = 1700000009000
     Then a and b are in use
-    When the former a says in a late answer that it leaves
+    When the former a announces in a late answer that it is leaving
     Then a and b are in use
 
-  Scenario: Where engines do not tell their start, one at another address is another one
+  Scenario: Without start times, an engine at a new address is a new engine
     Given a node that knows engines a and b with the weights of version 1
-    When a says in an answer that it leaves
+    When a announces in an answer that it is leaving
     And the entry of a is written again with Address = "10.0.0.2:9000"
     Then a and b are in use
 
-  Scenario: The word of another engine at the address is its own
+  Scenario: A signal of another engine at the same address does not apply to this one
     Given a node that knows engines a and b with the weights of version 1
-    When another engine at the address of a says that it leaves
+    When another engine at the address of a announces that it is leaving
     Then a and b are in use
 
-  Scenario: What a peer tells of an engine without a record holds once it has one
+  Scenario: A signal that a peer passes on for an engine without a record applies once it has one
     Given a node that knows engines a and b with the weights of version 1
-    When the record of a goes, a peer tells that it leaves, and the record is back
+    When the record of a is removed, a peer reports that a is leaving, and the record is written again
     Then b alone is in use
 
-  Scenario Outline: A node that joins is told what it can't read in the store
-    Given a node that knows that a leaves, uses no record of b, and saw version 2 of the weights at c
-    When a node that has <read>
+  Scenario Outline: A node that joins receives the engine state that the store does not hold
+    Given a node that knows that a is leaving, uses no record of b, and observed weights version 2 at c
+    When a node that <read>
     Then it uses c alone, with version 2 of the weights
     And b too once its record is written again
 
     Examples:
-      | read                                                        |
-      | read older records joins, and is told                       |
-      | read nothing joins, is told, and reads older records then   |
+      | read                                                                     |
+      | has read older records joins and gets this state                         |
+      | has read no records joins, gets this state, and then reads older records |
 
-  Scenario: What is remembered is bounded
+  Scenario: The number of remembered signals is bounded
     Given a node that knows engines a and b with the weights of version 1
-    When 5000 other engines say that they leave, and a says so
+    When 5000 other engines announce that they are leaving, and so does a
     Then 4096 are remembered
     And b alone is in use
     When 700 s go by
-    Then the word of a alone is remembered
+    Then the signal of a alone is remembered
 
-  # Rest
+  # Backoff
 
-  Scenario Outline: A rest lasts until the latest end that the engine asked for
+  Scenario Outline: A backoff lasts until the latest end that the engine asked for
     Given a node that knows engines a and b with the weights of version 1
-    When a asks for 3 s of rest, <news>
+    When a asks for 3 s of backoff, <event>
     Then b alone is in use for 2.9 s, and a and b after 3.1 s
 
     Examples:
-      | news                                      |
-      | and for 1 s a second later                |
-      | and its record goes and comes back        |
-      | and is said to have loaded its weights    |
-      | and is seen to have newer weights         |
-      | and an answer comes to what it had before |
-
-  Scenario: After its rest an engine gets one request at a time until it has answered one
+      | event                                       |
+      | and for 1 s a second later                  |
+      | and its record is removed and written again |
+      | and is reported to have loaded its weights  |
+      | and is observed to have newer weights       |
+      | and answers a request sent before           |
+
+  Scenario: After its backoff an engine gets one request at a time until it has answered one
     Given a node that knows engines a and b with the weights of version 1
-    When a asks for 3 s of rest, and gets a request after 3.1 s
+    When a asks for 3 s of backoff, and gets a request after 3.1 s
     Then b alone is in use after 3.2 s, and a and b after 3.4 s
     When it has answered a request that was sent after 3.4 s
     Then a and b are in use after 3.5 s, whatever it gets
 
-  Scenario: A rest that ends at all nodes at once ends with one request from each
-    Given 7 nodes that an engine asked for rest at the same moment
-    When 20 requests wait at each of them until the rest is over
+  Scenario: A backoff that ends at all nodes at once is followed by one request from each
+    Given 7 nodes that an engine asked for a backoff at the same moment
+    When 20 requests wait at each of them until the backoff ends
     Then the engine gets 7 requests in the first 0.2 s after it
 
-  Scenario: A request waits for a rest that is soon over, and not for another
+  Scenario: A request waits for a backoff that ends soon, and for no other
     Given a node that knows engines a and b with the weights of version 1
-    When a asks for 3 s of rest, and b for 2.5 s of rest
-    Then a request is refused after 1 s, with 1.5 s until the first rest is over
+    When a asks for 3 s of backoff, and b for 2.5 s of backoff
+    Then a request is refused after 1 s, with 1.5 s until the first backoff ends
     And a request waits after 2.4 s
 
-  Scenario: A request that waited for engines which do not rest is not told that they do
+  Scenario: A request that waited for engines that load weights is not refused for a backoff
     Given a node that knows engines a and b with the weights of version 1
-    When both are said to load weights for 9 s
+    When both are reported to load weights for 9 s
     Then a request that has waited for 1 s finds none ready
 
-  Scenario: Orders wait for a rest, but not for a long one
+  Scenario: Orders wait for a short backoff, but not for a long one
     Given a node that knows engines a and b with the weights of version 1
-    When version 2 of the weights is named, and a asks for 3 s of rest, and b for 60 s of rest
+    When version 2 of the weights becomes the target, and a asks for 3 s of backoff, and b for 60 s of backoff
     Then both are ordered to load, a after 3 s and b after 5 s
 
-  Scenario: An engine that leaves is not ordered to load, nor one that says so before its order
+  Scenario: An engine that is leaving gets no order to load, even if it says so just before the order
     Given a node that knows engines a and b with the weights of version 1
-    When the rollout hears of version 2 of the weights
-    And a says that it leaves before its load is announced, and b after it
-    Then neither is ordered to load, nor asked whether it has
+    When the rollout learns of version 2 of the weights
+    And a announces that it is leaving before its load is announced, and b after it
+    Then neither is ordered to load or asked for its version
 
-  Scenario Outline: What is no word of leaving changes nothing
+  Scenario Outline: Headers that carry no valid signal change nothing
     Given an engine whose answers have <headers>
-    Then it is not said to leave, and wants <rest> s of rest
+    Then it is not taken for leaving, and asks for <backoff> s of backoff
 
     Examples:
-      | headers                                  | rest |
-      | Server-Leaving: 0                        | 0    |
-      | Server-Leaving: yes                      | 0    |
-      | 200, Retry-After: 3                      | 0    |
-      | 503, Retry-After: -1                     | 0    |
-      | 503, Retry-After: 0                      | 0    |
-      | 503, Retry-After: 1e9                    | 0    |
-      | 503, Retry-After: 3 s                    | 0    |
-      | 503, Retry-After: Wed, 21 Oct 2026 07:28 | 0    |
-      | 503, Retry-After: 0.25                   | 0.25 |
-      | 503, Retry-After: 3, Retry-After: 1      | 3    |
-
-  # Between the choice and the first byte
-
-  Scenario Outline: A request that waits for its connection is not sent once its engine wants nothing
+      | headers                                  | backoff |
+      | Server-Leaving: 0                        | 0       |
+      | Server-Leaving: yes                      | 0       |
+      | 200, Retry-After: 3                      | 0       |
+      | 503, Retry-After: -1                     | 0       |
+      | 503, Retry-After: 0                      | 0       |
+      | 503, Retry-After: 1e9                    | 0       |
+      | 503, Retry-After: 3 s                    | 0       |
+      | 503, Retry-After: Wed, 21 Oct 2026 07:28 | 0       |
+      | 503, Retry-After: 0.25                   | 0.25    |
+      | 503, Retry-After: 3, Retry-After: 1      | 3       |
+
+  # Between the choice of an engine and the first byte sent
+
+  Scenario Outline: A request that waits for its connection is not sent if its engine becomes unavailable
     Given an engine whose connections take 0.2 s to come up
     And a node that has chosen it for a request that may not be repeated
-    When <word> while the connection comes up
+    When <event> while the connection comes up
     Then the engine gets nothing, and the request is sent to another engine
 
     Examples:
-      | word                   |
-      | it says that it leaves |
-      | it asks for rest       |
-      | its record is removed  |
+      | event                           |
+      | it announces that it is leaving |
+      | it asks for a backoff           |
+      | its record is removed           |
 
-  Scenario: A request whose node sleeps while its connection comes up waits for the store's word
+  Scenario: A request whose node was suspended while its connection came up waits for the store
     Given an engine whose connections take 0.2 s to come up
     And a node that has chosen it for a request that may not be repeated
-    When the node wakes while the connection comes up, and hears from the store 0.3 s later
+    When the node resumes while the connection comes up, and has the store's state 0.3 s later
     Then the request is sent after that
 
   # Nodes as separate processes
 
-  Scenario: An engine that says in its answers that it leaves gets nothing more, whatever its record says
+  Scenario: An engine that announces that it is leaving gets nothing more, whatever its record says
     Given a stand-in platform with 4 desk engines and 4 model engines
     And 3 nodes
     And callers that call all nodes on "whole" and "stream" and know where they called
-    When an engine of each kind says in all its answers that it leaves, its record stays ready, goes for 1 s and is back
+    When an engine of each kind announces in all its answers that it is leaving, its record stays ready, is removed for 1 s and written again
     And these callers go on for 4 s
     Then no request reached such an engine later than 0.3 s after its first such answer
     And all of these callers were served
 
-  Scenario: A node that starts again hears from the others which engines have said that they leave
+  Scenario: A node that restarts learns from its peers which engines are leaving
     Given a stand-in platform with 4 desk engines and 4 model engines
     And 3 nodes
     And callers that call all nodes on "whole" and "stream" and know where they called
-    When an engine of each kind says in all its answers that it leaves, its record stays ready, goes for 0.5 s and is back
+    When an engine of each kind announces in all its answers that it is leaving, its record stays ready, is removed for 0.5 s and written again
     And the last node is killed and starts again under these callers
     And these callers go on for 4 s
     Then no request reached such an engine later than 0.3 s after its first such answer
 
-  Scenario: An engine that asks for rest gets nothing from that node until its end
+  Scenario: An engine that asks for a backoff gets nothing from that node until its end
     Given a stand-in platform with 4 desk engines and 4 model engines
     And 3 nodes
     And callers that call all nodes on "whole" and "stream" and know where they called
-    When an engine of each kind turns all away and asks for 2 s of rest
+    When an engine of each kind refuses all requests and asks for 2 s of backoff
     And these callers go on for 5 s
-    Then no node sent such an engine anything from 0.3 s after such an answer until its rest was over
+    Then no node sent such an engine anything from 0.3 s after such an answer until its backoff ended
     And at most 0.02 of these callers were refused
 
-  Scenario: Callers are refused at once, and told when, while all engines rest
+  Scenario: Callers are refused at once, with the time to retry, while all engines back off
     Given a stand-in platform with 4 desk engines and 4 model engines
     And 3 nodes
     And callers that call all nodes on "whole" and "stream" and know where they called
-    When all engines turn all away and ask for 3 s of rest
+    When all engines refuse all requests and ask for 3 s of backoff
     And these callers go on for 2.5 s
-    Then those who called after the first 0.5 s were refused within 0.1 s, and told to come back after the rest
+    Then those who called after the first 0.5 s were refused within 0.1 s, and told to retry after the backoff
--- a/features/steps/engine_limit_process_steps.py
+++ b/features/steps/engine_limit_process_steps.py
@@ -1,19 +1,19 @@
-"""Steps on limits that engines name, with nodes as separate processes."""
+"""Steps on rate limits that engines name, with nodes as separate processes."""
 
 import asyncio
 import time
 
 from behave import then, when
 
-# A header that nodes pass on: it tells an engine which node a request came through.
+# A header that nodes forward, by which an engine sees the node that sent a request.
 NODE_HEADER = "X-Sent-Through"
 SERVED, UNAVAILABLE = 200, 503
 WINDOW_S = 4.0
-# Nodes have to keep to a limit this long after they passed on an answer that names it.
+# A node has to keep a limit from this time after it forwarded an answer that names it.
 KNOWN_AFTER_S = 0.5
-# And all of them this long after it was first named.
+# All nodes have to keep it from this time after it was first forwarded.
 SETTLED_AFTER_S = 1.0
-# Requests that an engine may get at once, and what permits may be late.
+# Requests that an engine may get at once, and the longest delay of a permit.
 BURST, LATENESS_S = 2, 1.0
 
 
@@ -28,8 +28,8 @@
 
 
 @when(
-    "an engine of each kind turns away {share:d} of 10 requests,"
-    " and names a limit of {limit} a second as it does"
+    "an engine of each kind refuses {share:d} of 10 requests,"
+    " and names a limit of {limit} a second in the refusals"
 )
 def step_name_in_refusals(context, share, limit):
     step_name_limit(context, limit)
@@ -45,8 +45,8 @@
     context.said_at = time.monotonic()
 
 
-@when("their records go for {seconds:g} s and are back")
-def step_records_go(context, seconds):
+@when("their records are removed for {seconds:g} s and written again")
+def step_records_removed(context, seconds):
     for engine in context.limited:
         context.deployment.store.remove(f"servers/{engine.engine_id}")
     context.run(asyncio.sleep(seconds))
@@ -54,8 +54,8 @@
         context.deployment.record(engine)
 
 
-def known_since(engine):
-    """Return since when each node has passed on an answer that names a limit."""
+def first_forwarded(engine):
+    """Return when each node first forwarded an answer that names a limit."""
     since = {}
     for arrival in engine.arrivals:
         if arrival.limit and arrival.told_at is not None:
@@ -64,10 +64,10 @@
     return since
 
 
-def counted(context, engine):
-    """Return when requests arrived from nodes that knew of the limit."""
-    since = known_since(engine)
-    assert since, "no answer named a limit"
+def arrivals_under_limit(context, engine):
+    """Return the arrival times of requests from nodes that knew the limit."""
+    since = first_forwarded(engine)
+    assert since, f"no answer of {engine.engine_id} named a limit"
     settled_at = min(since.values()) + SETTLED_AFTER_S
     return [
         arrival.at
@@ -82,27 +82,27 @@
 
 
 @then("nodes that know the limit sent such an engine together no more than it allows")
-def step_kept(context):
+def step_within_limit(context):
     for engine in context.limited:
         limit = float(engine.limit)
-        most = most_in_window(counted(context, engine), WINDOW_S)
+        most = most_in_window(arrivals_under_limit(context, engine), WINDOW_S)
         allowed = limit * (WINDOW_S + LATENESS_S) + BURST
         assert most <= allowed, f"{engine.engine_id}: {most} in {WINDOW_S} s; {allowed} allowed"
 
 
 @then("nodes that know the limit sent such an engine together no more than the rule allows")
-def step_rule_kept(context):
+def step_within_rule(context):
     for engine in context.limited:
-        most = most_in_window(counted(context, engine), WINDOW_S)
+        most = most_in_window(arrivals_under_limit(context, engine), WINDOW_S)
         bound = 1.5 * float(engine.limit) * WINDOW_S + 5
         assert most <= bound, f"{engine.engine_id}: {most} in {WINDOW_S} s; {bound} allowed"
 
 
-@then("those that were refused were told when to come back, after {seconds:g} s at most")
+@then("those that were refused were told when to retry, after {seconds:g} s at most")
 def step_refused(context, seconds):
     calls = [call for call in context.callers.calls if call.at > context.said_at]
     refused = [call for call in calls if call.status != SERVED]
-    assert refused, "nobody was refused"
+    assert refused, "no caller was refused"
     for call in refused:
         assert call.status == UNAVAILABLE and call.retry_after_s, call
         assert call.ended_at - call.at < seconds + context.callers.longest_lag_s, call
--- a/features/steps/engine_limit_steps.py
+++ b/features/steps/engine_limit_steps.py
@@ -1,4 +1,4 @@
-"""Steps on limits that engines name, in virtual time."""
+"""Steps on rate limits that engines name, in virtual time."""
 
 import sys
 from pathlib import Path
@@ -26,7 +26,7 @@
 WINDOW_S = 4.0
 KNOWN_AFTER_S = 0.5
 SETTLED_AFTER_S = 1.0
-# Requests that an engine may get at once, and what permits may be late.
+# Requests that an engine may get at once, and the longest delay of a permit.
 BURST, LATENESS_S = 2, 1.0
 CALLS_PER_S = 60.0
 HISTORIES, HISTORIES_SEED = 60, 7
@@ -38,7 +38,7 @@
     context.limit, context.calls_per_s = limit, CALLS_PER_S
 
 
-@given("callers that ask {per_s:d} times a second")
+@given("callers that send {per_s:d} requests a second")
 def step_demand(context, per_s):
     context.calls_per_s = per_s
 
@@ -67,27 +67,27 @@
     context.fleet.limit_at = lambda now: limit if now < at else None
 
 
-@when("callers ask all nodes for {seconds:g} s")
+@when("callers call all nodes for {seconds:g} s")
 def step_run(context, seconds):
     context.fleet.call(context.calls_per_s, seconds)
     context.fleet.run(seconds)
 
 
-@when("callers ask one node for {seconds:g} s")
+@when("callers call one node for {seconds:g} s")
 def step_run_one(context, seconds):
     context.fleet.call(context.calls_per_s, seconds, ["node-0"])
     context.fleet.run(seconds)
 
 
-@when("callers ask all nodes for {seconds:g} s while {trouble}")
-def step_trouble(context, seconds, trouble):
+@when("callers call all nodes for {seconds:g} s while {fault}")
+def step_run_with_fault(context, seconds, fault):
     fleet = context.fleet
     fleet.call(context.calls_per_s, seconds)
-    TROUBLES[trouble](fleet, seconds)
+    FAULTS[fault](fleet, seconds)
     fleet.run(seconds)
 
 
-def issuer_dies(fleet, _):
+def issuer_is_killed(fleet, _):
     fleet.after(5.0, lambda: fleet.kill(fleet.issuer()))
 
 
@@ -96,38 +96,38 @@
         fleet.after(at, lambda: fleet.freeze(fleet.issuer(), 3.0))
 
 
-def issuer_starts_again(fleet, _):
+def issuer_restarts(fleet, _):
     for at in (4.0, 6.0, 8.0):
         fleet.after(at, lambda: fleet.restart(fleet.issuer()))
 
 
-def nodes_start_again(fleet, seconds):
+def nodes_restart(fleet, seconds):
     for second in range(2, int(seconds), 2):
         name = f"node-{second // 2 % fleet.size}"
         fleet.after(second, lambda n=name: fleet.restart(n))
 
 
-def fleet_is_cut(fleet, _):
+def fleet_is_partitioned(fleet, _):
     half = [f"node-{number}" for number in range(fleet.size // 2)]
     fleet.after(4.0, lambda: fleet.divide(half))
 
 
-def node_is_cut_off(fleet, _):
+def issuer_is_isolated(fleet, _):
     fleet.after(4.0, lambda: fleet.divide([fleet.issuer()]))
 
 
-TROUBLES = {
-    "the issuer of its permits ends": issuer_dies,
+FAULTS = {
+    "the issuer of its permits is killed": issuer_is_killed,
     "the issuer of its permits freezes twice": issuer_freezes,
-    "the issuer of its permits starts again and again": issuer_starts_again,
-    "a node starts again every 2 s": nodes_start_again,
-    "the nodes are cut in two halves": fleet_is_cut,
-    "the issuer is cut off from the others": node_is_cut_off,
+    "the issuer of its permits restarts repeatedly": issuer_restarts,
+    "a node restarts every 2 s": nodes_restart,
+    "a partition splits the nodes in two halves": fleet_is_partitioned,
+    "a partition isolates the issuer": issuer_is_isolated,
 }
 
 
-def counted(fleet, since=0.0):
-    """Return when requests arrived from nodes that knew of the limit."""
+def arrivals_under_limit(fleet, since=0.0):
+    """Return the arrival times of requests from nodes that knew the limit."""
     first = min(sent.at for sent in fleet.sent)
     settled_at = max(first + SETTLED_AFTER_S, since)
     return [
@@ -148,8 +148,8 @@
 
 
 @then("the engine gets no more from all nodes together than it allows")
-def step_kept(context):
-    most = most_in_window(counted(context.fleet))
+def step_within_limit(context):
+    most = most_in_window(arrivals_under_limit(context.fleet))
     assert most <= allowed(context.limit), (most, allowed(context.limit))
 
 
@@ -162,16 +162,16 @@
 
 
 @then("in each of these times it gets no more than it named last")
-def step_follows(context):
+def step_follows_changes(context):
     for index, limit in enumerate(context.limits):
         begin, end = index * context.each_s, (index + 1) * context.each_s
-        times = [t for t in counted(context.fleet, begin + SETTLED_AFTER_S) if t < end]
-        # The number is known as an answer names it: one that is slow brings it late.
+        times = [t for t in arrivals_under_limit(context.fleet, begin + SETTLED_AFTER_S) if t < end]
+        # A limit is known once an answer names it, so a slow answer delays it.
         assert most_in_window(times) <= allowed(limit), (limit, most_in_window(times))
 
 
 @then("it is in full use again within {seconds:g} s after that")
-def step_free(context, seconds):
+def step_unlimited_again(context, seconds):
     fleet, at = context.fleet, context.ends_at + seconds
     limited = [n.node_id for n in fleet.nodes.values() if n.limits.is_limited(ENGINE)]
     assert not limited, limited
@@ -180,8 +180,8 @@
 
 
 @then("the engine gets no more from all nodes together than the rule allows")
-def step_rule(context):
-    most = most_in_window(counted(context.fleet))
+def step_within_rule(context):
+    most = most_in_window(arrivals_under_limit(context.fleet))
     bound = 1.5 * context.limit * WINDOW_S + 5
     assert most <= bound, (most, bound)
 
@@ -203,22 +203,22 @@
     name_limit(context, name, limit)
 
 
-@when("an answer without a limit comes to an earlier request")
+@when("an earlier request gets an answer without a limit")
 def step_earlier_answer(context):
     context.node.selector.limits.note_answer(context.engine, None, None, 0.1)
 
 
-@when("a late end of an earlier limit is told")
+@when("a peer reports late that an earlier limit ended")
 def step_late_end(context):
     limits = context.node.selector.limits
     limits.merge(EngineLimit(context.engine, 1.0, serial=3), 0.1)
     limits.merge(EngineLimit(context.engine, 1.0, serial=2, in_force=False), 0.2)
 
 
-@when("a node joins that was told of a limit of {limit:g} a second by others")
-def step_joins(context, limit):
-    told = UnrecordedEngineState(limits=(EngineLimit(at(context, "a"), limit),))
-    for datagram in datagrams_from_update(told):
+@when("a node joins and learns of a limit of {limit:g} a second from its peers")
+def step_joiner_learns(context, limit):
+    state = UnrecordedEngineState(limits=(EngineLimit(at(context, "a"), limit),))
+    for datagram in datagrams_from_update(state):
         update = update_from_message(parse_message(datagram.SerializeToString()))
         for row in update.limits:
             context.node.selector.limits.merge(row, 0.0)
@@ -256,17 +256,17 @@
 @then("they name a limit of {limit}, and {end} end one")
 def step_named(context, limit, end):
     permit = Permit("node-1", 1, 0.0, 0.0, 1.0)
-    word = word_of("request", ENGINE, context.status, context.headers, permit)
+    signal = word_of("request", ENGINE, context.status, context.headers, permit)
     if limit == "none":
-        assert word is None or word.limit_per_s is None, word
+        assert signal is None or signal.limit_per_s is None, signal
     else:
-        assert abs(word.limit_per_s - float(limit)) <= 1, word
-    is_end = word is not None and word.permit is not None and word.limit_per_s is None
-    assert is_end == (end == "do"), word
+        assert abs(signal.limit_per_s - float(limit)) <= 1, signal
+    is_end = signal is not None and signal.permit is not None and signal.limit_per_s is None
+    assert is_end == (end == "do"), signal
 
 
 class OtherIssuer(NoLimitPeers):
-    """The surroundings of a node whose peer issues all permits, and answers nothing."""
+    """Peers of a node where another node issues all permits and answers no request."""
 
     def __init__(self):
         self.requests = []
@@ -288,8 +288,8 @@
     return context.node.selector.choose(request, frozenset(excluded), now)
 
 
-@then("a request that b turned away finds no engine left to wait for")
-def step_tried_again(context):
+@then("a request that b refused finds no engine left to wait for")
+def step_retried(context):
     assert choose(context, 0.0, ("b",)) is Unavailable.NONE_READY
     assert not context.peers.requests
 
@@ -321,7 +321,7 @@
     return context.node.selector.choose(request, frozenset(), now)
 
 
-@then("a request is refused at once, with the time until there is a permit again")
+@then("a request is refused at once, with the time until the next permit")
 def step_refused_at_once(context):
     assert choose_at(context, context.now) is Unavailable.PAUSED
     left_s = context.node.selector.capacity_wait_s(opaque_request(), context.now)
@@ -329,20 +329,20 @@
     assert 0.5 / context.limit < left_s <= 1.0 / context.limit, left_s
 
 
-@then("a run goes on at a once its permit is there, and with none it does not")
-def step_goes_on(context):
+@then("a run resumes at a with a permit, and not without one")
+def step_resumes_with_permit(context):
     backup = at(context, "a")
     b = at(context, "b")
-    broken = EngineChoice("b", b.address, 1, number=b.number, backup=backup)
+    interrupted = EngineChoice("b", b.address, 1, number=b.number, backup=backup)
     selector, request = context.node.selector, opaque_request()
-    assert selector.continue_at_backup(request, broken, 0.1) is None
-    going_on = selector.continue_at_backup(request, broken, 1.1)
-    assert going_on.engine_id == "a" and going_on.permit is not None, going_on
-    assert selector.continue_at_backup(request, broken, 1.2) is None
+    assert selector.continue_at_backup(request, interrupted, 0.1) is None
+    resumed = selector.continue_at_backup(request, interrupted, 1.1)
+    assert resumed.engine_id == "a" and resumed.permit is not None, resumed
+    assert selector.continue_at_backup(request, interrupted, 1.2) is None
 
 
-@then("copies are kept at b rather than at a")
-def step_copies(context):
+@then("b rather than a is chosen as a backup")
+def step_backups(context):
     context.node.write("c", {**context.bodies["b"], "Address": "10.0.0.7:7"})
     context.node.engines.get("b").own_load.requests = 5
     selector = context.node.selector
@@ -370,7 +370,7 @@
     assert not context.holder.has_permit(seconds)
 
 
-def permits(context, count, now):
+def take_permits(context, count, now):
     limits, engine = context.node.selector.limits, context.engine
     taken = []
     while len(taken) < count:
@@ -381,11 +381,11 @@
     return taken, now
 
 
-@when("{count:d} requests get permits, an answer names the limit, and theirs come then without it")
+@when("{count:d} requests get permits, another answer names the limit, then theirs come without it")
 def step_late_answers(context, count):
     limits = context.node.selector.limits
-    taken, context.now = permits(context, count, 0.0)
-    (naming,), context.now = permits(context, 1, context.now)
+    taken, context.now = take_permits(context, count, 0.0)
+    (naming,), context.now = take_permits(context, 1, context.now)
     limits.note_answer(context.engine, 20.0, naming, context.now)
     for permit in taken:
         limits.note_answer(context.engine, None, permit, context.now + 0.01)
@@ -393,12 +393,12 @@
 
 @when("{count:d} requests get permits, and their answers come without it")
 def step_new_answers(context, count):
-    taken, now = permits(context, count, context.now)
+    taken, now = take_permits(context, count, context.now)
     for permit in taken:
         context.node.selector.limits.note_answer(context.engine, None, permit, now)
 
 
-@given("a datagram of a peer that tells a limit of {rate} a second")
+@given("a datagram of a peer that reports a limit of {rate} a second")
 def step_peer_limit(context, rate):
     update = UnrecordedEngineState(limits=(EngineLimit(ENGINE, float(rate)),))
     (context.datagram,) = datagrams_from_update(update)
@@ -422,7 +422,7 @@
 
 
 def play_history(size, limit, lost_share, late_s, events, seed):
-    """Return a fleet after a history; nodes are counted from the drawn numbers."""
+    """Return a fleet after a history; drawn numbers select the nodes by their index."""
     fleet = ReplayedFleet(size, seed, lambda now: limit, lost_share, late_s)
     fleet.call(CALLS_PER_S, 24.0)
     for at, kind, number, seconds in events:
@@ -454,7 +454,7 @@
     )
     def check(size, limit, lost_share, late_s, events, seed):
         fleet = play_history(size, limit, lost_share, late_s, events, seed)
-        most, bound = most_in_window(counted(fleet)), 1.5 * limit * WINDOW_S + 5
+        most, bound = most_in_window(arrivals_under_limit(fleet)), 1.5 * limit * WINDOW_S + 5
         assert most <= bound, (most, bound)
         context.histories += 1
 
--- a/features/steps/engine_send_steps.py
+++ b/features/steps/engine_send_steps.py
@@ -1,4 +1,4 @@
-"""Steps on what becomes known between the choice of an engine and the first byte to it."""
+"""Steps on events between the choice of an engine and the first byte sent to it."""
 
 import asyncio
 import sys
@@ -30,7 +30,7 @@
 
 
 def delay_connections(session, seconds):
-    """Let connections of a session take longer to come up."""
+    """Delay every new connection of a session."""
     connector = session.connector
     create = connector._create_connection
 
@@ -61,7 +61,7 @@
 
 @given("a node that has chosen it for a request that may not be repeated")
 def step_chosen(context):
-    table = context.known = EngineTable()
+    table = context.engine_table = EngineTable()
     for name, engine in context.engines.items():
         table.update(engine_record(name, address=engine.address))
     allowance = RetryAllowance(0.2, 100, 10.0, 0.0)
@@ -80,33 +80,33 @@
 
 async def deliver(context):
     now = clock.now_s()
-    # It may wait for a second.
+    # The target of 5 s lets the request wait for a second.
     route = replace(route_rule(RequestKind.AT_MOST_ONCE, attempts=1), target_seconds=5.0)
     request = opaque_request(route, model=None, received_at=now, deadline=now + 5.0)
     request = replace(request, headers=(("X-Attempt-Id", request.request_id),))
     context.sink = RecordingSink()
     context.delivery = asyncio.ensure_future(context.forwarder.deliver(request, context.sink))
     await asyncio.sleep(0.05)
-    context.chosen = next(view for view in context.known if view.own_load.requests)
+    context.chosen = next(view for view in context.engine_table if view.own_load.requests)
 
 
-@when("it says that it leaves while the connection comes up")
+@when("it announces that it is leaving while the connection comes up")
 def step_leaves(context):
-    context.known.apply_signal(
+    context.engine_table.apply_signal(
         EngineSignal(context.chosen.identity, "peer", leaving=True), clock.now_s()
     )
 
 
-@when("it asks for rest while the connection comes up")
-def step_rests(context):
-    context.known.apply_signal(
+@when("it asks for a backoff while the connection comes up")
+def step_backs_off(context):
+    context.engine_table.apply_signal(
         EngineSignal(context.chosen.identity, "request", backoff_s=3.0), clock.now_s()
     )
 
 
 @when("its record is removed while the connection comes up")
 def step_removed(context):
-    context.known.remove(context.chosen.engine_id)
+    context.engine_table.remove(context.chosen.engine_id)
 
 
 @then("the engine gets nothing, and the request is sent to another engine")
@@ -118,21 +118,23 @@
     assert context.sink.answer.status == 200, context.sink.ending
 
 
-@when("the node wakes while the connection comes up, and hears from the store {seconds:g} s later")
-def step_wakes(context, seconds):
-    context.heard_at = time.monotonic() + seconds
-    context.ports.state_is_current = lambda _: time.monotonic() >= context.heard_at
+@when(
+    "the node resumes while the connection comes up, and has the store's state {seconds:g} s later"
+)
+def step_resumes(context, seconds):
+    context.current_at = time.monotonic() + seconds
+    context.ports.state_is_current = lambda _: time.monotonic() >= context.current_at
 
 
 @then("the request is sent after that")
 def step_after(context):
     context.run(context.delivery)
     arrivals = [arrival for engine in context.engines.values() for arrival in engine.arrivals]
-    assert [arrival.at >= context.heard_at for arrival in arrivals] == [True], arrivals
+    assert [arrival.at >= context.current_at for arrival in arrivals] == [True], arrivals
 
 
-# What brings each kind of answer: a request, streamed or not, a report or an order.
-SPOKEN = {
+# Where the stand-in engine sends its signal, for each kind of answer in the examples.
+SIGNAL_PLACES = {
     "whole answer": "whole",
     "head of a stream": "head",
     "refusal": "refusal",
@@ -141,31 +143,31 @@
 }
 
 
-@given("an engine that says that it leaves in the {answer} alone")
-def step_speaks(context, answer):
-    engine = speaking_engine(context, answer)
-    engine.leaves_in = frozenset((context.speaks_in,))
+@given("an engine that announces that it is leaving in the {answer} alone")
+def step_announces_leaving(context, answer):
+    engine = signalling_engine(context, answer)
+    engine.leaves_in = frozenset((context.signals_in,))
 
 
 @given("an engine that names a limit of {limit} a second in the {answer} alone")
 def step_names_limit(context, limit, answer):
-    engine = speaking_engine(context, answer)
-    engine.limit, engine.limit_in = limit, frozenset((context.speaks_in,))
+    engine = signalling_engine(context, answer)
+    engine.limit, engine.limit_in = limit, frozenset((context.signals_in,))
 
 
-def speaking_engine(context, answer):
+def signalling_engine(context, answer):
     context.run(start_engines(context, 0.0))
-    context.speaks_in = SPOKEN[answer]
+    context.signals_in = SIGNAL_PLACES[answer]
     engine = context.engines["e1"]
     engine.weights = {"model": 1}
-    engine.fault = "shed" if context.speaks_in == "refusal" else ""
+    engine.fault = "shed" if context.signals_in == "refusal" else ""
     return engine
 
 
-@when("a node sends it what brings that answer")
+@when("a node sends it a call that gets this answer")
 def step_sends(context):
-    context.words = []
-    context.transport.heard = context.words.append
+    context.signals = []
+    context.transport.heard = context.signals.append
     address = context.engines["e1"].address
     context.view = EngineView(engine_record("e1", weights={"model": 1}, address=address))
     context.run(send(context))
@@ -173,14 +175,14 @@
 
 async def send(context):
     view, client = context.view, PlatformOrderClient(context.transport)
-    if context.speaks_in == "report":
+    if context.signals_in == "report":
         await client.report(view)
-    elif context.speaks_in == "order":
+    elif context.signals_in == "order":
         await client.order(view, WeightOrder("model", 2, "node-1", 1, 0))
     else:
-        request = opaque_request(model="model" if context.speaks_in == "head" else None)
+        request = opaque_request(model="model" if context.signals_in == "head" else None)
         headers = (("X-Attempt-Id", request.request_id), ("X-Model", "model"))
-        is_stream = context.speaks_in == "head"
+        is_stream = context.signals_in == "head"
         request = replace(request, headers=headers[: 1 + is_stream])
         choice = EngineChoice("e1", view.record.address, number=view.number)
         attempt = context.transport.attempt(request, StartAttempt(choice, None))
@@ -188,18 +190,18 @@
         attempt.close()
 
 
-@then("the node has heard a limit of {limit:g} a second")
-def step_heard_limit(context, limit):
-    (word,) = context.words
-    assert word.limit_per_s == limit and word.engine == context.view.identity, word
+@then("the node has read a limit of {limit:g} a second")
+def step_read_limit(context, limit):
+    (signal,) = context.signals
+    assert signal.limit_per_s == limit and signal.engine == context.view.identity, signal
 
 
 @when("it names a limit while the connection comes up")
-def step_limit_meanwhile(context):
+def step_limit_while_connecting(context):
     context.ports.limits.note_answer(context.chosen.identity, 1.0, None, clock.now_s())
 
 
-@then("the node has heard that it leaves")
-def step_heard(context):
-    (word,) = context.words
-    assert word.leaving and word.engine == context.view.identity, word
+@then("the node has read that it is leaving")
+def step_read_leaving(context):
+    (signal,) = context.signals
+    assert signal.leaving and signal.engine == context.view.identity, signal
--- a/features/steps/engine_word_steps.py
+++ b/features/steps/engine_word_steps.py
@@ -1,4 +1,4 @@
-"""Steps on what is kept of what engines say of themselves in their answers."""
+"""Steps on the state that nodes keep from signals in the answers of engines."""
 
 import json
 import sys
@@ -26,48 +26,50 @@
 SERVED = 200
 
 
-# What is remembered
+# State that outlives records
 
 
-def say(context, engine, **word):
-    return context.node.engines.apply_signal(EngineSignal(engine, "request", **word), clock.now_s())
+def announce(context, engine, **signal):
+    return context.node.engines.apply_signal(
+        EngineSignal(engine, "request", **signal), clock.now_s()
+    )
 
 
-@when("{name} says in an answer that it leaves")
-def step_says(context, name):
+@when("{name} announces in an answer that it is leaving")
+def step_announces(context, name):
     context.engine = context.node.engines.get(name).identity
-    assert say(context, context.engine, leaving=True)
+    assert announce(context, context.engine, leaving=True)
 
 
-def without_record(context, gap):
-    """Take the record of a away, in an outage or not."""
+def remove_record(context, gap):
+    """Remove the record of engine a, in a gap of the store's watch or not."""
     change = MirrorChange(written=(), removed=("servers/a",), gap=gap)
     context.node.beliefs.apply(change, clock.now_s() - 10.0 if gap else clock.now_s())
 
 
 @when("its record is written again")
-def step_again(context):
+def step_rewritten(context):
     context.node.write("a", context.bodies["a"])
 
 
-@when("its record goes and comes back")
-def step_goes(context):
-    without_record(context, gap=False)
+@when("its record is removed and written again")
+def step_removed_and_rewritten(context):
+    remove_record(context, gap=False)
     assert context.node.engines.get("a") is None
     context.node.write("a", context.bodies["a"])
 
 
-@when("its record goes while the store is away and back")
-def step_lapses(context):
-    without_record(context, gap=True)
+@when("its record is removed during a store outage and written again")
+def step_removed_in_outage(context):
+    remove_record(context, gap=True)
     context.node.beliefs.expire(clock.now_s() + 2.0)
     assert context.node.engines.get("a") is None
     context.node.write("a", context.bodies["a"])
 
 
-@when("a reader's copy is taken over whole")
+@when("the snapshot of a store reader is applied")
 def step_snapshot(context):
-    without_record(context, gap=True)
+    remove_record(context, gap=True)
     context.node.beliefs.expire(clock.now_s() + 2.0)
     body = json.dumps(context.bodies["a"]).encode()
     item = StoredItem("servers/a", body, context.node.revision + 1)
@@ -75,30 +77,32 @@
     context.node.beliefs.apply(change, clock.now_s())
 
 
-@when("its record is spoiled and good again")
-def step_spoiled(context):
+@when("its record becomes invalid and valid again")
+def step_invalid_for_a_time(context):
     context.node.write("a", b"[]")
     context.node.write("a", context.bodies["a"])
 
 
-@when("its record comes back with an older revision")
-def step_older(context):
-    without_record(context, gap=False)
+@when("its record is removed and written again with an older revision")
+def step_older_revision(context):
+    remove_record(context, gap=False)
     context.node.write("a", context.bodies["a"], revision=1)
 
 
-@then("no run goes on at a, nor is a copy kept there")
-def step_no_run(context):
+@then("a is neither resumed at nor chosen as a backup")
+def step_not_resumed(context):
     selector, request, now = context.node.selector, opaque_request(), clock.now_s()
     b = context.node.engines.get("b").identity
-    broken = EngineChoice("b", b.address, 1, number=b.number, backup=context.engine)
-    assert selector.continue_at_backup(request, broken, now) is None
-    broken = EngineChoice("a", context.engine.address, 1, number=context.engine.number, backup=b)
-    going_on = selector.continue_at_backup(request, broken, now)
-    assert going_on.engine_id == "b" and going_on.backup is None, going_on
+    interrupted = EngineChoice("b", b.address, 1, number=b.number, backup=context.engine)
+    assert selector.continue_at_backup(request, interrupted, now) is None
+    interrupted = EngineChoice(
+        "a", context.engine.address, 1, number=context.engine.number, backup=b
+    )
+    resumed = selector.continue_at_backup(request, interrupted, now)
+    assert resumed.engine_id == "b" and resumed.backup is None, resumed
 
 
-@when("{name} is seen to have version {version:d} of the weights")
+@when("{name} is observed to have version {version:d} of the weights")
 def step_seen_weights(context, name, version):
     context.node.engines.get(name).learn_weights("model", version)
 
@@ -110,30 +114,32 @@
     assert (choice.engine_id, choice.weight_version) == (name, version), choice
 
 
-@when("the former {name} says in a late answer that it leaves")
-def step_former(context, name):
-    assert not say(context, context.engine, leaving=True)
+@when("the former {name} announces in a late answer that it is leaving")
+def step_former_announces(context, name):
+    assert not announce(context, context.engine, leaving=True)
 
 
-@when("another engine at the address of {name} says that it leaves")
-def step_other(context, name):
+@when("another engine at the address of {name} announces that it is leaving")
+def step_other_announces(context, name):
     at = context.node.engines.get(name).identity
-    say(context, EngineAddress("another", at.address), leaving=True)
+    announce(context, EngineAddress("another", at.address), leaving=True)
 
 
-@when("the record of a goes, a peer tells that it leaves, and the record is back")
-def step_peer_tells(context):
+@when(
+    "the record of a is removed, a peer reports that a is leaving, and the record is written again"
+)
+def step_peer_reports(context):
     engine = context.node.engines.get("a").identity
-    without_record(context, gap=False)
-    assert say(context, engine, leaving=True)
+    remove_record(context, gap=False)
+    assert announce(context, engine, leaving=True)
     context.node.write("a", context.bodies["a"])
 
 
-@when("{count:d} other engines say that they leave, and a says so")
-def step_many(context, count):
+@when("{count:d} other engines announce that they are leaving, and so does a")
+def step_many_announce(context, count):
     for number in range(1, count + 1):
-        say(context, EngineAddress(f"other-{number}", "10.0.0.9:1", number), leaving=True)
-    say(context, context.node.engines.get("a").identity, leaving=True)
+        announce(context, EngineAddress(f"other-{number}", "10.0.0.9:1", number), leaving=True)
+    announce(context, context.node.engines.get("a").identity, leaving=True)
 
 
 @then("{count:d} are remembered")
@@ -142,14 +148,14 @@
 
 
 @when("{seconds:d} s go by")
-def step_pass(context, seconds):
+def step_time_passes(context, seconds):
     engines = context.node.engines
     in_records = (view.condition for view in engines)
     engines.conditions.expire(in_records, clock.now_s() + seconds)
 
 
-@then("the word of a alone is remembered")
-def step_one(context):
+@then("the signal of a alone is remembered")
+def step_one_remembered(context):
     engines = context.node.engines
     assert len(engines.conditions) == 1
     assert engines.conditions.of(engines.get("a").identity).leaving
@@ -166,23 +172,25 @@
             context.status = int(name)
 
 
-@then("it is not said to leave, and wants {seconds:g} s of rest")
-def step_no_word(context, seconds):
-    word = word_of("request", EngineAddress("a", "10.0.0.1:1", 1), context.status, context.headers)
-    assert (word is None) == (seconds == 0), word
-    assert word is None or (not word.leaving and word.backoff_s == seconds), word
+@then("it is not taken for leaving, and asks for {seconds:g} s of backoff")
+def step_no_signal(context, seconds):
+    signal = word_of(
+        "request", EngineAddress("a", "10.0.0.1:1", 1), context.status, context.headers
+    )
+    assert (signal is None) == (seconds == 0), signal
+    assert signal is None or (not signal.leaving and signal.backoff_s == seconds), signal
 
 
-# Rest
+# Backoff
 
 
-def ask_for_rest(context, name, backoff_s, at_s=0.0):
+def ask_for_backoff(context, name, backoff_s, at_s=0.0):
     at = context.node.engines.get(name).identity
     context.node.engines.apply_signal(EngineSignal(at, "request", 503, backoff_s=backoff_s), at_s)
 
 
-def used_after(context, seconds):
-    """Return the engines that requests go to after a time."""
+def engines_in_use_after(context, seconds):
+    """Return the engines that a request may be sent to after a time."""
     request, found = opaque_request(received_at=seconds), set()
     while True:
         choice = context.node.selector.choose(request, frozenset(found), seconds)
@@ -191,41 +199,41 @@
         found.add(choice.engine_id)
 
 
-@when("{name} asks for {seconds:g} s of rest, and for {shorter:g} s a second later")
-def step_rest_twice(context, name, seconds, shorter):
-    ask_for_rest(context, name, seconds)
-    ask_for_rest(context, name, shorter, at_s=1.0)
+@when("{name} asks for {seconds:g} s of backoff, and for {shorter:g} s a second later")
+def step_backoff_twice(context, name, seconds, shorter):
+    ask_for_backoff(context, name, seconds)
+    ask_for_backoff(context, name, shorter, at_s=1.0)
 
 
-@when("{name} asks for {seconds:g} s of rest, and its record goes and comes back")
-def step_rest_record(context, name, seconds):
-    ask_for_rest(context, name, seconds)
-    step_goes(context)
+@when("{name} asks for {seconds:g} s of backoff, and its record is removed and written again")
+def step_backoff_record(context, name, seconds):
+    ask_for_backoff(context, name, seconds)
+    step_removed_and_rewritten(context)
 
 
-@when("{name} asks for {seconds:g} s of rest, and is said to have loaded its weights")
-def step_rest_notice(context, name, seconds):
-    ask_for_rest(context, name, seconds)
+@when("{name} asks for {seconds:g} s of backoff, and is reported to have loaded its weights")
+def step_backoff_notice(context, name, seconds):
+    ask_for_backoff(context, name, seconds)
     for sequence, loading in enumerate((True, False), 1):
         notice = EngineNotice(name, "model", 1, loading, sequence)
         context.node.engines.apply_notice(notice, 1.0)
 
 
-@when("{name} asks for {seconds:g} s of rest, and is seen to have newer weights")
-def step_rest_weights(context, name, seconds):
-    ask_for_rest(context, name, seconds)
+@when("{name} asks for {seconds:g} s of backoff, and is observed to have newer weights")
+def step_backoff_weights(context, name, seconds):
+    ask_for_backoff(context, name, seconds)
     context.node.engines.get(name).learn_weights("model", 2)
 
 
-@when("{name} asks for {seconds:g} s of rest, and an answer comes to what it had before")
-def step_rest_answer(context, name, seconds):
-    ask_for_rest(context, name, seconds)
+@when("{name} asks for {seconds:g} s of backoff, and answers a request sent before")
+def step_backoff_answer(context, name, seconds):
+    ask_for_backoff(context, name, seconds)
     context.node.engines.get(name).condition.note_answered(-1.0)
 
 
-@when("{name} asks for {seconds:g} s of rest, and gets a request after {later:g} s")
-def step_rest_trial(context, name, seconds, later):
-    ask_for_rest(context, name, seconds)
+@when("{name} asks for {seconds:g} s of backoff, and gets a request after {later:g} s")
+def step_backoff_trial(context, name, seconds, later):
+    ask_for_backoff(context, name, seconds)
     context.node.engines.get(name).condition.note_sent(later)
 
 
@@ -234,31 +242,33 @@
     context.node.engines.get("a").condition.note_answered(seconds)
 
 
-@when("a asks for {first:g} s of rest, and b for {second:g} s of rest")
-def step_both_rest(context, first, second):
-    ask_for_rest(context, "a", first)
-    ask_for_rest(context, "b", second)
+@when("a asks for {first:g} s of backoff, and b for {second:g} s of backoff")
+def step_both_back_off(context, first, second):
+    ask_for_backoff(context, "a", first)
+    ask_for_backoff(context, "b", second)
 
 
 @when(
-    "version {version:d} of the weights is named, and a asks for {first:g} s of rest,"
-    " and b for {second:g} s of rest"
+    "version {version:d} of the weights becomes the target, and a asks for {first:g} s of backoff,"
+    " and b for {second:g} s of backoff"
 )
-def step_named(context, version, first, second):
+def step_target_and_backoffs(context, version, first, second):
     context.node.targets.add(WeightTarget("model", version, 9), 0.0, age_known=True, now=0.0)
-    step_both_rest(context, first, second)
+    step_both_back_off(context, first, second)
 
 
 @then("b alone is in use {when} {first:g} s, and a and b after {second:g} s")
-def step_used(context, when, first, second):
-    assert used_after(context, first) == {"b"}, used_after(context, first)
-    assert used_after(context, second) == {"a", "b"}, used_after(context, second)
+def step_in_use_after(context, when, first, second):
+    assert engines_in_use_after(context, first) == {"b"}, engines_in_use_after(context, first)
+    assert engines_in_use_after(context, second) == {"a", "b"}, engines_in_use_after(
+        context, second
+    )
 
 
 @then("a and b are in use after {seconds:g} s, whatever it gets")
-def step_used_freely(context, seconds):
+def step_in_use_without_limit(context, seconds):
     context.node.engines.get("a").condition.note_sent(seconds)
-    assert used_after(context, seconds) == {"a", "b"}
+    assert engines_in_use_after(context, seconds) == {"a", "b"}
 
 
 def choice_after(context, seconds):
@@ -266,21 +276,21 @@
     return context.node.selector.choose(request, frozenset(), seconds)
 
 
-@then("a request is refused after {seconds:g} s, with {left:g} s until the first rest is over")
+@then("a request is refused after {seconds:g} s, with {left:g} s until the first backoff ends")
 def step_refused(context, seconds, left):
     assert choice_after(context, seconds) is Unavailable.PAUSED
     backoff_s = context.node.selector.capacity_wait_s(opaque_request(), seconds)
     assert abs(backoff_s - left) < 0.001, backoff_s
 
 
-@when("both are said to load weights for {seconds:g} s")
+@when("both are reported to load weights for {seconds:g} s")
 def step_both_load(context, seconds):
     for name in ("a", "b"):
         context.node.engines.apply_notice(EngineNotice(name, "model", 2, True, 1), seconds)
 
 
 @then("a request that has waited for {seconds:g} s finds none ready")
-def step_waited_in_vain(context, seconds):
+def step_none_ready(context, seconds):
     choice = context.node.selector.choose(opaque_request(), frozenset(), seconds)
     assert choice is Unavailable.NONE_READY, choice
 
@@ -290,24 +300,24 @@
     assert choice_after(context, seconds) is Unavailable.NONE_READY
 
 
-@when("the rollout hears of version 2 of the weights")
+@when("the rollout learns of version 2 of the weights")
 def step_version_named(context):
     context.node.targets.add(WeightTarget("model", 2, 9), 0.0, age_known=True, now=0.0)
 
 
-@when("a says that it leaves before its load is announced, and b after it")
+@when("a announces that it is leaving before its load is announced, and b after it")
 def step_leaves_around_load(context):
-    say(context, context.node.engines.get("a").identity, leaving=True)
+    announce(context, context.node.engines.get("a").identity, leaving=True)
     announced = due_at(context, 0.1)
     assert [each.engine_id for each in announced] == ["b"], announced
-    say(context, context.node.engines.get("b").identity, leaving=True)
+    announce(context, context.node.engines.get("b").identity, leaving=True)
 
 
 def due_at(context, now):
     return context.node.rollout.due(list(context.node.engines.in_use()), now)
 
 
-@then("neither is ordered to load, nor asked whether it has")
+@then("neither is ordered to load or asked for its version")
 def step_not_ordered(context):
     due = [each for tick in range(2, 100) for each in due_at(context, tick / 10)]
     assert not due, due
@@ -325,15 +335,15 @@
     assert second < ordered["b"] < second + 1, ordered
 
 
-@given("{count:d} nodes that an engine asked for rest at the same moment")
-def step_standings(context, count):
+@given("{count:d} nodes that an engine asked for a backoff at the same moment")
+def step_backing_off(context, count):
     context.conditions = [EngineCondition() for _ in range(count)]
     for condition in context.conditions:
         condition.begin_backoff(3.0, 0.0)
 
 
-@when("{count:d} requests wait at each of them until the rest is over")
-def step_all_return(context, count):
+@when("{count:d} requests wait at each of them until the backoff ends")
+def step_all_resume(context, count):
     context.sent = 0
     for tick in range(count):
         now = 3.0 + 0.2 * tick / count
@@ -348,7 +358,7 @@
     assert context.sent == count, context.sent
 
 
-# What nodes that join are told
+# State sent to nodes that join
 
 
 def known_engines():
@@ -359,31 +369,31 @@
 
 
 @given(
-    "a node that knows that a leaves, uses no record of b, and saw version 2 of the weights at c"
+    "a node that knows that a is leaving, uses no record of b, and observed weights version 2 at c"
 )
-def step_teller(context):
-    context.teller = known_engines()
-    context.teller.update(engine_record("a", weights={"model": 1}, revision=6, draining=True))
-    context.teller.withdraw("b", 5)
-    context.teller.get("c").learn_weights("model", 2)
+def step_sender(context):
+    context.sender = known_engines()
+    context.sender.update(engine_record("a", weights={"model": 1}, revision=6, draining=True))
+    context.sender.withdraw("b", 5)
+    context.sender.get("c").learn_weights("model", 2)
 
 
-@when("a node that has read older records joins, and is told")
+@when("a node that has read older records joins and gets this state")
 def step_joiner(context):
     context.joiner = known_engines()
-    tell_joiner(context)
+    send_state_to_joiner(context)
 
 
-@when("a node that has read nothing joins, is told, and reads older records then")
+@when("a node that has read no records joins, gets this state, and then reads older records")
 def step_new_joiner(context):
     context.joiner = EngineTable()
-    tell_joiner(context)
+    send_state_to_joiner(context)
     for name in ("a", "b", "c"):
         context.joiner.update(engine_record(name, weights={"model": 1}, revision=5))
 
 
-def tell_joiner(context):
-    for datagram in datagrams_from_update(context.teller.unrecorded_state()):
+def send_state_to_joiner(context):
+    for datagram in datagrams_from_update(context.sender.unrecorded_state()):
         update = update_from_message(parse_message(datagram.SerializeToString()))
         for engine in update.leaving:
             context.joiner.apply_signal(EngineSignal(engine, "peer", leaving=True), 0.0)
