--- a/features/crash_fleet.py
+++ b/features/crash_fleet.py
@@ -1,4 +1,4 @@
-"""A fleet in virtual time whose workers crash, some of them under one request."""
+"""Simulates a fleet whose workers crash, some of them under one request, in virtual time."""
 
 import heapq
 import itertools
@@ -9,14 +9,14 @@
 
 WORKERS = 6
 REQUESTS_PER_S = 30.0
-# As seen of streams: the first event after 0.03 to 0.2 s, the whole after 0.3 to 5 s.
+# Observed streams: the first event after 0.03 to 0.2 s, the end after 0.3 to 5 s.
 FIRST_EVENT_S = (0.03, 0.2)
-WHOLE_S = (0.3, 5.0)
-# How long after its beginning a worker ends under the deadly request.
-DEADLY_S = (0.046, 0.093)
-BACK_AFTER_S = 3.0
-CALLERS_WAIT_S = 0.35
-MOST_SENDS = 6
+STREAM_S = (0.3, 5.0)
+# The time from the send of the deadly request to the crash of its worker.
+CRASH_AFTER_S = (0.046, 0.093)
+REPLACED_AFTER_S = 3.0
+CALLER_RETRY_S = 0.35
+MAX_SENDS = 6
 
 
 @dataclass
@@ -31,16 +31,16 @@
 
 @dataclass
 class Outcome:
-    """What a play came to."""
+    """The outcome of a simulated history."""
 
     requests: int = 0
     lost_runs: int = 0
-    workers_ended: int = 0
-    condemned: set = field(default_factory=set)
+    workers_crashed: int = 0
+    quarantined: set = field(default_factory=set)
 
 
 class CrashFleet:
-    """Plays one history; all nodes know at once what one does."""
+    """Simulates one history; all nodes share the evidence without delay."""
 
     def __init__(self, seed, isolates=True):
         self.outcome = Outcome()
@@ -57,7 +57,7 @@
     def at(self, when, action, *arguments):
         heapq.heappush(self._events, (when, next(self._order), action, arguments))
 
-    def play(self, seconds):
+    def run(self, seconds):
         at = 0.0
         while at < seconds:
             at += self._random.expovariate(REQUESTS_PER_S)
@@ -68,10 +68,10 @@
             action(now, *arguments)
         return self.outcome
 
-    def come_back(self, seconds, gap_s):
+    def repeat_deadly(self, seconds, gap_s):
         at = 1.0
         while at < seconds:
-            self.at(at, self._arrive, b"deadly", MOST_SENDS)
+            self.at(at, self._arrive, b"deadly", MAX_SENDS)
             at += self._random.uniform(0.5, 1.5) * gap_s
 
     def crash(self, seconds, gap_s, share):
@@ -83,17 +83,17 @@
     def _crash_some(self, now, share):
         count = max(1, int(share * len(self._workers)))
         for worker in self._random.sample(sorted(self._workers), min(count, len(self._workers))):
-            self._end(now, worker)
+            self._crash_worker(now, worker)
 
     def _arrive(self, now, request, sends):
-        if request in self.outcome.condemned or not self._workers:
+        if request in self.outcome.quarantined or not self._workers:
             return
         worker = self._choose(request)
         first = now + self._random.uniform(*FIRST_EVENT_S)
-        run = Run(request, worker, now, first, now + self._random.uniform(*WHOLE_S), sends)
+        run = Run(request, worker, now, first, now + self._random.uniform(*STREAM_S), sends)
         if request == b"deadly":
             run.first_event_at = float("inf")
-            self.at(now + self._random.uniform(*DEADLY_S), self._end, worker)
+            self.at(now + self._random.uniform(*CRASH_AFTER_S), self._crash_worker, worker)
         self._runs[id(run)] = run
         self.at(run.ends_at, self._finish, run)
 
@@ -110,12 +110,12 @@
         if self._runs.pop(id(run), None) is not None and run.request != b"deadly":
             self.evidence.clear(run.request, now)
 
-    def _end(self, now, worker):
+    def _crash_worker(self, now, worker):
         if worker not in self._workers:
             return
         self._workers.discard(worker)
-        self.at(now + BACK_AFTER_S, lambda _: self._workers.add(next(self._ids)))
-        self.outcome.workers_ended += 1
+        self.at(now + REPLACED_AFTER_S, lambda _: self._workers.add(next(self._ids)))
+        self.outcome.workers_crashed += 1
         lost = [run for run in self._runs.values() if run.worker == worker]
         self.evidence.record_end(worker, now)
         for run in lost:
@@ -124,12 +124,12 @@
             self.evidence.add(LostRun(run.request, worker, early, run.sent_at, now))
             if run.request != b"deadly":
                 self.outcome.lost_runs += 1
-                if run.sends < MOST_SENDS:
-                    again_at = now + self._random.choice((0.005, CALLERS_WAIT_S))
-                    self.at(again_at, self._arrive, run.request, run.sends + 1)
+                if run.sends < MAX_SENDS:
+                    retry_at = now + self._random.choice((0.005, CALLER_RETRY_S))
+                    self.at(retry_at, self._arrive, run.request, run.sends + 1)
         for run in lost:
             if self.evidence.should_quarantine(run.request):
-                self.outcome.condemned.add(run.request)
+                self.outcome.quarantined.add(run.request)
                 self.evidence.mark_explained(
                     [r.worker for r in self.evidence.runs(run.request)], now
                 )
--- a/features/engine_limits.feature
+++ b/features/engine_limits.feature
@@ -60,9 +60,9 @@
 
   Scenario: The limit before an engine's restart is still applied after it
     Given a node that knows engines a and b with the weights of version 1
-    And both tell when they started
+    And both record their start time
     When a names a limit of 1 a second in an answer
-    And the entry of a is written again with born = 1700000009000
+    And the record of a is written again with born = 1700000009000
     Then a and b get requests without permits
 
   Scenario: A node that joins does not learn of a limit
--- a/features/engine_records.feature
+++ b/features/engine_records.feature
@@ -1,16 +1,16 @@
-Feature: What engines record of themselves, whoever wrote it and however often they start
+Feature: Engine records in the store: invalid records, restarts and late updates
 
-  Scenario: An entry that is not an engine's names no engine to use
+  Scenario: An invalid record of an engine takes it out of use
     Given a node that knows engines a and b with the weights of version 1
-    Then no entry of a drawn at random that lacks a field or has one of another type leaves it in use
-    And b is in use all the while
+    Then no random record of a with a field missing or of a wrong type leaves a in use
+    And b stays in use
 
-  Scenario Outline: A spoiled entry takes an engine out of use until the next good one
+  Scenario Outline: An invalid record takes an engine out of use until the next valid one
     Given a node that knows engines a and b with the weights of version 1
-    When the entry of a is written again with <change>
+    When the record of a is written again with <change>
     Then b alone is in use
-    And a line tells of the entry once, and each is counted
-    When the entry of a is written again as it was
+    And one log line reports the record, and each write is counted
+    When the record of a is written again as it was
     Then a and b are in use
 
     Examples:
@@ -33,57 +33,57 @@
       | no Service                  |
       | no Address                  |
       | no Models                   |
-      | a list in its place         |
-      | bytes that are no text      |
-      | lists a thousand deep       |
-      | a megabyte of blanks        |
+      | a list as the record        |
+      | bytes that are not UTF-8    |
+      | deeply nested lists         |
+      | a megabyte of spaces        |
 
   Scenario: An engine of a service that the configuration does not name gets no orders
     Given a node that knows engines a and b with the weights of version 1
-    When the entry of a is written again with Service = "another"
-    And version 2 of the weights is wanted
+    When the record of a is written again with Service = "another"
+    And version 2 of the weights becomes the target
     Then b alone is in use
-    And b alone is to load
+    And b alone is ordered to load
 
-  Scenario: An entry without a start, where engines tell theirs, names no engine
+  Scenario: A record without a start time is invalid where other records have one
     Given a node that knows engines a and b with the weights of version 1
-    When the entry of a is written again with born = 1700000000000
+    When the record of a is written again with born = 1700000000000
     Then a alone is in use
-    When the entry of b is written again with born = 1700000000500
+    When the record of b is written again with born = 1700000000500
     Then a and b are in use
 
-  Scenario: An engine that starts again under its id is another one
+  Scenario: An engine that restarts under its id is a new engine
     Given a node that knows engines a and b with the weights of version 1
-    And both tell when they started
-    And a has failed, keeps parts, and has requests of this node and others
-    And version 2 of the weights is being loaded by a
-    When the entry of a is written again with born = 1700000009000
-    Then a and b are in use, and a at once
-    And a holds no parts, requests or tokens, and no order of it is known
-    And the former a has ended, as evidence against what ran there
-    When a peer tells late of its load on the former a, and that it has loaded version 2
-    Then a holds no parts, requests or tokens, and no order of it is known
+    And both record their start time
+    And a has failed, holds prompt parts, and has requests of this node and others
+    And a is loading version 2 of the weights
+    When the record of a is written again with born = 1700000009000
+    Then a and b are in use immediately
+    And a has no prompt parts, requests, tokens or orders
+    And the end of the former a is recorded as evidence against its requests
+    When a peer reports late its load on the former a, and that a has loaded version 2
+    Then a has no prompt parts, requests, tokens or orders
     And a has the weights of version 1
 
-  Scenario: An entry of the former start that comes late changes nothing
+  Scenario: A late record from before the restart changes nothing
     Given a node that knows engines a and b with the weights of version 1
-    And both tell when they started
-    When the entry of a is written again with born = 1700000009000
-    And an older entry of the former a arrives, which says that it leaves
-    Then a and b are in use, and a at once
+    And both record their start time
+    When the record of a is written again with born = 1700000009000
+    And an older record of the former a arrives, with a as draining
+    Then a and b are in use immediately
 
-  Scenario: A start that lies before the last one is another start too
+  Scenario: An earlier start time is a restart too
     Given a node that knows engines a and b with the weights of version 1
-    And both tell when they started
-    And a has failed, keeps parts, and has requests of this node and others
-    When the entry of a is written again with born = 1600000000000
-    Then a and b are in use, and a at once
-    And a holds no parts, requests or tokens, and no order of it is known
+    And both record their start time
+    And a has failed, holds prompt parts, and has requests of this node and others
+    When the record of a is written again with born = 1600000000000
+    Then a and b are in use immediately
+    And a has no prompt parts, requests, tokens or orders
 
-  Scenario: A stream does not go on with a copy that the other engine had before it started again
+  Scenario: A stream is not resumed at a backup that has restarted
     Given a node that knows engines a and b with the weights of version 1
-    And both tell when they started
-    And a stream ran at b whose copy was at a
-    Then it may go on at a
-    When the entry of a is written again with born = 1700000009000
-    Then it may not go on at a
+    And both record their start time
+    And a stream ran at b with its backup at a
+    Then it may be resumed at a
+    When the record of a is written again with born = 1700000009000
+    Then it may not be resumed at a
--- a/features/engine_words.feature
+++ b/features/engine_words.feature
@@ -46,9 +46,9 @@
 
   Scenario: An engine that restarts under its id is not leaving any more
     Given a node that knows engines a and b with the weights of version 1
-    And both tell when they started
+    And both record their start time
     When a announces in an answer that it is leaving
-    And the entry of a is written again with born = 1700000009000
+    And the record of a is written again with born = 1700000009000
     Then a and b are in use
     When the former a announces in a late answer that it is leaving
     Then a and b are in use
@@ -56,7 +56,7 @@
   Scenario: Without start times, an engine at a new address is a new engine
     Given a node that knows engines a and b with the weights of version 1
     When a announces in an answer that it is leaving
-    And the entry of a is written again with Address = "10.0.0.2:9000"
+    And the record of a is written again with Address = "10.0.0.2:9000"
     Then a and b are in use
 
   Scenario: A signal of another engine at the same address does not apply to this one
--- a/features/limit_replay.py
+++ b/features/limit_replay.py
@@ -1,4 +1,4 @@
-"""Replays nodes that share an engine's limit, in virtual time, over a network that can fail."""
+"""Simulates nodes that share an engine's rate limit, in virtual time, over a faulty network."""
 
 import heapq
 import itertools
@@ -12,53 +12,53 @@
 ENGINE = EngineAddress("engine-a", "10.0.0.9:1", 7)
 NETWORK_S = 0.002
 SERVICE_S = 0.05
-# When a broadcast is sent, as peer_link does.
-REPEATS_S = (0.0, 0.05, 0.5)
-# After which the others know that a node is gone, or back.
-DETECTED_S = 2.0
-JOINED_S = 0.3
-# Clocks of nodes differ by up to this much.
+# When each datagram of a broadcast is sent, as in peer_link.
+BROADCAST_DELAYS_S = (0.0, 0.05, 0.5)
+# After these times the other nodes know that a node has failed, or has joined.
+DETECTION_S = 2.0
+JOIN_DELAY_S = 0.3
+# The clocks of two nodes differ by up to this much.
 CLOCK_OFFSET_S = 10_000.0
 
 
 @dataclass
-class Sent:
+class SentRequest:
     """A request that reached the engine.
 
     Attributes:
-        node: that sent it.
-        told_at: when that node passed on an answer that named a limit for the first time, or None.
+        node: the node that sent it.
+        limit_known_at: when that node first got an answer that names a limit, or None.
     """
 
     at: float
     node: str
-    told_at: float | None
+    limit_known_at: float | None
 
 
 class ReplayedNode(LimitPeers):
-    """One node: its limits, and what it knows of the others."""
+    """A node with its limits and its view of the membership."""
 
     node_id = ""
 
     def __init__(self, fleet, name):
         self.node_id = name
         self.fleet = fleet
-        self.offset_s = fleet.random.uniform(0.0, CLOCK_OFFSET_S)
+        self.clock_offset_s = fleet.random.uniform(0.0, CLOCK_OFFSET_S)
         self.members = {name}
         self.started_at = fleet.now
         self.frozen_until = 0.0
-        self.told_at = None
+        self.limit_known_at = None
         self.waiting = {}
         self.start()
 
     def start(self):
         self.limits = EngineLimits()
         self.limits.peers = self
-        self.started_at, self.told_at, self.waiting = self.fleet.now, None, {}
+        self.started_at, self.limit_known_at, self.waiting = self.fleet.now, None, {}
 
     @property
     def now(self):
-        return self.fleet.now + self.offset_s
+        return self.fleet.now + self.clock_offset_s
 
     def issuer(self, engine):
         return first(b"engine", self.members)
@@ -75,8 +75,8 @@
 
     def broadcast(self, limit):
         for peer in self.members - {self.node_id}:
-            for repeat_s in REPEATS_S:
-                self.fleet.deliver(self, peer, lambda p: p.limits.merge(limit, p.now), repeat_s)
+            for delay_s in BROADCAST_DELAYS_S:
+                self.fleet.deliver(self, peer, lambda p: p.limits.merge(limit, p.now), delay_s)
 
     def limit_changed(self, limit, source):
         pass
@@ -91,9 +91,9 @@
         pass
 
     def permits_changed(self):
-        self.fleet.after(0.0, self.look_again, self)
+        self.fleet.after(0.0, self.retry_waiting, self)
 
-    def look_again(self):
+    def retry_waiting(self):
         for user in list(self.waiting):
             self.try_send(user)
 
@@ -103,7 +103,7 @@
         self.fleet.after(0.16, lambda: self.waiting.pop(user, None), self)
 
     def try_send(self, user):
-        """Send a request as a node does that prefers this engine and has others beside it."""
+        """Send a request like a node that prefers this engine but has others to choose from."""
         limits, now = self.limits, self.now
         permit = None
         if limits.is_limited(ENGINE):
@@ -122,23 +122,23 @@
 
 @dataclass
 class ReplayedFleet:
-    """Nodes, the network between them, and one engine that names a limit.
+    """Simulates nodes, the network between them, and one engine that names a limit.
 
     Attributes:
-        limit_at: what the engine names at a time, or None.
-        lost_share: of the datagrams.
-        late_s: by which datagrams are delayed at most.
-        cut: two groups of nodes that don't reach each other, or none.
-        names_share: in how many of its answers the engine names its limit.
+        limit_at: returns the limit that the engine names at a time, or None.
+        lost_share: the share of datagrams that are lost.
+        max_delay_s: the longest extra delay of a datagram.
+        partition: groups of nodes that are cut off from all others.
+        naming_share: the share of answers in which the engine names its limit.
     """
 
     size: int
     seed: int = 1
     limit_at: object = lambda now: 1.0
     lost_share: float = 0.0
-    late_s: float = 0.0
-    cut: tuple = ()
-    names_share: float = 1.0
+    max_delay_s: float = 0.0
+    partition: tuple = ()
+    naming_share: float = 1.0
     now: float = 0.0
     sent: list = field(default_factory=list)
     events: list = field(default_factory=list)
@@ -156,7 +156,7 @@
             node.started_at = -10.0
 
     def after(self, wait_s, action, node=None):
-        """Do something later; a node that started anew meanwhile does nothing of before."""
+        """Schedule an action; a node that restarts before it is due drops it."""
         started_at = node.started_at if node is not None else None
         heapq.heappush(self.events, (self.now + wait_s, next(self.order), action, node, started_at))
 
@@ -180,26 +180,26 @@
             or self.random.random() < self.lost_share
         ):
             return
-        wait_s += NETWORK_S + self.random.uniform(0.0, self.late_s)
+        wait_s += NETWORK_S + self.random.uniform(0.0, self.max_delay_s)
         self.after(wait_s, lambda: action(peer), peer)
 
     def _reaches(self, sender, name):
-        return not any((sender in side) != (name in side) for side in self.cut)
+        return not any((sender in side) != (name in side) for side in self.partition)
 
     def send_to_engine(self, node, permit):
-        self.sent.append(Sent(self.now, node.node_id, node.told_at))
+        self.sent.append(SentRequest(self.now, node.node_id, node.limit_known_at))
         named = self.limit_at(self.now)
-        if self.random.random() >= self.names_share:
+        if self.random.random() >= self.naming_share:
             named = None
         self.after(SERVICE_S, lambda: self._answer(node, named, permit), node)
 
     def _answer(self, node, named, permit):
         node.limits.note_answer(ENGINE, named, permit, node.now)
-        if named is not None and node.told_at is None:
-            node.told_at = self.now
+        if named is not None and node.limit_known_at is None:
+            node.limit_known_at = self.now
 
-    def call(self, per_s, until, nodes=None):
-        """Let callers come at random to some nodes, or all."""
+    def schedule_calls(self, per_s, until, nodes=None):
+        """Schedule random calls to the given nodes, or to all."""
         names = nodes or list(self.nodes)
         at = self.now
         while (at := at + self.random.expovariate(per_s)) < until:
@@ -207,59 +207,62 @@
             self.after(at - self.now, lambda n=node: self._arrive(n))
 
     def _arrive(self, node):
-        """Bring a caller to a node; one that is frozen takes it up when it goes on."""
+        """Deliver a call to a node; a frozen node handles it when it resumes."""
         if self.now < node.frozen_until:
             if node.frozen_until < float("inf"):
                 self.after(node.frozen_until - self.now, lambda: self._arrive(node))
             return
         node.arrive(f"user-{next(self.users)}")
 
-    def forget(self, name):
-        """Let the others take a node for gone."""
+    def remove_member(self, name):
+        """Remove a node from the membership of the other nodes."""
         for node in self.nodes.values():
             if node.node_id != name:
                 node.members.discard(name)
 
     def kill(self, name):
         self.nodes[name].frozen_until = float("inf")
-        self.after(DETECTED_S, lambda: self.forget(name))
+        self.after(DETECTION_S, lambda: self.remove_member(name))
 
     def restart(self, name):
-        """Start a node anew; the others tell it of the limits that hold."""
+        """Restart a node, to which the other nodes send the limits in force."""
         node = self.nodes[name]
         node.start()
         for peer in self.nodes.values():
             limits = peer.limits.in_force()
             if peer is not node and limits:
                 self.deliver(
-                    peer, name, lambda p, known=limits: p.limits.merge(known[0], p.now), JOINED_S
+                    peer,
+                    name,
+                    lambda p, known=limits: p.limits.merge(known[0], p.now),
+                    JOIN_DELAY_S,
                 )
 
     def freeze(self, name, seconds):
         node = self.nodes[name]
-        # A node that has ended does not come back.
+        # A node that was killed does not resume.
         node.frozen_until = max(node.frozen_until, self.now + seconds)
-        if seconds > DETECTED_S:
-            self.after(DETECTED_S, lambda: self.forget(name))
-            self.after(seconds + JOINED_S, lambda: self._welcome(name))
+        if seconds > DETECTION_S:
+            self.after(DETECTION_S, lambda: self.remove_member(name))
+            self.after(seconds + JOIN_DELAY_S, lambda: self._rejoin(name))
 
-    def _welcome(self, name):
+    def _rejoin(self, name):
         for node in self.nodes.values():
             if self._reaches(name, node.node_id):
                 node.members.add(name)
 
-    def divide(self, names):
-        """Cut some nodes off from the others, which are taken for gone after a while."""
-        self.cut = (set(names),)
+    def isolate(self, names):
+        """Partition some nodes from the others; both sides drop each other after DETECTION_S."""
+        self.partition = (set(names),)
         others = set(self.nodes) - set(names)
 
-        def notice():
+        def detect():
             for name in names:
                 self.nodes[name].members -= others
             for name in others:
                 self.nodes[name].members -= set(names)
 
-        self.after(DETECTED_S, notice)
+        self.after(DETECTION_S, detect)
 
     def issuer(self):
         return first(b"engine", set(self.nodes))
--- a/features/steps/crash_evidence_steps.py
+++ b/features/steps/crash_evidence_steps.py
@@ -1,4 +1,4 @@
-"""Steps about what tells a deadly request from others, in virtual time."""
+"""Steps on evidence that a request crashes engines, in virtual time."""
 
 import random
 import statistics
@@ -15,7 +15,7 @@
     LostRun,
 )
 
-# How long before its worker's end a run was sent.
+# The time from the send of a run to the crash of its worker.
 SENT_BEFORE_S = 0.3
 
 
@@ -23,9 +23,9 @@
     return letter.lower().encode()
 
 
-def runs_of(word):
-    """Return the runs that a word such as 1@2.5:Ab tells of, and when which worker ended."""
-    place, _, letters = word.partition(":")
+def parse_crash(crash):
+    """Parse a crash such as 1@2.5:Ab into its worker, its time and the runs lost in it."""
+    place, _, letters = crash.partition(":")
     worker, _, at = place.partition("@")
     number, ended_at = int(worker), float(at)
     runs = [
@@ -35,29 +35,29 @@
     return number, ended_at, runs
 
 
-@given("these ends: {ends}")
-def step_ends(context, ends):
+@given("these crashes: {crashes}")
+def step_crashes_listed(context, crashes):
     context.evidence = CrashEvidence()
-    for word in ends.split():
-        if word.endswith("!"):
-            runs = context.evidence.runs(name(word[0]))
+    for crash in crashes.split():
+        if crash.endswith("!"):
+            runs = context.evidence.runs(name(crash[0]))
             context.evidence.mark_explained([run.worker for run in runs], runs[-1].ended_at)
-        elif "+" in word:
-            letter, _, at = word.partition("+")
+        elif "+" in crash:
+            letter, _, at = crash.partition("+")
             context.evidence.clear(name(letter), float(at))
         else:
-            worker, ended_at, runs = runs_of(word)
+            worker, ended_at, runs = parse_crash(crash)
             context.evidence.record_end(worker, ended_at)
             for run in runs:
                 context.evidence.add(run)
 
 
-@then('the request "{letter}" is {judged}')
-def step_judged(context, letter, judged):
-    assert context.evidence.should_quarantine(name(letter)) == (judged == "condemned")
+@then('the request "{letter}" is {verdict}')
+def step_verdict(context, letter, verdict):
+    assert context.evidence.should_quarantine(name(letter)) == (verdict == "quarantined")
 
 
-def judged(runs):
+def verdicts(runs):
     evidence = CrashEvidence()
     for run in runs:
         evidence.add(run)
@@ -67,33 +67,33 @@
 
 
 def random_runs(draw):
-    found = []
+    runs = []
     for worker in range(draw.randint(2, 6)):
         at = draw.uniform(0.0, 12.0)
         for letter in draw.sample("abc", draw.randint(1, 3)):
             sent_at = at - draw.uniform(0.01, 3.0)
-            found.append(LostRun(letter.encode(), worker, draw.random() < 0.6, sent_at, at))
-        # Several runs of one request on one worker are told by several nodes.
-        twice = draw.choice(found)
-        found.append(replace(twice, early=draw.random() < 0.6, sent_at=twice.sent_at - 0.1))
-    return found
+            runs.append(LostRun(letter.encode(), worker, draw.random() < 0.6, sent_at, at))
+        # Several nodes report runs of the same request on the same worker.
+        again = draw.choice(runs)
+        runs.append(replace(again, early=draw.random() < 0.6, sent_at=again.sent_at - 0.1))
+    return runs
 
 
-@then("{count:d} random histories are judged alike in any order and when told twice")
+@then("{count:d} random histories get the same verdict in any order and with repetitions")
 def step_any_order(context, count):
-    condemned = 0
+    quarantined = 0
     for seed in range(count):
         draw = random.Random(seed)
         runs = random_runs(draw)
-        expected = judged(runs)
-        condemned += any(expected.values())
-        told = runs + draw.sample(runs, len(runs) // 2)
-        draw.shuffle(told)
-        assert judged(told) == expected, seed
-    assert 0 < condemned < count, condemned
+        expected = verdicts(runs)
+        quarantined += any(expected.values())
+        repeated = runs + draw.sample(runs, len(runs) // 2)
+        draw.shuffle(repeated)
+        assert verdicts(repeated) == expected, seed
+    assert 0 < quarantined < count, quarantined
 
 
-@when("{count:d} requests were lost with engines, one each")
+@when("{count:d} requests were lost, each with another engine")
 def step_many(context, count):
     context.evidence = CrashEvidence()
     for number in range(count):
@@ -110,23 +110,23 @@
     assert len(context.evidence) == 0
 
 
-@when("a request that ends workers comes back every second for {seconds:g} s, {times:d} times")
-def step_comes_back(context, seconds, times):
+@when("a request that crashes workers is repeated every second for {seconds:g} s, {times:d} times")
+def step_repeated(context, seconds, times):
     context.outcomes = []
     for seed in range(times):
         fleet = CrashFleet(seed)
-        fleet.come_back(seconds, 1.0)
-        context.outcomes.append(fleet.play(seconds))
+        fleet.repeat_deadly(seconds, 1.0)
+        context.outcomes.append(fleet.run(seconds))
 
 
-@then("it ends {count:d} workers, {most:d} at the most, and no other request is condemned")
-def step_ended(context, count, most):
-    ended = [outcome.workers_ended for outcome in context.outcomes]
+@then("it crashes {count:d} workers, {most:d} at the most, and no other request is quarantined")
+def step_few_crashed(context, count, most):
+    crashed = [outcome.workers_crashed for outcome in context.outcomes]
     lost = sum(outcome.lost_runs for outcome in context.outcomes)
-    print(f"{Counter(ended)} ended, {lost} runs of others lost")
-    assert statistics.median(ended) == count and max(ended) <= most, ended
+    print(f"{Counter(crashed)} workers crashed, {lost} runs of others lost")
+    assert statistics.median(crashed) == count and max(crashed) <= most, crashed
     for outcome in context.outcomes:
-        assert outcome.condemned == {b"deadly"}, outcome
+        assert outcome.quarantined == {b"deadly"}, outcome
 
 
 @when(
@@ -138,15 +138,15 @@
     for seed in range(times):
         fleet = CrashFleet(seed)
         fleet.crash(seconds, (shortest, longest), 1 / 3)
-        context.outcomes.append(fleet.play(seconds))
+        context.outcomes.append(fleet.run(seconds))
 
 
-@then("at most 1 in {count} requests is condemned")
-def step_nobody(context, count):
-    condemned = sum(len(outcome.condemned) for outcome in context.outcomes)
+@then("at most 1 in {count} requests is quarantined")
+def step_almost_none(context, count):
+    quarantined = sum(len(outcome.quarantined) for outcome in context.outcomes)
     requests = sum(outcome.requests for outcome in context.outcomes)
     lost = sum(outcome.lost_runs for outcome in context.outcomes)
-    told = f"{condemned} condemned of {requests}, {lost} runs lost"
-    print(told)
-    assert requests > 100_000 and lost > 1_000, told
-    assert condemned * int(count.replace(",", "")) <= requests, told
+    summary = f"{quarantined} quarantined of {requests}, {lost} runs lost"
+    print(summary)
+    assert requests > 100_000 and lost > 1_000, summary
+    assert quarantined * int(count.replace(",", "")) <= requests, summary
--- a/features/steps/engine_limit_steps.py
+++ b/features/steps/engine_limit_steps.py
@@ -43,14 +43,14 @@
     context.calls_per_s = per_s
 
 
-@given("datagrams of which {share:g} are lost and others are {late_s:g} s late")
-def step_network(context, share, late_s):
-    context.fleet.lost_share, context.fleet.late_s = share, late_s
+@given("datagrams of which {share:g} are lost and others are {max_delay_s:g} s late")
+def step_network(context, share, max_delay_s):
+    context.fleet.lost_share, context.fleet.max_delay_s = share, max_delay_s
 
 
 @given("the engine names it in {share:g} of its answers")
 def step_some_answers(context, share):
-    context.fleet.names_share = share
+    context.fleet.naming_share = share
 
 
 @given("the engine names in turn {limits} for {each_s:g} s each")
@@ -69,20 +69,20 @@
 
 @when("callers call all nodes for {seconds:g} s")
 def step_run(context, seconds):
-    context.fleet.call(context.calls_per_s, seconds)
+    context.fleet.schedule_calls(context.calls_per_s, seconds)
     context.fleet.run(seconds)
 
 
 @when("callers call one node for {seconds:g} s")
 def step_run_one(context, seconds):
-    context.fleet.call(context.calls_per_s, seconds, ["node-0"])
+    context.fleet.schedule_calls(context.calls_per_s, seconds, ["node-0"])
     context.fleet.run(seconds)
 
 
 @when("callers call all nodes for {seconds:g} s while {fault}")
 def step_run_with_fault(context, seconds, fault):
     fleet = context.fleet
-    fleet.call(context.calls_per_s, seconds)
+    fleet.schedule_calls(context.calls_per_s, seconds)
     FAULTS[fault](fleet, seconds)
     fleet.run(seconds)
 
@@ -109,11 +109,11 @@
 
 def fleet_is_partitioned(fleet, _):
     half = [f"node-{number}" for number in range(fleet.size // 2)]
-    fleet.after(4.0, lambda: fleet.divide(half))
+    fleet.after(4.0, lambda: fleet.isolate(half))
 
 
 def issuer_is_isolated(fleet, _):
-    fleet.after(4.0, lambda: fleet.divide([fleet.issuer()]))
+    fleet.after(4.0, lambda: fleet.isolate([fleet.issuer()]))
 
 
 FAULTS = {
@@ -134,8 +134,8 @@
         sent.at
         for sent in fleet.sent
         if sent.at >= settled_at
-        and sent.told_at is not None
-        and sent.at >= sent.told_at + KNOWN_AFTER_S
+        and sent.limit_known_at is not None
+        and sent.at >= sent.limit_known_at + KNOWN_AFTER_S
     ]
 
 
@@ -415,23 +415,23 @@
 
 EVENTS = drawn.tuples(
     drawn.floats(0.0, 18.0),
-    drawn.sampled_from(("kill", "restart", "freeze", "divide")),
+    drawn.sampled_from(("kill", "restart", "freeze", "isolate")),
     drawn.integers(0, 23),
     drawn.floats(0.1, 5.0),
 )
 
 
-def play_history(size, limit, lost_share, late_s, events, seed):
+def play_history(size, limit, lost_share, max_delay_s, events, seed):
     """Return a fleet after a history; drawn numbers select the nodes by their index."""
-    fleet = ReplayedFleet(size, seed, lambda now: limit, lost_share, late_s)
-    fleet.call(CALLS_PER_S, 24.0)
+    fleet = ReplayedFleet(size, seed, lambda now: limit, lost_share, max_delay_s)
+    fleet.schedule_calls(CALLS_PER_S, 24.0)
     for at, kind, number, seconds in events:
         name = f"node-{number % size}"
         actions = {
             "kill": lambda n=name: fleet.kill(n),
             "restart": lambda n=name: fleet.restart(n),
             "freeze": lambda n=name, s=seconds: fleet.freeze(n, s),
-            "divide": lambda k=number: fleet.divide([f"node-{i}" for i in range(k % size)]),
+            "isolate": lambda k=number: fleet.isolate([f"node-{i}" for i in range(k % size)]),
         }
         fleet.after(at, actions[kind])
     fleet.run(24.0)
@@ -452,8 +452,8 @@
         drawn.lists(EVENTS, max_size=4),
         drawn.integers(0, 1000),
     )
-    def check(size, limit, lost_share, late_s, events, seed):
-        fleet = play_history(size, limit, lost_share, late_s, events, seed)
+    def check(size, limit, lost_share, max_delay_s, events, seed):
+        fleet = play_history(size, limit, lost_share, max_delay_s, events, seed)
         most, bound = most_in_window(arrivals_under_limit(fleet)), 1.5 * limit * WINDOW_S + 5
         assert most <= bound, (most, bound)
         context.histories += 1
--- a/features/steps/engine_record_steps.py
+++ b/features/steps/engine_record_steps.py
@@ -1,4 +1,4 @@
-"""Steps on what engines record of themselves, with records of other writers among them."""
+"""Steps on engine records, valid and invalid, in the store."""
 
 import json
 import sys
@@ -30,15 +30,15 @@
 
 BORN_UNIX_MS = 1_700_000_000_000
 PREFIX = "servers/"
-SPOILED = {
-    "a list in its place": b"[1]",
-    "bytes that are no text": b"\xff\xfe{",
-    "lists a thousand deep": b'{"Models": ' + b"[" * 100_000 + b"]" * 100_000 + b"}",
-    "a megabyte of blanks": b" " * 1_048_576 + b"{}",
+INVALID_RECORDS = {
+    "a list as the record": b"[1]",
+    "bytes that are not UTF-8": b"\xff\xfe{",
+    "deeply nested lists": b'{"Models": ' + b"[" * 100_000 + b"]" * 100_000 + b"}",
+    "a megabyte of spaces": b" " * 1_048_576 + b"{}",
 }
 
 
-def entry(name, **changes):
+def record_body(name, **changes):
     body = {
         "Service": "service-1",
         "Address": f"10.0.0.1:{1000 + ord(name)}",
@@ -54,7 +54,7 @@
 
 
 class RecordedLog(DecisionLog):
-    """Keeps the kinds of lines."""
+    """A log that keeps the kinds of its lines."""
 
     def __init__(self):
         super().__init__("node-1")
@@ -65,7 +65,7 @@
 
 
 class Node:
-    """What one node believes of engines."""
+    """The state that a node keeps of engines."""
 
     def __init__(self):
         self.engines = EngineTable()
@@ -100,7 +100,7 @@
         self.beliefs.apply(MirrorChange(written=(item,), removed=(), gap=False), 0.0)
 
     def in_use(self):
-        """Return the engines that requests go to, found by leaving out those that had one."""
+        """Return the engines that a request may be sent to, chosen one after the other."""
         found = set()
         while True:
             choice = self.selector.choose(opaque_request(), frozenset(found), 0.0)
@@ -112,21 +112,21 @@
 @given("a node that knows engines a and b with the weights of version 1")
 def step_node(context):
     context.node = Node()
-    context.bodies = {"a": entry("a"), "b": entry("b")}
+    context.bodies = {"a": record_body("a"), "b": record_body("b")}
     for name, body in context.bodies.items():
         context.node.write(name, body)
     assert context.node.in_use() == {"a", "b"}
 
 
-@given("both tell when they started")
-def step_births(context):
+@given("both record their start time")
+def step_start_times(context):
     for name, body in context.bodies.items():
         body["born"] = BORN_UNIX_MS
         context.node.write(name, body)
 
 
-@given("a has failed, keeps parts, and has requests of this node and others")
-def step_history(context):
+@given("a has failed, holds prompt parts, and has requests of this node and others")
+def step_used_before(context):
     node = context.node
     context.former = view = node.engines.get("a")
     for _ in range(20):
@@ -143,7 +143,7 @@
     assert node.in_use() == {"b"} and view.requests == 5
 
 
-@given("version 2 of the weights is being loaded by a")
+@given("a is loading version 2 of the weights")
 def step_loading(context):
     node = context.node
     node.targets.add(WeightTarget("model", 2, 1), 0.0)
@@ -151,19 +151,19 @@
     assert "a" in node.rollout.loads
 
 
-@given("a stream ran at b whose copy was at a")
-def step_copy(context):
+@given("a stream ran at b with its backup at a")
+def step_backup(context):
     view = context.node.engines.get("a")
     backup = EngineAddress("a", view.record.address, view.number)
-    context.broken = EngineChoice("b", "10.0.0.1:1098", 1, "salt", backup=backup)
+    context.interrupted = EngineChoice("b", "10.0.0.1:1098", 1, "salt", backup=backup)
 
 
-@when("the entry of {name} is written again with {change}")
+@when("the record of {name} is written again with {change}")
 def step_change(context, name, change):
     body = dict(context.bodies[name])
     field, _, value = change.partition(" = ")
-    if change in SPOILED:
-        body = SPOILED[change]
+    if change in INVALID_RECORDS:
+        body = INVALID_RECORDS[change]
     elif change.startswith("no "):
         del body[change.removeprefix("no ")]
     elif value == "NaN":
@@ -174,25 +174,25 @@
         context.node.write(name, body)
 
 
-@when("the entry of {name} is written again as it was")
+@when("the record of {name} is written again as it was")
 def step_restore(context, name):
     context.node.write(name, context.bodies[name])
 
 
-@when("version 2 of the weights is wanted")
-def step_named(context):
+@when("version 2 of the weights becomes the target")
+def step_target(context):
     node = context.node
     node.engines.services = frozenset({"service-1"})
     node.targets.add(WeightTarget("model", 2, 1), 0.0)
 
 
-@when("an older entry of the former a arrives, which says that it leaves")
-def step_late(context):
+@when("an older record of the former a arrives, with a as draining")
+def step_late_record(context):
     context.node.write("a", context.bodies["a"] | {"State": "draining"}, revision=1)
 
 
-@when("a peer tells late of its load on the former a, and that it has loaded version 2")
-def step_late_words(context):
+@when("a peer reports late its load on the former a, and that a has loaded version 2")
+def step_late_reports(context):
     number = context.former.advertised_number
     node = context.node
     node.board.update("peer", {"a": EngineLoad(3, 500, 600, number=number)}, 0.0)
@@ -205,28 +205,28 @@
 
 
 @then("a and b are in use")
-@then("a and b are in use, and a at once")
+@then("a and b are in use immediately")
 def step_both(context):
     assert context.node.in_use() == {"a", "b"}, context.node.in_use()
 
 
-@then("b alone is to load")
+@then("b alone is ordered to load")
 def step_load(context):
     node = context.node
     found = node.rollout.due(node.engines.in_use(), 0.0)
     assert [i.engine_id for i in found if isinstance(i, AnnounceLoad)] == ["b"], found
 
 
-@then("a line tells of the entry once, and each is counted")
-def step_told(context):
+@then("one log line reports the record, and each write is counted")
+def step_reported(context):
     refused = context.node.log.kinds.count("record_refused")
     withdrawn = context.node.log.kinds.count("engine") - 2
     assert context.node.refused == (2 if refused else 0)
     assert refused == 1 or withdrawn == 1, context.node.log.kinds
 
 
-@then("a holds no parts, requests or tokens, and no order of it is known")
-def step_fresh(context):
+@then("a has no prompt parts, requests, tokens or orders")
+def step_no_former_state(context):
     node = context.node
     view = node.engines.get("a")
     assert (view.requests, view.waiting_tokens, view.resident_tokens) == (0, 0, 0), view
@@ -237,8 +237,8 @@
     assert load is None or load.incarnation_number == view.number
 
 
-@then("the former a has ended, as evidence against what ran there")
-def step_ended(context):
+@then("the end of the former a is recorded as evidence against its requests")
+def step_end_recorded(context):
     assert context.node.quarantine.knows_end(context.former)
 
 
@@ -247,14 +247,14 @@
     assert context.node.engines.get("a").weight_version("model") == 1
 
 
-@then("it may go on at a")
-def step_goes_on(context):
-    assert context.node.selector.continue_at_backup(opaque_request(), context.broken, 0.0)
+@then("it may be resumed at a")
+def step_resumable(context):
+    assert context.node.selector.continue_at_backup(opaque_request(), context.interrupted, 0.0)
 
 
-@then("it may not go on at a")
-def step_does_not_go_on(context):
-    assert not context.node.selector.continue_at_backup(opaque_request(), context.broken, 0.0)
+@then("it may not be resumed at a")
+def step_not_resumable(context):
+    assert not context.node.selector.continue_at_backup(opaque_request(), context.interrupted, 0.0)
 
 
 JSON_VALUES = values.recursive(
@@ -275,30 +275,28 @@
     return "number" if type(value) in (int, float) else type(value)
 
 
-@then(
-    "no entry of a drawn at random that lacks a field or has one of another type leaves it in use"
-)
-def step_drawn(context):
-    node, good = context.node, context.bodies["a"]
+@then("no random record of a with a field missing or of a wrong type leaves a in use")
+def step_random_records(context):
+    node, valid = context.node, context.bodies["a"]
 
     @seed(1)
     @settings(max_examples=300, deadline=None)
-    @given_values(values.sampled_from(sorted(good)), values.none() | JSON_VALUES)
-    def spoils(field, value):
-        body = dict(good)
+    @given_values(values.sampled_from(sorted(valid)), values.none() | JSON_VALUES)
+    def check_invalid(field, value):
+        body = dict(valid)
         del body[field]
-        if value is not None and kind_of(value) != kind_of(good[field]):
+        if value is not None and kind_of(value) != kind_of(valid[field]):
             body[field] = value
         node.write("a", body)
-        context.always = context.always and node.in_use() == {"b"}
-        node.write("a", good)
+        context.only_b_in_use = context.only_b_in_use and node.in_use() == {"b"}
+        node.write("a", valid)
         assert node.in_use() == {"a", "b"}
 
-    context.always = True
-    spoils()
-    assert context.always
+    context.only_b_in_use = True
+    check_invalid()
+    assert context.only_b_in_use
 
 
-@then("b is in use all the while")
+@then("b stays in use")
 def step_b(context):
     assert "b" in context.node.in_use()
--- a/features/steps/engine_speeds_steps.py
+++ b/features/steps/engine_speeds_steps.py
@@ -1,4 +1,4 @@
-"""Steps on engines that differ in speed."""
+"""Steps on placement on engines of different speed."""
 
 from dataclasses import replace
 from functools import cache
@@ -6,7 +6,7 @@
 from behave import given, then, when
 
 from features.gateway_support import engine_record, opaque_request
-from features.uneven_engines import Replay
+from features.uneven_engines import Simulation
 from liftrill.coordination import rendezvous
 from liftrill.gateway.engines.engine_selector import EngineSelector
 from liftrill.gateway.engines.engine_speed import WorkSample
@@ -28,7 +28,7 @@
 
 
 class Fleet:
-    """One node's view of engines that work all the time."""
+    """A node's view of engines that are busy all the time."""
 
     def __init__(self, engines, rate, slots=32):
         self.rate, self.now = rate, 0.0
@@ -43,7 +43,7 @@
         return self.table.get(f"e{number}")
 
     def work(self, seconds, slowness=None, answers=False):
-        """Let each engine do work all the time, some of them slower."""
+        """Record work of each engine for a time, slower by a factor for some engines."""
         slow = slowness or {}
         for _ in range(round(seconds / TICK_S)):
             self.now += TICK_S
@@ -59,17 +59,17 @@
         self.speeds.record_read(engine_id, tokens, factor * tokens / self.rate, self.now)
 
     def settle(self):
-        """Let the time pass after which paces are worked out anew."""
+        """Advance the time until paces are computed again, and compute them."""
         self.now += 0.5
         self.changes += self.speeds.refresh(self.now)
 
-    def hear(self, peers, factor, liar=False):
-        units = PROMPT_TOKENS * (1_000 if liar else 2)
+    def receive_reports(self, peers, factor, is_faulty=False):
+        units = PROMPT_TOKENS * (1_000 if is_faulty else 2)
         work = WorkSample(units, factor * units / self.rate)
         for peer in range(peers):
             row = SpeedRow(self.view(0).number, work)
             self.speeds.apply_report(
-                f"liar-{peer}" if liar else f"peer-{peer}", "z", [row], self.now
+                f"liar-{peer}" if is_faulty else f"peer-{peer}", "z", [row], self.now
             )
 
     def slow(self):
@@ -81,8 +81,8 @@
     context.fleet = Fleet(count, rate)
 
 
-@when("they work alike for {seconds:g} s")
-def step_alike(context, seconds):
+@when("they work at the same speed for {seconds:g} s")
+def step_same_speed(context, seconds):
     context.fleet.work(seconds)
 
 
@@ -142,7 +142,7 @@
 
 
 @when(
-    "engine {number:d} loads weights for {seconds:g} s, and what runs there takes"
+    "engine {number:d} loads weights for {seconds:g} s, and its requests take"
     " {factor:g} times as long"
 )
 def step_loads(context, number, seconds, factor):
@@ -151,7 +151,7 @@
     view.paused_until, view.loading_version = fleet.now + seconds, 2
     fleet.work(seconds, {view.engine_id: factor})
     view.paused_until, view.loading_version = 0.0, 0
-    # It was sent while weights were loaded, and is read soon after.
+    # The prompt was sent during the weight load and is read soon after it.
     fleet.read(view.engine_id, PROMPT_TOKENS, factor)
     fleet.settle()
 
@@ -164,30 +164,30 @@
         assert least <= wait_s <= most, wait_s
 
 
-@when("{peers:d} peers tell that engine 0 takes {factor:g} times as long")
+@when("{peers:d} peers report that engine 0 takes {factor:g} times as long")
 def step_peers(context, peers, factor):
-    context.fleet.hear(peers, factor)
+    context.fleet.receive_reports(peers, factor)
     context.fleet.settle()
 
 
 @when(
-    "{peers:d} peers tell that engine 0 takes {factor:g} times as long,"
-    " and a liar that it takes {lie:g} times"
+    "{peers:d} peers report that engine 0 takes {factor:g} times as long,"
+    " and a faulty peer that it takes {wrong:g} times"
 )
-def step_liar(context, peers, factor, lie):
-    context.fleet.hear(peers, factor)
-    context.fleet.hear(1, lie, liar=True)
+def step_faulty_peer(context, peers, factor, wrong):
+    context.fleet.receive_reports(peers, factor)
+    context.fleet.receive_reports(1, wrong, is_faulty=True)
     context.fleet.settle()
 
 
-@when("nobody tells anything for {seconds:g} s")
-def step_silence(context, seconds):
+@when("no peer reports anything for {seconds:g} s")
+def step_no_reports(context, seconds):
     context.fleet.now += seconds
     context.fleet.settle()
 
 
-@when("engine 0 starts anew")
-def step_anew(context):
+@when("engine 0 restarts")
+def step_restarts(context):
     table = context.fleet.table
     table.remove("e0")
     table.update(engine_record("e0", weights={"model": 1}, revision=2))
@@ -204,8 +204,8 @@
     )
 
 
-@then("no evidence of engine 0 is left but what it lasted at")
-def step_lasted(context):
+@then("nothing is left of engine 0 but its long-term pace")
+def step_only_long_term(context):
     reading = context.fleet.view(0).speed.reading
     assert not reading.sources() and reading.current_s == reading.long_term_s, reading
 
@@ -258,7 +258,7 @@
     return context.policy.choose(request, candidates, "zone-1").view.engine_id
 
 
-@then("of engines alike the one with the fewest requests is taken, as before")
+@then("of equally fast engines the one with the fewest requests is chosen")
 def step_fewest(context):
     assert choose_plain(context, (1, 0, 2)) == "e1"
     assert choose_plain(context, (5, 7, 4)) == "e2"
@@ -275,7 +275,7 @@
     context.fleet.work(seconds, {"e0": factor}, answers=True)
 
 
-@then("engine 0 is taken with 0 requests against {many:d} at the others, and not against {few:d}")
+@then("engine 0 is chosen with 0 requests against {many:d} at the others, and not against {few:d}")
 def step_plain_share(context, many, few):
     assert choose_plain(context, (0, many, many)) == "e0"
     assert choose_plain(context, (0, few, few)) != "e0"
@@ -287,7 +287,7 @@
 
 
 @then("{count:d} requests that find engine 1 idle don't all go there")
-def step_no_herd(context, count):
+def step_spread(context, count):
     chosen = [choose_plain(context, (4, 0, 4), f"r{number}") for number in range(count)]
     assert 0.5 * count < chosen.count("e1") < 0.8 * count, chosen.count("e1")
 
@@ -335,9 +335,7 @@
     assert late_at(context, number, tokens) == 0.0, late_at(context, number, tokens)
 
 
-@given(
-    "{nodes:d} nodes in {zones:d} zones and {engines:d} engines, all of which worked for each node"
-)
+@given("{nodes:d} nodes in {zones:d} zones and {engines:d} engines, all of which served each node")
 def step_bytes(context, nodes, zones, engines):
     context.fleet = Fleet(engines, 100_000)
     slow = {f"e{n}": 2.0 for n in range(0, engines, 4)}
@@ -345,53 +343,56 @@
     context.receivers = (nodes if nodes <= 12 else -(-nodes // zones)) - 1
 
 
-@then("a node sends at most {most:d} bytes a second of it in words of its own, in small datagrams")
+@then("a node sends at most {most:d} bytes a second of its own reports, in small datagrams")
 def step_few_bytes(context, most):
     rows = tuple(context.fleet.speeds.own_rows(context.fleet.now))
     report = LoadReport(LoadScope.NODE, "node-1.example", "zone-1", {}, speeds=rows)
     sent = [d.SerializeToString() for d in datagrams_from_report(report, 1)]
     assert max(len(data) for data in sent) <= LARGEST_DATAGRAM_BYTES
     total = context.receivers * sum(len(data) for data in sent)
-    print(f"{len(rows)} rows, {sum(map(len, sent))} bytes a word, {total} bytes a second")
+    print(f"{len(rows)} rows, {sum(map(len, sent))} bytes a report, {total} bytes a second")
     assert rows and total <= most, total
-    heard = [speeds_from_message(peer_pb2.Datagram.FromString(data)) for data in sent]
-    found = [row for word in heard for row in word.speeds]
+    received = [speeds_from_message(peer_pb2.Datagram.FromString(data)) for data in sent]
+    found = [row for report in received for row in report.speeds]
     assert [row.engine for row in found] == [row.engine for row in rows]
     for before, after in zip(rows, found, strict=True):
         assert abs(after.reading.pace_s / before.reading.pace_s - 1.0) < 0.05
 
 
 @given(
-    "a replay of {engines:d} engines of two speeds before {nodes:d} nodes"
-    " at {load:g} of what they can read"
+    "a simulation of {engines:d} engines of two speeds and {nodes:d} nodes"
+    " at {load:g} of their read capacity"
 )
 def step_replay(context, engines, nodes, load):
-    context.replayed = lambda mode: played(mode, engines, nodes, load)
+    context.simulate = lambda mode: simulated(mode, engines, nodes, load)
 
 
 @cache
-def played(mode, engines, nodes, load):
-    return [Replay(mode, load, 8.0, nodes, engines, seed=seed).run() for seed in SEEDS]
+def simulated(mode, engines, nodes, load):
+    return [Simulation(mode, load, 8.0, nodes, engines, seed=seed).run() for seed in SEEDS]
 
 
-@when("it is played as it was, merged, and with all speeds known")
-def step_play(context):
-    context.played = {mode: context.replayed(mode) for mode in ("as it was", "merged", "oracle")}
-    for replays in context.played.values():
-        for replay in replays:
-            print(replay.figures())
+@when("it runs with one speed for all, with merged reports, and with all speeds known")
+def step_simulate(context):
+    context.results = {mode: context.simulate(mode) for mode in ("one speed", "merged", "oracle")}
+    for runs in context.results.values():
+        for run in runs:
+            print(run.figures())
 
 
 def mean(context, mode, figure):
-    return sum(figure(replay) for replay in context.played[mode]) / len(SEEDS)
+    return sum(figure(run) for run in context.results[mode]) / len(SEEDS)
 
 
-@then("merged the slow engines do within {share:g} of their fair share, and as it was more")
+@then(
+    "the slow engines do work within {share:g} of their fair share with merged reports,"
+    " and more with one speed"
+)
 def step_fair(context, share):
-    work = {mode: mean(context, mode, lambda r: r.slow_work()[0]) for mode in context.played}
-    fair = context.played["merged"][0].slow_work()[1]
+    work = {mode: mean(context, mode, lambda r: r.slow_work()[0]) for mode in context.results}
+    fair = context.results["merged"][0].slow_work()[1]
     assert abs(work["merged"] / fair - 1.0) <= share, (work, fair)
-    assert work["as it was"] > (1.0 + share) * fair, (work, fair)
+    assert work["one speed"] > (1.0 + share) * fair, (work, fair)
 
 
 @then(
@@ -402,13 +403,17 @@
     assert merged <= factor * oracle, (merged, oracle)
 
 
-@then("at most {factor:g} times as many answers are late as before")
+@then("at most {factor:g} times as many answers are late as with one speed")
 def step_late(context, factor):
-    merged, before = (mean(context, m, lambda r: r.late_share()) for m in ("merged", "as it was"))
-    assert merged <= factor * before, (merged, before)
+    merged, one_speed = (
+        mean(context, m, lambda r: r.late_share()) for m in ("merged", "one speed")
+    )
+    assert merged <= factor * one_speed, (merged, one_speed)
 
 
-@then("no more than {factor:g} times as many tokens are read again")
-def step_again(context, factor):
-    merged, before = (mean(context, m, lambda r: r.reread_tokens) for m in ("merged", "as it was"))
-    assert merged <= factor * before, (merged, before)
+@then("no more than {factor:g} times as many tokens are reread")
+def step_reread(context, factor):
+    merged, one_speed = (
+        mean(context, m, lambda r: r.reread_tokens) for m in ("merged", "one speed")
+    )
+    assert merged <= factor * one_speed, (merged, one_speed)
--- a/features/uneven_engines.py
+++ b/features/uneven_engines.py
@@ -1,4 +1,4 @@
-"""A replay in virtual time: engines of two speeds before nodes that hear of each other late."""
+"""Simulates engines of two speeds and nodes that get each other's reports late."""
 
 import heapq
 import itertools
@@ -21,31 +21,31 @@
 TOKENS_PER_S = 110_000
 STEP_S = 0.00608
 STEPS_PER_EVENT = 5
-SLOW, FAST, SPELL, SPELL_S, SPELL_EACH_S = 0.55, 1.2, 2.5, 0.6, 6.0
-TARGET_S, PAUSE_S, HOLD_STEP_S, LEAVES_AFTER_S = 0.6, 0.3, 0.03, 2.4
+SLOW, FAST, SLOW_PHASE_FACTOR, SLOW_PHASE_S, SLOW_PHASE_EVERY_S = 0.55, 1.2, 2.5, 0.6, 6.0
+TARGET_S, PAUSE_S, RETRY_S, GIVES_UP_AFTER_S = 0.6, 0.3, 0.03, 2.4
 ZONES = 3
 LATE_S = 0.25
 REPORT_S = 0.2
 TICK_S = 0.25
-BEGINNINGS, SESSIONS = 4, 200
+SHARED_PREFIXES, SESSIONS = 4, 200
 MEAN_TOKENS = (9_190 + 826) / 2
 
 
 class Engine:
-    """Reads prompts in pieces between the steps of its streams."""
+    """An engine that reads prompts in pieces between the decoding steps of its streams."""
 
-    def __init__(self, name, speed, spells, piece):
-        self.name, self.speed, self.spells, self.piece = name, speed, spells, piece
+    def __init__(self, name, speed, slow_phases, piece):
+        self.name, self.speed, self.slow_phases, self.piece = name, speed, slow_phases, piece
         self.queue, self.streams = [], []
         self.read_tokens = 0
         self.busy = False
 
     def speed_at(self, now):
-        slow = any(begin <= now < begin + SPELL_S for begin in self.spells)
-        return self.speed / (SPELL if slow else 1.0)
+        slow = any(start <= now < start + SLOW_PHASE_S for start in self.slow_phases)
+        return self.speed / (SLOW_PHASE_FACTOR if slow else 1.0)
 
     def step(self, now):
-        """Return how long a step takes, and which runs are read by its end."""
+        """Return the time that a step takes, and the runs whose prompt is read by its end."""
         left, read = self.piece, []
         while left and self.queue:
             run = self.queue[0]
@@ -60,21 +60,21 @@
 
 
 class Run:
-    """A request from its arrival to its last event."""
+    """A request, from its arrival to its last event."""
 
     def __init__(self, request, node, now, events):
-        self.request, self.node, self.came_at = request, node, now
+        self.request, self.node, self.arrived_at = request, node, now
         self.events_left, self.steps = events, 0
         self.first_at = None
         self.longest_pause_s = 0.0
         self.events = 0
 
 
-class FlatSpeeds:
-    """As it was: one speed for all engines, and none of their pauses foreseen."""
+class UniformSpeeds:
+    """Speeds of a node that takes all engines for equally fast and predicts no pauses."""
 
-    def __init__(self, board):
-        self._board = board
+    def __init__(self, speeds):
+        self._speeds = speeds
 
     def read_s_per_token(self, view):
         return 1.0 / 40_000
@@ -86,46 +86,46 @@
         return False
 
     def __getattr__(self, name):
-        return getattr(self._board, name)
+        return getattr(self._speeds, name)
 
 
 class ShortestQueue(PlacementPolicy):
-    """Least expected completion by queue alone."""
+    """Chooses the engine with the fewest waiting tokens."""
 
     def choose(self, request, candidates, zone):
         return min(candidates, key=lambda c: (c.view.waiting_tokens, c.view.requests))
 
 
 class Node:
-    def __init__(self, number, replay):
+    def __init__(self, number, simulation):
         self.zone = f"zone-{number % ZONES}"
         self.name = f"node-{number}"
         self.table = EngineTable()
-        for engine in replay.engines:
+        for engine in simulation.engines:
             self.table.update(engine_record(engine.name, weights={"model": 1}, slots=32))
-        policy = ShortestQueue() if replay.mode == "queue" else None
+        policy = ShortestQueue() if simulation.mode == "queue" else None
         self.selector = EngineSelector(self.table, WeightTargets(8.0), self.zone, policy)
         self.selector.parts.kept_stores = (PrefixStoreProfile("10.0.0.9:1", "zone-0"),)
         self.selector.parts.services["service-1"] = ServiceProfile("service-1", 0)
-        self.selector.parts.nodes = replay.nodes_count
+        self.selector.parts.nodes = simulation.nodes_count
         self.loads = LoadTable(self.table)
         self.speeds = self.selector.speeds
         self.exchange = SpeedExchange(self.speeds, self.zone)
         self.member = Member(self.name, "", "", self.zone, 1)
-        if replay.mode != "as it was":
+        if simulation.mode != "one speed":
             self.speeds.pause_targets_s["service-1"] = PAUSE_S
         else:
-            self.flatten()
-        if replay.mode == "oracle":
-            self.tell_truth(replay)
+            self.use_one_speed()
+        if simulation.mode == "oracle":
+            self.use_true_speeds(simulation)
 
-    def flatten(self):
-        """Use one speed for all engines."""
-        self.selector._prompt_policy.speeds = FlatSpeeds(self.speeds)
+    def use_one_speed(self):
+        """Use the same speed for all engines."""
+        self.selector._prompt_policy.speeds = UniformSpeeds(self.speeds)
 
-    def tell_truth(self, replay):
-        """Know all speeds, and go on knowing them."""
-        self.truth = {engine.name: engine for engine in replay.engines}
+    def use_true_speeds(self, simulation):
+        """Give the node the true speeds of all engines."""
+        self.true_engines = {engine.name: engine for engine in simulation.engines}
         service = self.speeds._service("service-1")
         service.has_read_estimate = True
 
@@ -133,19 +133,19 @@
         self.speeds.refresh(now)
         service = self.speeds._service("service-1")
         for view in self.table:
-            if mode == "as it was":
+            if mode == "one speed":
                 view.speed.read_s_per_token, view.speed.slowness = service.read_s_per_token, 1.0
                 view.speed.home_weight = 1.0
             elif mode == "oracle":
                 service.read_s_per_token = 1.0 / (TOKENS_PER_S * FAST)
-                engine = self.truth[view.engine_id]
+                engine = self.true_engines[view.engine_id]
                 view.speed.slowness = FAST / engine.speed_at(now)
                 view.speed.home_weight = engine.speed / FAST
                 view.speed.read_s_per_token = service.read_s_per_token * view.speed.slowness
 
 
-class Replay:
-    """All of it; `mode` is how nodes know speeds."""
+class Simulation:
+    """Simulates requests, nodes and engines; `mode` names the source of the nodes' speeds."""
 
     def __init__(self, mode, load, seconds, nodes=24, engines=30, piece=4_096, seed=5, uneven=True):
         self.random = random.Random(seed)
@@ -161,12 +161,12 @@
 
     def new_engine(self, number, seconds, piece, uneven):
         speed = (SLOW if number % 4 == 0 else FAST) if uneven else 1.0
-        spells, at = [], 0.0
+        slow_phases, at = [], 0.0
         while uneven and at < seconds:
-            at += self.random.expovariate(1.0 / SPELL_EACH_S)
-            spells.append(at)
-            at += SPELL_S
-        return Engine(f"e{number}", speed, spells, piece)
+            at += self.random.expovariate(1.0 / SLOW_PHASE_EVERY_S)
+            slow_phases.append(at)
+            at += SLOW_PHASE_S
+        return Engine(f"e{number}", speed, slow_phases, piece)
 
     def at(self, time, action, *arguments):
         heapq.heappush(self.queue, (time, next(self.order), action, arguments))
@@ -192,31 +192,31 @@
             node.refresh(self.mode, self.now)
 
     def report(self):
-        """Send what each node has and has seen to the others, late."""
+        """Send the loads, prefix entries and speeds of each node to the others, LATE_S later."""
         for node in self.nodes:
             loads = {name: replace(load) for name, load in node.loads.own_loads().items()}
             kept = node.selector.parts.directory.updates(self.now).own
-            self.at(self.now + LATE_S, self.hear, node, loads, kept)
+            self.at(self.now + LATE_S, self.receive_loads, node, loads, kept)
             if self.mode in ("merged",):
-                self.tell_speeds(node)
+                self.report_speeds(node)
 
-    def tell_speeds(self, node):
+    def report_speeds(self, node):
         local = [n.member for n in self.nodes if n.zone == node.zone and n is not node]
-        words = [SendReport(LoadReport(LoadScope.NODE, node.name, node.zone, {}), tuple(local))]
+        reports = [SendReport(LoadReport(LoadScope.NODE, node.name, node.zone, {}), tuple(local))]
         if self.nodes.index(node) < ZONES:
             others = tuple(n.member for n in self.nodes if n.zone != node.zone)
             total = LoadReport(LoadScope.ZONE_SUM, node.name, node.zone, {})
-            words.append(SendReport(total, others))
+            reports.append(SendReport(total, others))
         by_name = {n.name: n for n in self.nodes}
-        for word in node.exchange.due_reports(words, self.now):
-            for member in word.members:
-                hearer = by_name[member.node_id]
-                self.at(self.now + LATE_S, self.hear_speeds, hearer, word.report)
+        for report in node.exchange.due_reports(reports, self.now):
+            for member in report.members:
+                receiver = by_name[member.node_id]
+                self.at(self.now + LATE_S, self.receive_speeds, receiver, report.report)
 
-    def hear_speeds(self, node, report):
+    def receive_speeds(self, node, report):
         node.exchange.apply_report(report, self.now)
 
-    def hear(self, source, loads, kept):
+    def receive_loads(self, source, loads, kept):
         for node in self.nodes:
             if node is not source:
                 node.loads.update(source.name, loads, self.now)
@@ -230,7 +230,7 @@
         if number % 2:
             session = int(SESSIONS * self.random.random() ** 2)
             parts = (
-                PromptPart(f"beginning-{session % BEGINNINGS}", 2_500),
+                PromptPart(f"beginning-{session % SHARED_PREFIXES}", 2_500),
                 PromptPart(f"session-{session}", 3_800),
                 PromptPart(f"own-{number}", 2_890),
             )
@@ -243,8 +243,8 @@
     def ask(self, run):
         choice = run.node.selector.choose(run.request, frozenset(), self.now)
         if isinstance(choice, Unavailable):
-            if self.now < run.came_at + LEAVES_AFTER_S:
-                self.at(self.now + HOLD_STEP_S, self.ask, run)
+            if self.now < run.arrived_at + GIVES_UP_AFTER_S:
+                self.at(self.now + RETRY_S, self.ask, run)
             else:
                 self.refused += 1
             return
@@ -264,7 +264,7 @@
             self.step(engine)
 
     def count_reread(self, run):
-        """Count the tokens of shared parts that an engine reads though they were read before."""
+        """Count the tokens of shared parts that some engine had read before."""
         kept = run.request.prompt.prompt_tokens - run.choice.expected_prefill_tokens
         for part in run.request.prompt.shared_parts:
             kept -= part.tokens
@@ -278,16 +278,16 @@
             return
         engine.busy = True
         duration_s, read = engine.step(self.now)
-        self.at(self.now + duration_s, self.stepped, engine, read)
+        self.at(self.now + duration_s, self.step_done, engine, read)
 
-    def stepped(self, engine, read):
+    def step_done(self, engine, read):
         for run in engine.streams:
             run.steps += 1
             if run.steps % STEPS_PER_EVENT == 0:
                 self.event(run)
         for run in [run for run in engine.streams if run.events == run.events_left]:
             engine.streams.remove(run)
-            self.ended(run)
+            self.end(run)
         for run in read:
             self.read(run)
             engine.streams.append(run)
@@ -306,33 +306,33 @@
         run.last_at = self.now
         run.events += 1
 
-    def ended(self, run):
+    def end(self, run):
         run.view.own_load.add(run.load, -1)
         elapsed_s = run.last_at - run.first_at
         run.node.speeds.record_stream(
             run.view, run.events, elapsed_s, run.longest_pause_s, self.now
         )
 
-    # What came of it
+    # Results
 
     def first_events(self, since=2.0):
-        return sorted(r.first_at - r.came_at for r in self.runs if r.came_at >= since)
+        return sorted(r.first_at - r.arrived_at for r in self.runs if r.arrived_at >= since)
 
     def quantile(self, share):
-        found = self.first_events()
-        return found[int(share * (len(found) - 1))]
+        times = self.first_events()
+        return times[int(share * (len(times) - 1))]
 
     def paused_share(self, since=2.0):
-        runs = [run for run in self.runs if run.came_at >= since]
+        runs = [run for run in self.runs if run.arrived_at >= since]
         return sum(run.longest_pause_s > PAUSE_S for run in runs) / len(runs)
 
     def late_share(self, since=2.0):
-        runs = [run for run in self.runs if run.came_at >= since]
-        late = (r.longest_pause_s > PAUSE_S or r.first_at - r.came_at > TARGET_S for r in runs)
+        runs = [run for run in self.runs if run.arrived_at >= since]
+        late = (r.longest_pause_s > PAUSE_S or r.first_at - r.arrived_at > TARGET_S for r in runs)
         return sum(late) / len(runs)
 
     def slow_work(self):
-        """Return the work of the slow engines, beside what their speed makes fair."""
+        """Return the share of work of the slow engines, and their share of the total speed."""
         slow = [engine for engine in self.engines if engine.speed == SLOW]
         work = sum(e.read_tokens for e in slow) / sum(e.read_tokens for e in self.engines)
         return work, sum(e.speed for e in slow) / sum(e.speed for e in self.engines)
