--- a/features/room_replay.py
+++ b/features/room_replay.py
@@ -1,4 +1,4 @@
-"""Callers, nodes and engines in virtual time: the real forwarder before engines of a queue each."""
+"""Simulates callers, nodes and engines in virtual time, with the real forwarder."""
 
 import asyncio
 import itertools
@@ -23,13 +23,13 @@
 from liftrill.gateway.weight_targets import WeightTargets
 
 SERVICE = "service-1"
-READ_PER_S = 100_000.0
+READ_TOKENS_PER_S = 100_000.0
 SLOTS = 24
-QUEUED = 32
+MAX_QUEUED = 32
 MEMORY_TOKENS = 90_000
 STREAM_S = 0.4
 REPORT_S = 0.1
-# Speeds are told with each tenth report of load.
+# Nodes exchange speeds with every tenth report of loads.
 SPEED_REPORTS = 10
 LONG_TOKENS, SHORT_TOKENS = 9_200, 800
 # One in four prompts is short, and urgent.
@@ -38,37 +38,37 @@
 
 
 class VirtualLoop(asyncio.SelectorEventLoop):
-    """A loop whose time passes at once where nothing is to be done."""
+    """An event loop whose time jumps to the next timer when nothing is ready."""
 
     def __init__(self):
         super().__init__()
         self.now = 0.0
         select = self._selector.select
-        self._selector.select = lambda timeout: self._pass(timeout, select)
+        self._selector.select = lambda timeout: self._advance(timeout, select)
 
     def time(self):
         return self.now
 
-    def _pass(self, timeout, select):
+    def _advance(self, timeout, select):
         if timeout is None:
-            raise RuntimeError("nothing will ever happen")
+            raise RuntimeError("virtual time deadlock: no timer and no ready callback")
         self.now += timeout
         return select(0)
 
 
 def run_virtual(main):
-    """Run a coroutine in virtual time, the product's clock included."""
-    loop, steady = VirtualLoop(), clock.now_s
+    """Run a coroutine in virtual time, to which the product's clock is set as well."""
+    loop, real_clock = VirtualLoop(), clock.now_s
     clock.now_s = loop.time
     try:
         return loop.run_until_complete(main)
     finally:
-        clock.now_s = steady
+        clock.now_s = real_clock
         loop.close()
 
 
 class Engine:
-    """Reads prompts one after the other, urgent ones first; streams hold slots and memory."""
+    """An engine that reads one prompt at a time, urgent first; streams hold slots and memory."""
 
     def __init__(self):
         self.queue, self.running, self.preempted = [], [], 0
@@ -85,9 +85,9 @@
             while (attempt := self.next()) is not None:
                 self.queue.remove(attempt)
                 self.running.append(attempt)
-                await asyncio.sleep(attempt.tokens / READ_PER_S)
+                await asyncio.sleep(attempt.tokens / READ_TOKENS_PER_S)
                 if attempt in self.running:
-                    attempt.begin()
+                    attempt.start()
 
     def next(self):
         if not self.queue or len(self.running) >= SLOTS:
@@ -116,29 +116,29 @@
         self.engine, self.number = engine, next(self.numbers)
         self.tokens = request.prompt.prompt_tokens + request.prompt.output_tokens
         self.priority = request.priority
-        self.found = asyncio.Queue()
-        self.begun = False
+        self.events = asyncio.Queue()
+        self.started = False
 
     async def open(self):
-        if len(self.engine.queue) >= QUEUED:
+        if len(self.engine.queue) >= MAX_QUEUED:
             return [events.AttemptRefused(events.RefusalKind.OVERLOADED)]
         self.engine.queue.append(self)
         self.engine.arrived.set()
         return [events.StreamOpened(200, ())]
 
     async def read(self):
-        return [await self.found.get()]
+        return [await self.events.get()]
 
-    def begin(self):
-        if not self.begun:
-            self.found.put_nowait(events.EventReceived(StreamEvent(1, b"id: 1\ndata: a\n\n")))
-        self.begun = True
+    def start(self):
+        if not self.started:
+            self.events.put_nowait(events.EventReceived(StreamEvent(1, b"id: 1\ndata: a\n\n")))
+        self.started = True
         asyncio.get_running_loop().call_later(STREAM_S, self.end)
 
     def end(self):
         if self in self.engine.running:
             self.engine.release(self)
-            self.found.put_nowait(events.StreamCompleted())
+            self.events.put_nowait(events.StreamCompleted())
 
     def close(self):
         self.engine.release(self)
@@ -156,7 +156,7 @@
 
 
 class CallerSink(ResponseSink):
-    """Notes when the first event came, and what became of the request."""
+    """Records the time of the first event and the outcome of the request."""
 
     first_at = refusal = None
     complete = False
@@ -202,24 +202,23 @@
 
 @dataclass
 class Call:
-    """What one caller wants, and what became of it."""
+    """A caller's request and the time of its first event."""
 
     at: float
     tokens: int
     priority: int
     tenant: str
     first_at: float | None = None
-    tries: int = 0
+    sends: int = 0
 
     def in_time(self, target_s):
         return self.first_at is not None and self.first_at - self.at <= target_s
 
 
-class Replay:
-    """Some callers, at nodes that tell each other of their loads.
+class Simulation:
+    """Simulates callers at nodes that report their loads to each other.
 
-    Attributes:
-        repeats: whether callers of the abusive tenant ask again at once, up to 20 times.
+    Callers of the tenant "abusive" retry at once, up to 20 sends; others retry once, when told.
     """
 
     def __init__(self, nodes=3, engines=4, target_s=0.4, seed=7):
@@ -228,12 +227,12 @@
         self.calls = []
 
     def capacity_per_s(self):
-        return self.counts[1] * READ_PER_S / MEAN_TOKENS
+        return self.counts[1] * READ_TOKENS_PER_S / MEAN_TOKENS
 
-    def ask(self, since, until, times, tenant=None):
-        """Let callers ask for some times what engines can read; of 8 tenants, or of one."""
+    def add_calls(self, since, until, load, tenant=None):
+        """Add calls at a multiple of the read capacity, of 8 tenants or of the given one."""
         at = since
-        while (at := at + self.random.expovariate(times * self.capacity_per_s())) < until:
+        while (at := at + self.random.expovariate(load * self.capacity_per_s())) < until:
             urgent = self.random.randrange(URGENT_EVERY) == 0
             tokens, priority = (SHORT_TOKENS, 0) if urgent else (LONG_TOKENS, 1)
             name = tenant or f"tenant-{self.random.randrange(8)}"
@@ -247,19 +246,19 @@
         self.engines = {f"e{number}": Engine() for number in range(self.counts[1])}
         self.nodes = [Node(self.engines) for _ in range(self.counts[0])]
         for node in self.nodes:
-            node.forwarder.prefill_started = partial(self._tell_reading, node)
+            node.forwarder.prefill_started = partial(self._report_waiting_tokens, node)
         reports = asyncio.ensure_future(self._report())
         await asyncio.gather(*(self._call(n, call) for n, call in enumerate(self.calls)))
         for task in (reports, *(engine.task for engine in self.engines.values())):
             task.cancel()
 
-    def _tell_reading(self, teller, view, tokens):
+    def _report_waiting_tokens(self, sender, view, tokens):
         for node in self.nodes:
-            if node is not teller:
+            if node is not sender:
                 node.table.get(view.engine_id).peer_load.waiting_tokens += tokens
 
-    def _tell_speeds(self):
-        """Let nodes tell each other of engines' speed, and work it out anew, as real ones do."""
+    def _exchange_speeds(self):
+        """Exchange the engine speeds between all nodes and recompute them, like real nodes."""
         now = clock.now_s()
         for name, node in enumerate(self.nodes):
             rows = node.selector.speeds.own_rows(now)
@@ -274,7 +273,7 @@
         for number in itertools.count(1):
             await asyncio.sleep(REPORT_S)
             if number % SPEED_REPORTS == 0:
-                self._tell_speeds()
+                self._exchange_speeds()
             for name in self.engines:
                 views = [node.table.get(name) for node in self.nodes]
                 total = EngineLoad()
@@ -287,12 +286,12 @@
     async def _call(self, number, call):
         await asyncio.sleep(call.at)
         abusive = call.tenant == "abusive"
-        leaves_at = call.at + 10 * self.target_s
+        gives_up_at = call.at + 10 * self.target_s
         for _ in range(20 if abusive else 2):
             sink = CallerSink()
-            call.tries += 1
+            call.sends += 1
             node = self.nodes[self.random.randrange(len(self.nodes))]
-            request = self._request(number, call, leaves_at)
+            request = self._request(number, call, gives_up_at)
             try:
                 async with asyncio.timeout(4 * self.target_s):
                     await node.forwarder.deliver(request, sink)
@@ -301,38 +300,39 @@
             if sink.refusal is None:
                 call.first_at = sink.first_at if sink.complete else None
                 return
-            left_s = leaves_at - clock.now_s()
+            left_s = gives_up_at - clock.now_s()
             wait_s = min(sink.refusal.retry_after_seconds, left_s / 3)
             await asyncio.sleep(0.02 if abusive else wait_s)
 
-    def _request(self, number, call, leaves_at):
+    def _request(self, number, call, gives_up_at):
         route = replace(route_rule(), target_seconds=self.target_s)
         now, body = clock.now_s(), b"%d" % number
-        request = opaque_request(route, deadline=leaves_at, received_at=now, tenant=call.tenant)
+        request = opaque_request(route, deadline=gives_up_at, received_at=now, tenant=call.tenant)
         prompt = PromptShape("model", (PromptPart(f"own-{number}", call.tokens),), call.tokens, 20)
         return replace(request, body=body, prompt=prompt, priority=call.priority)
 
-    # What came of it
+    # Results
 
-    def in_time(self, since=0.0, until=1e9, **like):
-        """Return the share of some calls that was answered in time."""
+    def in_time(self, since=0.0, until=1e9, **attributes):
+        """Return the share of calls in a time, with these attributes, that was answered in time."""
         calls = [
             call
             for call in self.calls
-            if since <= call.at < until and all(getattr(call, k) == v for k, v in like.items())
+            if since <= call.at < until
+            and all(getattr(call, k) == v for k, v in attributes.items())
         ]
         return sum(call.in_time(self.target_s) for call in calls) / len(calls)
 
     def goodput(self, since, until):
-        """Return what was answered in time, as a share of what engines could read."""
+        """Return the tokens answered in time as a share of what the engines could read."""
         good = sum(
             c.tokens for c in self.calls if since <= c.at < until and c.in_time(self.target_s)
         )
-        return good / ((until - since) * self.counts[1] * READ_PER_S)
+        return good / ((until - since) * self.counts[1] * READ_TOKENS_PER_S)
 
-    def served(self, **like):
-        """Return the share of some calls that was answered at all."""
-        calls = [c for c in self.calls if all(getattr(c, k) == v for k, v in like.items())]
+    def served(self, **attributes):
+        """Return the share of calls with these attributes that was answered at all."""
+        calls = [c for c in self.calls if all(getattr(c, k) == v for k, v in attributes.items())]
         return sum(call.first_at is not None for call in calls) / len(calls)
 
     def summary(self):
@@ -341,5 +341,5 @@
             for c in self.calls
         )
         outcome["preempted"] = sum(engine.preempted for engine in self.engines.values())
-        outcome["tries"] = sum(call.tries for call in self.calls)
+        outcome["sends"] = sum(call.sends for call in self.calls)
         return dict(outcome)
--- a/features/steps/room_steps.py
+++ b/features/steps/room_steps.py
@@ -1,4 +1,4 @@
-"""Steps about too little room: the order of the line, room at engines, and coming back."""
+"""Steps on overload: order of the queue, capacity of engines, and retries."""
 
 import asyncio
 from contextlib import suppress
@@ -11,7 +11,7 @@
 from hypothesis import strategies as st
 
 from features.gateway_support import engine_record, new_quarantine, opaque_request, route_rule
-from features.room_replay import CallerSink, Replay, run_virtual
+from features.room_replay import CallerSink, Simulation, run_virtual
 from liftrill import clock
 from liftrill.gateway import delivery_events as events
 from liftrill.gateway.admission.capacity_filter import CapacityFilter
@@ -40,60 +40,60 @@
     return QueueEntry(urgency, tenant, tokens, latest, until=10.0, since=0.0, standing=standing)
 
 
-def places(line, count):
-    """Return who gets the next places that come free."""
+def dispatched_next(queue, count):
+    """Return the requests that are dispatched as capacity becomes free."""
     found = []
     for _ in range(count):
-        waiter = line.capacity_freed()
+        waiter = queue.capacity_freed()
         found.append(waiter)
-        assert line.dispatched(waiter, 0.0) is None
+        assert queue.dispatched(waiter, 0.0) is None
     return found
 
 
-# The order
+# Order of the queue
 
 
-@given("a line in which wait, in this order")
-def step_line(context):
-    context.line, context.names = RequestQueue(), {}
+@given("a queue with, in order of arrival")
+def step_queue(context):
+    context.queue, context.names = RequestQueue(), {}
     for row in context.table:
-        standing = RetryStatus[row["standing"].upper()]
+        status = RetryStatus[row["retry_status"].upper()]
         urgency, tokens, latest = int(row["urgency"]), int(row["tokens"]), float(row["latest"])
-        waiter = context.line.join(place(urgency, row["tenant"], tokens, latest, standing))
+        waiter = context.queue.join(place(urgency, row["tenant"], tokens, latest, status))
         context.names[waiter.number] = row["name"]
 
 
-@then("places go to {names}")
-def step_places_go(context, names):
-    found = [context.names[w.number] for w in places(context.line, len(context.names))]
+@then("they are woken in the order {names}")
+def step_woken_in_order(context, names):
+    found = [context.names[w.number] for w in dispatched_next(context.queue, len(context.names))]
     assert found == names.split(", "), found
 
 
-@given("a line with {many:d} requests of 1000 tokens of tenant large and {few:d} of tenant small")
+@given("a queue with {many:d} requests of 1000 tokens of tenant large and {few:d} of tenant small")
 def step_two_tenants(context, many, few):
-    context.line = RequestQueue()
+    context.queue = RequestQueue()
     for tenant, count in (("large", many), ("small", few)):
         for _ in range(count):
-            context.line.join(place(tenant=tenant, tokens=1000))
+            context.queue.join(place(tenant=tenant, tokens=1000))
 
 
-@then("of the first {count:d} places {few:d} go to small")
+@then("{few:d} of the first {count:d} woken requests are of small")
 def step_small_gets(context, count, few):
-    found = [w.entry.tenant for w in places(context.line, count)]
+    found = [w.entry.tenant for w in dispatched_next(context.queue, count)]
     assert found.count("small") == few, found
 
 
-@given("a line with {many:d} urgent requests and {few:d} others")
+@given("a queue with {many:d} urgent requests and {few:d} others")
 def step_urgent_and_others(context, many, few):
-    context.line = RequestQueue()
+    context.queue = RequestQueue()
     for urgency, count in ((0, many), (1, few)):
         for _ in range(count):
-            context.line.join(place(urgency))
+            context.queue.join(place(urgency))
 
 
-@then("of the first {count:d} places {few:d} go to the others")
+@then("{few:d} of the first {count:d} woken requests are of the others")
 def step_others_get(context, count, few):
-    found = [w.entry.urgency for w in places(context.line, count)]
+    found = [w.entry.urgency for w in dispatched_next(context.queue, count)]
     assert found.count(1) == few, found
 
 
@@ -129,7 +129,7 @@
     return (line.leave if kind == "leave" else line.found_no_capacity)(waiter), waiter
 
 
-@then("it is so in {count:d} histories drawn at random")
+@then("this holds in {count:d} random histories")
 def step_histories(context, count):
     @settings(max_examples=count, deadline=None, derandomize=True)
     @drawn(st.lists(STEPS, max_size=60))
@@ -159,62 +159,64 @@
     check()
 
 
-@given("a line with a request of urgency 1 that found nothing")
+@given("a queue with a request of urgency 1 that found no capacity")
 def step_found_nothing(context):
-    context.line = RequestQueue()
-    context.waiter = context.line.join(place(1))
+    context.queue = RequestQueue()
+    context.waiter = context.queue.join(place(1))
 
 
-@then("one that arrives may try")
+@then("a new request may try")
 def step_may_try(context):
-    assert not context.line.must_wait(1) and not context.line.must_wait(2)
+    assert not context.queue.must_wait(1) and not context.queue.must_wait(2)
 
 
-@when("a place comes free")
-def step_comes_free(context):
-    if hasattr(context, "crowd"):
-        context.actions.append(context.crowd.free_place)
+@when("capacity becomes free")
+def step_capacity_freed(context):
+    if hasattr(context, "full_engine"):
+        context.actions.append(context.full_engine.free_capacity)
     else:
-        assert context.line.capacity_freed() is context.waiter
+        assert context.queue.capacity_freed() is context.waiter
 
 
-@then("one of urgency 1 that arrives must wait, and one of urgency 0 need not")
+@then("a new request of urgency 1 must wait, and one of urgency 0 need not")
 def step_must_wait(context):
-    assert context.line.must_wait(1) and not context.line.must_wait(0)
-    assert not context.line.must_wait(1, context.waiter)
+    assert context.queue.must_wait(1) and not context.queue.must_wait(0)
+    assert not context.queue.must_wait(1, context.waiter)
 
 
-@when("the request that was asked finds nothing")
-def step_asked_finds_nothing(context):
-    assert context.line.found_no_capacity(context.waiter) is None
+@when("the woken request finds no capacity")
+def step_woken_finds_none(context):
+    assert context.queue.found_no_capacity(context.waiter) is None
 
 
-@given("a line in which {parts:d} requests wait for a part to be read, and {room:d} for room")
-def step_part_line(context, parts, room):
-    context.line = RequestQueue()
+@given(
+    "a queue in which {parts:d} requests wait for a part to be read, and {others:d} for capacity"
+)
+def step_queue_for_part(context, parts, others):
+    context.queue = RequestQueue()
     for _ in range(parts):
-        context.line.join(replace(place(), needs_capacity=False))
-    for _ in range(room):
-        context.line.join(place(2))
+        context.queue.join(replace(place(), needs_capacity=False))
+    for _ in range(others):
+        context.queue.join(place(2))
 
 
-@when("the part was read, and all of the {count:d} find it")
+@when("the part is read, and all of the {count:d} find it")
 def step_part_read(context, count):
-    context.asked = [context.line.prompt_read(0.0)]
-    while context.asked[-1] is not None and not context.asked[-1].entry.needs_capacity:
-        context.asked.append(context.line.dispatched(context.asked[-1], 0.0))
+    context.woken = [context.queue.prompt_read(0.0)]
+    while context.woken[-1] is not None and not context.woken[-1].entry.needs_capacity:
+        context.woken.append(context.queue.dispatched(context.woken[-1], 0.0))
 
 
-@then("the {count:d} were asked one after the other, without any other sign")
-def step_all_parts_asked(context, count):
-    assert sum(not w.entry.needs_capacity for w in context.asked if w) == count
+@then("the {count:d} were woken one after the other, without another event")
+def step_all_woken(context, count):
+    assert sum(not w.entry.needs_capacity for w in context.woken if w) == count
 
 
 # In the gateway
 
 
 class EndlessAttempt(EngineAttempt):
-    """An engine that takes a request and never answers it, or turns the first one away."""
+    """An attempt that the engine refuses, or accepts and never answers."""
 
     def __init__(self, refuses):
         self._refuses = refuses
@@ -231,11 +233,11 @@
         pass
 
 
-class Crowd(EngineTransport):
-    """Requests that wait at a node with one engine, whose memory a running request takes.
+class FullEngine(EngineTransport):
+    """Requests that wait at a node whose only engine has its memory in use by a running request.
 
     Attributes:
-        sent: the requests that the engine was sent, by number, with when.
+        sent: number and send time of each request that the engine got.
     """
 
     def __init__(self):
@@ -259,7 +261,7 @@
     async def has_ended(self, address):
         return False
 
-    def ask(self, urgency=1):
+    def submit(self, urgency=1):
         number = len(self.tasks)
         now = clock.now_s()
         request = opaque_request(received_at=now, deadline=now + 10.0, request_id=str(number))
@@ -268,29 +270,29 @@
         self.sinks.append(CallerSink())
         self.tasks.append(asyncio.ensure_future(self.forwarder.deliver(request, self.sinks[-1])))
 
-    def free_place(self):
+    def free_capacity(self):
         self.view.own_load.add(EngineLoad(1, 0, 1_000), -1)
         self.forwarder.queues.capacity_freed(SERVICE)
 
-    def free_silently(self):
+    def free_without_signal(self):
         self.view.own_load = EngineLoad(-10, 0, -100_000)
 
-    def leave_first(self):
-        self.free_place()
+    def cancel_first(self):
+        self.free_capacity()
         self.tasks[0].cancel()
 
     def refuse_first(self):
         self.refuses = True
-        self.free_place()
+        self.free_capacity()
 
-    async def play(self, count, actions, lasting):
+    async def play(self, count, actions, duration_s):
         for _ in range(count):
-            self.ask()
+            self.submit()
         await asyncio.sleep(0.02)
         for action in actions:
             action()
             await asyncio.sleep(0)
-        await asyncio.sleep(lasting)
+        await asyncio.sleep(duration_s)
         self.sent_meanwhile = list(self.sent)
         self.waiting, _ = self.forwarder.queues.depth_and_age_s(clock.now_s())
         self.refused = [sink.refusal for sink in self.sinks if sink.refusal]
@@ -300,98 +302,100 @@
                 await task
 
 
-@given("{count:d} requests that wait for room at a full engine")
-def step_crowd(context, count):
-    context.actions, context.count, context.left = [], count, 0
-    context.crowd = Crowd()
+@given("{count:d} requests that wait for capacity at a full engine")
+def step_full_engine(context, count):
+    context.actions, context.count, context.cancelled = [], count, 0
+    context.full_engine = FullEngine()
 
 
-def play(context, lasting):
-    run_virtual(context.crowd.play(context.count, context.actions, lasting))
-    return context.crowd
+def run_full_engine(context, duration_s):
+    run_virtual(context.full_engine.play(context.count, context.actions, duration_s))
+    return context.full_engine
 
 
-@when("a place comes free, and the first {does}")
-def step_place_and(context, does):
-    crowd = context.crowd
-    context.left = does.startswith("leaves")
-    context.refuses = "refused" in does
+@when("capacity becomes free, and the first {action}")
+def step_freed_and_action(context, action):
+    full_engine = context.full_engine
+    context.cancelled = action.startswith("is cancelled")
+    context.refuses = "refused" in action
     context.actions += {
-        "takes it": [crowd.free_place],
-        "leaves as it is woken": [crowd.leave_first],
-        "is refused by the engine": [crowd.refuse_first],
-    }[does]
+        "takes it": [full_engine.free_capacity],
+        "is cancelled when woken": [full_engine.cancel_first],
+        "is refused by the engine": [full_engine.refuse_first],
+    }[action]
 
 
-@then("{count:d} of them is sent, and the others are refused when their wait is over")
+@then("{count:d} of them is sent, and the others are refused when their wait ends")
 def step_one_sent(context, count):
-    crowd = play(context, 0.25)
-    assert len(crowd.sent_meanwhile) == count, crowd.sent
-    # An engine that refused is left alone for 0.15 s; otherwise the next one is woken at once.
-    assert crowd.sent[0][1] <= (0.25 if context.refuses else 0.02), crowd.sent
-    assert crowd.waiting == 0
-    assert len(crowd.refused) == context.count - count - context.left, crowd.refused
+    full_engine = run_full_engine(context, 0.25)
+    assert len(full_engine.sent_meanwhile) == count, full_engine.sent
+    # An engine that refused gets nothing for 0.15 s; otherwise the next request is woken at once.
+    assert full_engine.sent[0][1] <= (0.25 if context.refuses else 0.02), full_engine.sent
+    assert full_engine.waiting == 0
+    assert len(full_engine.refused) == context.count - count - context.cancelled, (
+        full_engine.refused
+    )
 
 
-@when("the engine has room, and nobody says so")
-def step_silent_room(context):
-    context.actions.append(context.crowd.free_silently)
+@when("the engine gets capacity, without a signal")
+def step_freed_without_signal(context):
+    context.actions.append(context.full_engine.free_without_signal)
 
 
 @then("{count:d} of them are sent within {seconds:g} s")
 def step_sent_within(context, count, seconds):
-    crowd = play(context, seconds)
-    assert len(crowd.sent_meanwhile) == count, crowd.sent
+    full_engine = run_full_engine(context, seconds)
+    assert len(full_engine.sent_meanwhile) == count, full_engine.sent
 
 
 @when("a configuration makes all new requests more urgent, and one arrives")
 def step_more_urgent(context):
-    context.actions.append(lambda: context.crowd.ask(urgency=0))
+    context.actions.append(lambda: context.full_engine.submit(urgency=0))
 
 
 @then("the one that arrived last is sent")
 def step_last_sent(context):
-    crowd = play(context, 0.01)
-    assert [number for number, _ in crowd.sent_meanwhile] == [context.count], crowd.sent
+    full_engine = run_full_engine(context, 0.01)
+    assert [number for number, _ in full_engine.sent_meanwhile] == [context.count], full_engine.sent
 
 
-@when("the machine sleeps for {seconds:g} s")
-def step_sleeps(context, seconds):
-    def sleep():
+@when("the machine is suspended for {seconds:g} s")
+def step_suspended(context, seconds):
+    def suspend():
         asyncio.get_running_loop().now += seconds
 
-    context.actions.append(sleep)
+    context.actions.append(suspend)
 
 
-@then("all of them are refused, and nobody waits")
+@then("all of them are refused, and none waits")
 def step_all_refused(context):
-    crowd = play(context, 0.01)
-    assert crowd.waiting == 0 and len(crowd.sinks) == context.count
-    assert not crowd.sent_meanwhile and len(crowd.refused) == context.count
+    full_engine = run_full_engine(context, 0.01)
+    assert full_engine.waiting == 0 and len(full_engine.sinks) == context.count
+    assert not full_engine.sent_meanwhile and len(full_engine.refused) == context.count
 
 
-@given("a line that {rate:d} places a second come free for, and {count:d} requests that wait")
-def step_drained_line(context, rate, count):
-    context.crowd = Crowd()
-    context.crowd.forwarder._queue_entries.log = Mock()
-    line = context.crowd.forwarder.queues.queue(SERVICE)
+@given("a queue of {count:d} requests that is drained at {rate:d} a second")
+def step_drained_queue(context, rate, count):
+    context.full_engine = FullEngine()
+    context.full_engine.forwarder._queue_entries.log = Mock()
+    queue = context.full_engine.forwarder.queues.queue(SERVICE)
     now = clock.now_s()
     for number in range(2 * rate):
-        line.dispatched(line.join(place()), now - (2 * rate - number) / rate)
+        queue.dispatched(queue.join(place()), now - (2 * rate - number) / rate)
     for _ in range(count):
-        line.join(place())
+        queue.join(place())
 
 
 def try_to_wait(context, urgency, wait_s):
     now = clock.now_s()
     request = replace(opaque_request(received_at=now, deadline=now + 10), priority=urgency)
-    return context.crowd.forwarder.new_queue_entry(request, now + wait_s, for_capacity=True)
+    return context.full_engine.forwarder.new_queue_entry(request, now + wait_s, for_capacity=True)
 
 
-@then("one more that may wait for {seconds:g} s is refused at once, with a line in the log")
+@then("one more that may wait for {seconds:g} s is refused at once, and logged")
 def step_refused_at_once(context, seconds):
     assert try_to_wait(context, 1, seconds) is None
-    context.crowd.forwarder._queue_entries.log.not_queued.assert_called_once()
+    context.full_engine.forwarder._queue_entries.log.not_queued.assert_called_once()
 
 
 @then("one that is more urgent waits")
@@ -399,10 +403,10 @@
     assert try_to_wait(context, 0, 0.5) is not None
 
 
-# Room
+# Capacity
 
 
-@then("with a target of {target:g} s a wait of up to {wait:g} s is sent into")
+@then("with a target of {target:g} s, engine waits of up to {wait:g} s are accepted")
 def step_bound(context, target, wait):
     request = opaque_request(replace(route_rule(), target_seconds=target))
     assert abs(OverloadGuard().max_wait_s(request, 0.0, 0.0) - wait) < 1e-9
@@ -422,19 +426,19 @@
     return [round(context.guard.max_wait_s(kind, least_wait_s, now), 3) for kind in kinds]
 
 
-@then("in a short burst both may be sent into waits of up to {wait:g} s")
+@then("in a short burst both accept waits of up to {wait:g} s")
 def step_both_bounds(context, wait):
     assert bounds(context, 0.0, 0.0) == [wait, wait]
 
 
-@when("its queue stands")
-def step_queue_stands(context):
+@when("it has a standing queue")
+def step_standing_queue(context):
     for tenth in range(10):
         bounds(context, 1.0, tenth / 10)
     assert context.guard.is_overloaded(SERVICE)
 
 
-@then("the urgent may be sent into waits of up to {tight:g} s, and others of up to {wide:g} s")
+@then("the urgent accept waits of up to {tight:g} s, and others of up to {wide:g} s")
 def step_standing_bounds(context, tight, wide):
     assert bounds(context, 1.0, 1.0) == [tight, wide], bounds(context, 1.0, 1.0)
 
@@ -442,19 +446,19 @@
 SHARES = {"a fifth": 5, "a tenth": 10}
 
 
-@given("of the tokens that are sent {share} is urgent")
+@given("{share} of the tokens that are sent is urgent")
 @when("{share} of the tokens that are sent is urgent")
 def step_urgent_share(context, share):
     for number in range(600):
         urgent = number % 3 == 0
-        # Two of three requests are others.
+        # Two of three requests are less urgent.
         tokens = 2_000 if urgent else 1_000 * (SHARES[share] - 1)
         context.guard.note_sent(context.kinds[0 if urgent else 1], tokens)
 
 
 @given("an engine of 90000 tokens of which running requests have 85000")
 def step_engine_memory(context):
-    context.room, context.guard = CapacityFilter(), OverloadGuard()
+    context.filter, context.guard = CapacityFilter(), OverloadGuard()
     context.view = EngineView(engine_record("e0"), own_load=EngineLoad(9, 0, 85_000))
 
 
@@ -462,7 +466,7 @@
     request = replace(opaque_request(), prompt=PromptShape("model", (), 9_900, 100))
     request = replace(request, priority=urgency)
     args = (context.guard, request, [context.view], {"e0": 0.0}, 90_000, 0.0)
-    return bool(context.room.engines_with_capacity(*args))
+    return bool(context.filter.engines_with_capacity(*args))
 
 
 @then("a request of 10000 tokens fits, of whatever urgency")
@@ -482,8 +486,8 @@
 
 @given("a service with requests of two urgencies")
 def step_two_urgencies(context):
-    context.crowd = Crowd()
-    selector = context.crowd.forwarder._ports._selector
+    context.full_engine = FullEngine()
+    selector = context.full_engine.forwarder._ports._selector
     for urgency in (0, 1):
         selector.guard.is_more_urgent(replace(opaque_request(), priority=urgency))
     context.speeds = selector.speeds
@@ -503,204 +507,202 @@
 def answered(context, urgency, seconds, tokens):
     request = replace(opaque_request(), priority=urgency)
     choice = events.EngineChoice("e0", "10.0.0.1:0")
-    context.crowd.forwarder._ports.record_prefill(choice, request, tokens, seconds)
+    context.full_engine.forwarder._ports.record_prefill(choice, request, tokens, seconds)
 
 
-@then("engines are not taken to read faster")
+@then("the estimated read speed stays the same")
 def step_not_faster(context):
-    assert reading_s(context) == context.before_s
+    assert read_s_per_token(context) == context.before_s
 
 
-@then("engines are taken to read faster")
+@then("the estimated read speed grows")
 def step_faster(context):
-    assert reading_s(context) < context.before_s
+    assert read_s_per_token(context) < context.before_s
 
 
-def reading_s(context):
-    # Paces are worked out twice a second.
-    context.worked_out_at = getattr(context, "worked_out_at", clock.now_s()) + 0.6
-    context.speeds.refresh(context.worked_out_at)
+def read_s_per_token(context):
+    # Paces are computed twice a second.
+    context.refreshed_at = getattr(context, "refreshed_at", clock.now_s()) + 0.6
+    context.speeds.refresh(context.refreshed_at)
     return context.speeds.service_read_s_per_token(SERVICE)
 
 
-# Coming back
+# Retries of refused callers
 
 
 @given("a node that sends {rate:d} requests a second")
 def step_sends(context, rate):
-    context.times = RetrySchedule()
+    context.schedule = RetrySchedule()
     for number in range(10 * rate):
-        context.times.note_sent(number / rate)
+        context.schedule.note_sent(number / rate)
 
 
 @when("{count:d} callers with {patience:g} s of patience are refused at once")
 def step_refused_together(context, count, patience):
-    context.waits = [context.times.next_retry_s(0.3, patience, 10.0) for _ in range(count)]
+    context.waits = [context.schedule.next_retry_s(0.3, patience, 10.0) for _ in range(count)]
 
 
 @when(
     "{count:d} callers with {patience:g} s of patience are refused at once,"
-    " and there is room after {room:g} s"
+    " and there is capacity after {capacity_s:g} s"
 )
-def step_refused_without_room(context, count, patience, room):
-    times = RetrySchedule()
-    context.waits = [times.next_retry_s(room, patience, 10.0) for _ in range(count)]
+def step_refused_without_room(context, count, patience, capacity_s):
+    schedule = RetrySchedule()
+    context.waits = [schedule.next_retry_s(capacity_s, patience, 10.0) for _ in range(count)]
 
 
-@then("they are told times of {least:g} s or more that are all different")
+@then("their retry times are {least:g} s or more and all different")
 def step_apart(context, least):
     assert min(context.waits) >= least, context.waits
     assert len(set(context.waits)) == len(context.waits), context.waits
 
 
-@then("they are told to come back over {span:g} s, in order, and none before {least:g} s")
+@then("their retry times are spread over {span:g} s, in order, and none is before {least:g} s")
 def step_spread(context, span, least):
     assert context.waits == sorted(context.waits) and context.waits[0] >= least
     assert 0.7 * span <= context.waits[-1] - context.waits[0] <= 1.3 * span, context.waits
 
 
-@then("none is told to come back later than {patience:g} s")
+@then("no retry time is later than {patience:g} s")
 def step_patience(context, patience):
     assert max(context.waits) <= patience, context.waits
     assert len(set(context.waits)) == len(context.waits)
 
 
-@given("a caller that was told to come back in {seconds:g} s")
-def step_told(context, seconds):
-    context.returning, context.request = RefusedRequests(), opaque_request(body=b"same")
-    context.returning.record_refusal(context.request, seconds, 0.0)
+@given("a caller that was told to retry in {seconds:g} s")
+def step_refused_before(context, seconds):
+    context.refused_requests, context.request = RefusedRequests(), opaque_request(body=b"same")
+    context.refused_requests.record_refusal(context.request, seconds, 0.0)
 
 
-@when("it comes after {at:g} s and is told to come back in {seconds:g} s")
-def step_told_again(context, at, seconds):
-    assert context.returning.retry_status(context.request, at) is RetryStatus.CAME_EARLY
-    context.returning.record_refusal(context.request, seconds, at)
+@when("it retries after {at:g} s and is told to retry in {seconds:g} s")
+def step_refused_again(context, at, seconds):
+    assert context.refused_requests.retry_status(context.request, at) is RetryStatus.CAME_EARLY
+    context.refused_requests.record_refusal(context.request, seconds, at)
 
 
-@then("after {at:g} s it counts as {standing}")
-def step_standing(context, at, standing):
+@then("after {at:g} s its retry status is {status}")
+def step_retry_status(context, at, status):
     again = replace(context.request, request_id="another")
-    found = context.returning.retry_status(again, at)
-    assert found is RetryStatus[standing.upper().replace(" ", "_")], found
+    found = context.refused_requests.retry_status(again, at)
+    assert found is RetryStatus[status.upper().replace(" ", "_")], found
 
 
-@when("it waits in line from {at:g} s on, and is asked twice in vain")
-def step_asked_in_vain(context, at):
+@when("it is queued from {at:g} s on, and woken twice without capacity")
+def step_woken_without_capacity(context, at):
     async def play():
-        crowd = Crowd()
-        crowd.forwarder._queue_entries.refused_requests = context.returning
+        full_engine = FullEngine()
+        full_engine.forwarder._queue_entries.refused_requests = context.refused_requests
         await asyncio.sleep(at)
         request = replace(context.request, received_at=clock.now_s())
-        context.standings = []
+        context.statuses = []
         for _ in range(3):
-            held = crowd.forwarder.new_queue_entry(request, at + 0.1, for_capacity=True)
-            context.standings.append(held.standing)
-            waiting = asyncio.ensure_future(crowd.forwarder.queues.wait(request, held))
+            entry = full_engine.forwarder.new_queue_entry(request, at + 0.1, for_capacity=True)
+            context.statuses.append(entry.standing)
+            waiting = asyncio.ensure_future(full_engine.forwarder.queues.wait(request, entry))
             await asyncio.sleep(0.01)
-            crowd.forwarder.queues.capacity_freed(SERVICE)
+            full_engine.forwarder.queues.capacity_freed(SERVICE)
             await waiting
 
     run_virtual(play())
 
 
-@then("it still goes before new ones")
+@then("it still goes before new requests")
 def step_still_first(context):
-    assert context.standings == [RetryStatus.CAME_BACK] * 3, context.standings
+    assert context.statuses == [RetryStatus.CAME_BACK] * 3, context.statuses
 
 
 @when("{count:d} callers are refused")
 def step_many_refused(context, count):
-    context.returning = RefusedRequests()
+    context.refused_requests = RefusedRequests()
     for number in range(count):
         request = opaque_request(body=b"%d" % number)
-        context.returning.record_refusal(request, 1.0, number / 1000)
+        context.refused_requests.record_refusal(request, 1.0, number / 1000)
 
 
 @then("{count:d} of them are remembered")
 def step_remembered(context, count):
-    assert len(context.returning._due) == count == MAX_REFUSED_REQUESTS
+    assert len(context.refused_requests._due) == count == MAX_REFUSED_REQUESTS
 
 
-# Replays
+# Simulations
 
 
-@given("{nodes:d} nodes before {engines:d} engines, and callers with a target of {target:g} s")
-def step_replay(context, nodes, engines, target):
-    context.replay = Replay(nodes, engines, target)
+@given("{nodes:d} nodes, {engines:d} engines, and callers with a target of {target:g} s")
+def step_simulation(context, nodes, engines, target):
+    context.simulation = Simulation(nodes, engines, target)
 
 
 @when(
-    "{load:g} times what engines can read is asked for during {lasting:g} s,"
-    " and 0.5 times around it"
+    "the load is {load:g} times the read capacity for {duration_s:g} s,"
+    " and 0.5 times before and after"
 )
-def step_load(context, load, lasting):
-    replay, context.since, context.until = context.replay, 3.0, 3.0 + lasting
-    replay.ask(0.0, context.since, 0.5)
-    replay.ask(context.since, context.until, load)
-    replay.ask(context.until, context.until + 6.0, 0.5)
-    replay.run()
+def step_load(context, load, duration_s):
+    simulation, context.since, context.until = context.simulation, 3.0, 3.0 + duration_s
+    simulation.add_calls(0.0, context.since, 0.5)
+    simulation.add_calls(context.since, context.until, load)
+    simulation.add_calls(context.until, context.until + 6.0, 0.5)
+    simulation.run()
 
 
-@then("{share:g} of it at least was answered in time meanwhile")
-def step_replay_good(context, share):
-    good = context.replay.goodput(context.since, context.until)
-    assert good >= share, (good, context.replay.summary())
+@then("the goodput in this time was at least {share:g} of the read capacity")
+def step_simulation_good(context, share):
+    good = context.simulation.goodput(context.since, context.until)
+    assert good >= share, (good, context.simulation.summary())
 
 
-@then("of the urgent requests {share:g} were answered in time at least")
-def step_replay_urgent(context, share):
-    found = context.replay.in_time(priority=0)
+@then("at least {share:g} of the urgent requests were answered in time")
+def step_simulation_urgent(context, share):
+    found = context.simulation.in_time(priority=0)
     assert found >= share, found
 
 
-@then("of what came {seconds:g} s later {share:g} were answered in time at least")
-def step_replay_after(context, seconds, share):
-    found = context.replay.in_time(since=context.until + seconds)
+@then("from {seconds:g} s later on at least {share:g} of the requests were answered in time")
+def step_simulation_after(context, seconds, share):
+    found = context.simulation.in_time(since=context.until + seconds)
     assert found >= share, found
 
 
-@then("no kind and no tenant was served at under a quarter of the rate of all")
+@then("no urgency and no tenant was served at less than a quarter of the overall rate")
 def step_none_starved(context):
-    replay = context.replay
+    simulation = context.simulation
     for kind in (0, 1):
-        assert replay.served(priority=kind) >= replay.served() / 4
-    for tenant in {call.tenant for call in replay.calls}:
-        assert replay.served(tenant=tenant) >= replay.served() / 4
+        assert simulation.served(priority=kind) >= simulation.served() / 4
+    for tenant in {call.tenant for call in simulation.calls}:
+        assert simulation.served(tenant=tenant) >= simulation.served() / 4
 
 
-@then("{share:g} of all were served at least")
+@then("at least {share:g} of all were served")
 def step_all_served(context, share):
-    assert context.replay.served() >= share, context.replay.summary()
+    assert context.simulation.served() >= share, context.simulation.summary()
 
 
-@when("one of 8 tenants asks for {times:g} times its usual during {lasting:g} s")
-def step_hot(context, times, lasting):
-    replay = context.replay
-    replay.ask(0.0, lasting + 6.0, 0.8)
-    replay.ask(3.0, 3.0 + lasting, (times - 1) * 0.8 / 8, tenant="tenant-0")
-    replay.run()
+@when("one of 8 tenants has {times:g} times its usual load for {duration_s:g} s")
+def step_hot_tenant(context, times, duration_s):
+    simulation = context.simulation
+    simulation.add_calls(0.0, duration_s + 6.0, 0.8)
+    simulation.add_calls(3.0, 3.0 + duration_s, (times - 1) * 0.8 / 8, tenant="tenant-0")
+    simulation.run()
 
 
 @then("the others were served at least as often as that one")
 def step_others_served(context):
-    replay = context.replay
-    hot = replay.served(tenant="tenant-0")
-    others = [replay.served(tenant=f"tenant-{number}") for number in range(1, 8)]
+    simulation = context.simulation
+    hot = simulation.served(tenant="tenant-0")
+    others = [simulation.served(tenant=f"tenant-{number}") for number in range(1, 8)]
     assert sum(others) / 7 >= hot and min(others) >= 0.5, (hot, others)
 
 
-@when(
-    "{load:g} times what engines can read is asked for, a third of it by callers who repeat at once"
-)
+@when("the load is {load:g} times the read capacity, a third of it from callers that retry at once")
 def step_abusive(context, load):
-    replay = context.replay
-    replay.ask(0.0, 9.0, load * 2 / 3)
-    replay.ask(0.0, 9.0, load / 3, tenant="abusive")
-    replay.run()
+    simulation = context.simulation
+    simulation.add_calls(0.0, 9.0, load * 2 / 3)
+    simulation.add_calls(0.0, 9.0, load / 3, tenant="abusive")
+    simulation.run()
 
 
-@then("the others were served at {share:g} of the rate of all at least")
+@then("the others were served at {share:g} or more of the overall rate")
 def step_others_rate(context, share):
-    replay = context.replay
-    others = [replay.served(tenant=f"tenant-{number}") for number in range(8)]
-    assert sum(others) / 8 >= share * replay.served(), (others, replay.served())
+    simulation = context.simulation
+    others = [simulation.served(tenant=f"tenant-{number}") for number in range(8)]
+    assert sum(others) / 8 >= share * simulation.served(), (others, simulation.served())
