--- a/features/steps/engine_speeds_steps.py
+++ b/features/steps/engine_speeds_steps.py
@@ -353,7 +353,7 @@
     print(f"{len(rows)} rows, {sum(map(len, sent))} bytes a report, {total} bytes a second")
     assert rows and total <= most, total
     received = [speeds_from_message(peer_pb2.Datagram.FromString(data)) for data in sent]
-    found = [row for report in received for row in report.speeds]
+    found = [row for message in received for row in message.speeds]
     assert [row.engine for row in found] == [row.engine for row in rows]
     for before, after in zip(rows, found, strict=True):
         assert abs(after.reading.pace_s / before.reading.pace_s - 1.0) < 0.05
--- a/features/steps/holding_process_steps.py
+++ b/features/steps/holding_process_steps.py
@@ -1,4 +1,4 @@
-"""Steps on what a gateway's process holds for callers that read or send slowly."""
+"""Steps on the memory that a gateway process uses for callers that read or send slowly."""
 
 import asyncio
 import re
@@ -13,7 +13,7 @@
 
 MEGABYTE = 1_048_576
 BODY_BYTES = 4 * MEGABYTE
-# A caller's own buffer is small, so that what it does not read stays at the node.
+# A caller's own buffer is small, so that unread bytes stay at the node.
 CALLER_BUFFER_BYTES = 4_096
 
 
@@ -56,14 +56,14 @@
         return await answer.text()
 
 
-@given("a node of {megabytes:d} MB whose callers may read slowly")
-def step_bounded_node(context, megabytes):
+@given("a node with a memory limit of {megabytes:d} MB")
+def step_limited_node(context, megabytes):
     limits = f"{{ MemoryMb = {megabytes} }}"
     add_node(context, {"Contracts": '["pressure"]', "Limits": limits})
 
 
-@given("a node without bounds")
-def step_unbounded_node(context):
+@given("a node without a memory limit")
+def step_unlimited_node(context):
     add_node(context, {})
 
 
@@ -88,7 +88,7 @@
     context.run(send_all())
 
 
-@when("{count:d} callers ask for a stream and read nothing")
+@when("{count:d} callers request a stream and read nothing")
 def step_read_nothing(context, count):
     async def ask(number):
         reader, writer = await connect(context)
@@ -106,15 +106,15 @@
     context.run(ask_all())
 
 
-@when("{count:d} callers begin a request each, in {what}, and send a byte of it each 0.1 s")
+@when("{count:d} callers each begin a request and send a byte of {what} each 0.1 s")
 def step_trickle(context, count, what):
     whole = head("/whole/x", 1, **{"Content-Length": BODY_BYTES})
-    begun = whole if what == "the body" else whole[:60]
+    first_bytes = whole if what == "the body" else whole[:60]
     rest = b"x" * 100 if what == "the body" else whole[60:]
 
-    async def trickle(number):
+    async def send_slowly(number):
         reader, writer = await connect(context)
-        writer.write(begun.replace(b"%016x" % 1, b"%016x" % number))
+        writer.write(first_bytes.replace(b"%016x" % 1, b"%016x" % number))
         for byte in rest:
             await asyncio.sleep(0.1)
             if writer.transport.is_closing():
@@ -123,7 +123,7 @@
         return reader
 
     async def begin():
-        context.trickling = [asyncio.ensure_future(trickle(n + 1)) for n in range(count)]
+        context.slow_requests = [asyncio.ensure_future(send_slowly(n + 1)) for n in range(count)]
         await asyncio.sleep(2.5)
 
     context.run(begin())
@@ -140,8 +140,8 @@
     assert context.deployment.arrivals()[-1].body == body
 
 
-class NoReader(asyncio.Protocol):
-    """An engine that takes connections, and reads nothing but what its kernel does."""
+class UnreadConnection(asyncio.Protocol):
+    """An engine that accepts connections, and reads only what its kernel buffers."""
 
     def connection_made(self, transport):
         transport.pause_reading()
@@ -150,7 +150,7 @@
 @given("an engine that stops reading in mid-body")
 def step_stops_reading(context):
     async def add():
-        server = await context.loop.create_server(NoReader, "127.0.0.1", 0)
+        server = await context.loop.create_server(UnreadConnection, "127.0.0.1", 0)
         context.stack.callback(server.close)
         listening = server.sockets[0]
         listening.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, CALLER_BUFFER_BYTES)
@@ -162,7 +162,7 @@
 
 
 @when("{count:d} callers send it bodies of 4 MB, and wait {seconds:g} s")
-def step_send_deaf(context, count, seconds):
+def step_send_bodies(context, count, seconds):
     deployment = context.deployment
 
     async def call():
@@ -181,9 +181,9 @@
     print(f"refused {len(answers) - len(context.answers)} of {count}")
 
 
-@then("each whose body was taken was told within {seconds:g} s that its outcome is not known")
+@then("each whose body was accepted was told within {seconds:g} s that its outcome is unknown")
 def step_unknown(context, seconds):
-    # The node closes a connection on which nothing moves for 2 s, which may come first.
+    # The node closes a connection that is idle for 2 s, which may happen before the deadline.
     assert context.answers and all(
         status in (502, 504) and took < seconds for status, took in context.answers
     ), context.answers
@@ -206,14 +206,14 @@
     context.closed_at = time.monotonic()
 
 
-@then("the process has never taken more than {megabytes:d} MB")
+@then("the process has never used more than {megabytes:d} MB")
 def step_peak(context, megabytes):
     peak = memory_megabytes(context, "VmHWM")
     print(f"peak {peak:.0f} MB")
     assert peak <= megabytes, peak
 
 
-@then("some of them are refused as not run, with a time to come back")
+@then("some of them are refused as not executed, with a time to retry")
 def step_some_refused(context):
     refused = [answer.result() for _, answer in context.callers if answer.done()]
     for _, answer in context.callers:
@@ -232,7 +232,7 @@
     assert time.monotonic() - began < seconds, time.monotonic() - began
 
 
-@then("engines have finished {count:d} of the streams by themselves within {seconds:g} s")
+@then("engines have finished {count:d} of the streams within {seconds:g} s")
 def step_finished(context, count, seconds):
     async def finished():
         arrivals = context.deployment.arrivals()
@@ -242,21 +242,21 @@
     context.run(context.deployment.wait_until(finished, left_s))
 
 
-@then("engines work on none of them {seconds:g} s later")
-def step_all_cut(context, seconds):
-    async def none_left():
+@then("engines run none of them {seconds:g} s later")
+def step_none_running(context, seconds):
+    async def none_running():
         return all(a.finished or a.cut for a in context.deployment.arrivals())
 
-    assert not context.run(none_left()), "none was under way"
-    context.run(context.deployment.wait_until(none_left, seconds))
+    assert not context.run(none_running()), "no run was in progress"
+    context.run(context.deployment.wait_until(none_running, seconds))
 
 
-@then('the node has told of {count:d} answers ended as "{reason}"')
-def step_told(context, count, reason):
+@then('the node has logged {count:d} answers ended as "{reason}"')
+def step_logged(context, count, reason):
     node = context.deployment.nodes[0]
-    told = [line for line in node.log().splitlines() if '"LET_GO"' in line]
-    assert len(told) == count, told
-    assert all(f'"why":"{reason}"' in line for line in told), told[0]
+    lines = [line for line in node.log().splitlines() if '"LET_GO"' in line]
+    assert len(lines) == count, lines
+    assert all(f'"why":"{reason}"' in line for line in lines), lines[0]
 
     text = context.run(metrics_of(context))
     assert f'liftrill_slow_callers_total{{reason="{reason}"}} {count}.0' in text, text
--- a/features/steps/holding_steps.py
+++ b/features/steps/holding_steps.py
@@ -1,4 +1,4 @@
-"""Steps on what a node holds: accounts, the flow to a caller, and blame."""
+"""Steps on a node's memory budget, streams to slow callers, and the blame for pauses."""
 
 import asyncio
 import time
@@ -42,33 +42,35 @@
 
 KB = 1024
 MB = 1024 * KB
-# The high-water mark of the fake connection, as of the real one.
-MARK = 16 * KB
+# The high-water mark of the fake connection, like that of the real one.
+HIGH_WATER_BYTES = 16 * KB
 EVENT_BYTES = 1 * KB
 
 
-# Accounts
+# Memory budget
 
 
 def new_budget(context, limit, own):
     context.budget = MemoryBudget(limit * MB, own * MB)
-    context.told = []
-    context.budget.on_pressure_change = lambda state: context.told.append(state.is_nearly_full)
+    context.pressure_changes = []
+    context.budget.on_pressure_change = lambda state: context.pressure_changes.append(
+        state.is_nearly_full
+    )
     context.now = 100.0
-    context.holds, context.let_go = [], []
+    context.holds, context.evicted = [], []
 
 
-def open_hold(context, purpose, caller):
+def reserve(context, purpose, caller):
     number = len(context.holds)
     hold = context.budget.reserve(
-        purpose, caller, context.now, lambda: context.let_go.append((caller, number))
+        purpose, caller, context.now, lambda: context.evicted.append((caller, number))
     )
     context.holds.append(hold)
     return hold
 
 
 def try_body(context, size):
-    hold = open_hold(context, Purpose.BODY_READ, "")
+    hold = reserve(context, Purpose.BODY_READ, "")
     return context.budget.try_grow_body(hold, int(size), context.now)
 
 
@@ -78,7 +80,7 @@
 
 
 @when("a body of {size:g} MB is declared")
-@then("a body of {size:g} MB is taken")
+@then("a body of {size:g} MB is accepted")
 def step_declared(context, size):
     assert try_body(context, size * MB)
 
@@ -90,7 +92,7 @@
 
 
 @when("a body of {size:d} KB is declared")
-@then("a body of {size:d} KB is taken")
+@then("a body of {size:d} KB is accepted")
 def step_small_taken(context, size):
     assert try_body(context, size * KB)
 
@@ -102,17 +104,17 @@
     assert context.budget.held_bytes == held
 
 
-@then("a body in chunks is taken up to {taken:d} KB, and refused from {refused:d} KB on")
-def step_chunks(context, taken, refused):
-    hold = open_hold(context, Purpose.BODY_READ, "")
-    for size in range(64, taken + 1, 64):
+@then("a chunked body is accepted up to {accepted:d} KB, and refused from {refused:d} KB on")
+def step_chunks(context, accepted, refused):
+    hold = reserve(context, Purpose.BODY_READ, "")
+    for size in range(64, accepted + 1, 64):
         assert context.budget.try_grow_body(hold, size * KB, context.now), size
     assert not context.budget.try_grow_body(hold, refused * KB, context.now)
 
 
-@then("the first body was let go, and the second was not")
-def step_first_gone(context):
-    assert [number for _, number in context.let_go] == [0], context.let_go
+@then("the first body was evicted, and the second was not")
+def step_first_evicted(context):
+    assert [number for _, number in context.evicted] == [0], context.evicted
 
 
 @then("{size:d} MB may be held, and not {more:d} MB")
@@ -122,28 +124,28 @@
 
 @when('"{caller}" leaves {size:d} MB of an answer unread')
 def step_unread(context, caller, size):
-    context.budget.grow_answer(open_hold(context, Purpose.ANSWER, caller), size * MB)
+    context.budget.grow_answer(reserve(context, Purpose.ANSWER, caller), size * MB)
 
 
-@then("no answer was ended")
-def step_none_ended(context):
-    assert not context.let_go, context.let_go
+@then("no answer was evicted")
+def step_none_evicted(context):
+    assert not context.evicted, context.evicted
 
 
-@then('the first answer of "{caller}" was ended, and no other')
-def step_one_ended(context, caller):
-    assert context.let_go == [(caller, 1)], context.let_go
+@then('the first answer of "{caller}" was evicted, and no other')
+def step_one_evicted(context, caller):
+    assert context.evicted == [(caller, 1)], context.evicted
 
 
-@when("all bodies are let go")
-def step_all_go(context):
+@when("all bodies are released")
+def step_all_released(context):
     for hold in context.holds:
         hold.close()
 
 
-@then('it was told that the budget is "nearly spent, well again"')
-def step_told(context):
-    assert context.told == [True, False], context.told
+@then('it was reported that the budget is "nearly full, not nearly full"')
+def step_pressure_reported(context):
+    assert context.pressure_changes == [True, False], context.pressure_changes
     assert context.budget.held_bytes == 0
 
 
@@ -157,7 +159,7 @@
 )
 
 
-@then("in {count:d} random histories the accounts are the sums of what is held")
+@then("in {count:d} random histories the sums match the reservations")
 def step_histories(context, count):
     @settings(max_examples=count, deadline=None, derandomize=True)
     @drawn(ACTIONS)
@@ -181,7 +183,7 @@
     budget = context.budget
     if action in ("body", "answer"):
         is_body = action == "body"
-        hold = open_hold(context, Purpose.BODY_READ if is_body else Purpose.ANSWER, str(number % 3))
+        hold = reserve(context, Purpose.BODY_READ if is_body else Purpose.ANSWER, str(number % 3))
         grow(budget, hold, size, context.now)
     elif number < len(context.holds):
         hold = context.holds[number]
@@ -208,25 +210,25 @@
     assert budget.held_for(Purpose.ANSWER) <= budget.capacity_bytes
 
 
-# The flow to a caller
+# Streams to callers
 
 
 class FakeConnection(CallerConnection):
-    """A caller that takes some bytes at each turn, and may go."""
+    """The connection of a caller that reads some bytes per interval, and may disconnect."""
 
-    def __init__(self, taken_bytes, turn_s, gone_after_s=None):
+    def __init__(self, read_bytes, interval_s, disconnects_after_s=None):
         self.received = b""
         self.aborted = False
         self._unsent = b""
         self._is_slow = False
-        self._moved = asyncio.Event()
-        self._taken_bytes, self._turn_s = taken_bytes, turn_s
-        self._in_time = turn_s == 0.0
+        self._changed = asyncio.Event()
+        self._read_bytes, self._interval_s = read_bytes, interval_s
+        self._keeps_up = interval_s == 0.0
         loop = asyncio.get_running_loop()
-        if taken_bytes and not self._in_time:
-            self._turn = loop.call_later(turn_s, self._take)
-        if gone_after_s is not None:
-            loop.call_later(gone_after_s, self.abort)
+        if read_bytes and not self._keeps_up:
+            self._timer = loop.call_later(interval_s, self._read)
+        if disconnects_after_s is not None:
+            loop.call_later(disconnects_after_s, self.abort)
 
     @property
     def is_slow(self):
@@ -238,40 +240,40 @@
 
     async def write(self, data):
         if self.aborted:
-            raise ConnectionResetError("gone")
-        if self._in_time:
+            raise ConnectionResetError("disconnected")
+        if self._keeps_up:
             self.received += data
             return
         self._unsent += data
-        self._is_slow = len(self._unsent) > MARK
+        self._is_slow = len(self._unsent) > HIGH_WATER_BYTES
 
     async def wait_until_writable(self):
         while self._is_slow and not self.aborted:
-            self._moved.clear()
-            await self._moved.wait()
+            self._changed.clear()
+            await self._changed.wait()
         if self.aborted:
-            raise ConnectionResetError("gone")
+            raise ConnectionResetError("disconnected")
 
     async def wait_until_sent(self):
         while self._unsent:
-            self._moved.clear()
-            await self._moved.wait()
+            self._changed.clear()
+            await self._changed.wait()
 
     def abort(self):
         self.aborted = True
-        self._moved.set()
+        self._changed.set()
 
-    def _take(self):
-        self.received += self._unsent[: self._taken_bytes]
-        self._unsent = self._unsent[self._taken_bytes :]
-        if len(self._unsent) <= MARK // 4:
+    def _read(self):
+        self.received += self._unsent[: self._read_bytes]
+        self._unsent = self._unsent[self._read_bytes :]
+        if len(self._unsent) <= HIGH_WATER_BYTES // 4:
             self._is_slow = False
-        self._moved.set()
-        asyncio.get_running_loop().call_later(self._turn_s, self._take)
+        self._changed.set()
+        asyncio.get_running_loop().call_later(self._interval_s, self._read)
 
 
-@given("a caller that reads in time")
-def step_in_time(context):
+@given("a caller that keeps up")
+def step_keeps_up(context):
     context.reads = (0, 0.0)
 
 
@@ -280,35 +282,35 @@
     context.reads = (0, 1.0)
 
 
-@given("a caller that reads nothing and goes after {seconds:g} s")
-def step_goes(context, seconds):
+@given("a caller that reads nothing and disconnects after {seconds:g} s")
+def step_disconnects(context, seconds):
     context.reads = (0, 1.0, seconds)
 
 
-@given("a caller that reads {size:d} KB each {turn:g} s")
-def step_reads_slowly(context, size, turn):
-    context.reads = (size * KB, turn)
+@given("a caller that reads {size:d} KB each {interval:g} s")
+def step_reads_slowly(context, size, interval):
+    context.reads = (size * KB, interval)
 
 
 async def stream(context, connection, count):
-    """Pass a stream as an engine sends it; note when the engine was done and how it ended."""
-    flow = CallerStream(connection, context.budget, "caller", lambda *_: None)
-    began = time.monotonic()
+    """Pass the events of a stream; record when the engine finished; return the error."""
+    caller_stream = CallerStream(connection, context.budget, "caller", lambda *_: None)
+    started_at = time.monotonic()
     error = None
     try:
         for number in range(count):
-            await flow.pass_bytes(f"{number:08d}".encode() * (EVENT_BYTES // 8))
+            await caller_stream.pass_bytes(f"{number:08d}".encode() * (EVENT_BYTES // 8))
             context.most_held = max(context.most_held, context.budget.held_bytes)
-            context.buffers_begun += flow._buffer is not None
-        context.engine_done_s = time.monotonic() - began
-        await flow.finish()
+            context.buffers_used += caller_stream._buffer is not None
+        context.engine_finished_s = time.monotonic() - started_at
+        await caller_stream.finish()
         await connection.wait_until_sent()
     except ConnectionResetError as found:
         error = found
     finally:
-        flow.close()
-    context.took_s = time.monotonic() - began
-    context.flow = flow
+        caller_stream.close()
+    context.took_s = time.monotonic() - started_at
+    context.caller_stream = caller_stream
     return error
 
 
@@ -319,7 +321,7 @@
 
     if not hasattr(context, "budget"):
         new_budget(context, 16, 6)
-    context.most_held = context.buffers_begun = 0
+    context.most_held = context.buffers_used = 0
     context.count = count
     context.run(run())
 
@@ -341,14 +343,14 @@
     assert context.connection.received == expected
 
 
-@then("no buffer was begun, and the run waited 0 s")
+@then("no buffer was used, and the run waited 0 s")
 def step_no_buffer(context):
-    assert context.buffers_begun == 0 and context.flow.waited_s == 0.0
+    assert context.buffers_used == 0 and context.caller_stream.waited_s == 0.0
 
 
-@then("the engine was done within {seconds:g} s")
-def step_engine_done(context, seconds):
-    assert context.engine_done_s < seconds < context.took_s, context.engine_done_s
+@then("the engine finished within {seconds:g} s")
+def step_engine_finished(context, seconds):
+    assert context.engine_finished_s < seconds < context.took_s, context.engine_finished_s
 
 
 @then("nothing is held")
@@ -363,18 +365,18 @@
 
 @then("the run waited at least {seconds:g} s")
 def step_waited(context, seconds):
-    assert context.flow.waited_s >= seconds, context.flow.waited_s
+    assert context.caller_stream.waited_s >= seconds, context.caller_stream.waited_s
 
 
-@then("the caller was let go after {low:g} to {high:g} s, as one that is too slow")
+@then("the caller was disconnected after {low:g} to {high:g} s as too slow")
 def step_let_go(context, low, high):
     assert isinstance(context.error, CallerTooSlowError), context.error
     assert context.connection.aborted
     assert low <= context.took_s <= high, context.took_s
 
 
-@then("the caller was found gone within {seconds:g} s")
-def step_found_gone(context, seconds):
+@then("the disconnect was noticed within {seconds:g} s")
+def step_disconnect_noticed(context, seconds):
     assert isinstance(context.error, ConnectionResetError), context.error
     assert not isinstance(context.error, CallerTooSlowError)
     assert context.took_s <= seconds, context.took_s
@@ -387,7 +389,7 @@
 def step_many_callers(context, count, limit, own):
     new_budget(context, limit, own)
     context.callers = count
-    context.most_held = context.buffers_begun = 0
+    context.most_held = context.buffers_used = 0
 
 
 @when("each is sent a stream of {size:d} KB in events")
@@ -399,8 +401,8 @@
     context.errors = context.run(run())
 
 
-@then("all streams were ended, and never more than {size:d} KB were held")
-def step_all_ended(context, size):
+@then("all streams were aborted, and never more than {size:d} KB were held")
+def step_all_aborted(context, size):
     assert all(isinstance(error, CallerTooSlowError) for error in context.errors)
     assert 0 < context.most_held <= size * KB, context.most_held
     assert context.budget.held_bytes == 0
@@ -410,13 +412,13 @@
 
 
 class SlowSink(RecordingSink):
-    """A caller that takes a while for each event, or never takes the end."""
+    """A caller that reads each event slowly, or never reads the end."""
 
-    def __init__(self, wait_s, takes_end=True):
+    def __init__(self, wait_s, reads_end=True):
         super().__init__()
         self.waited_s = 0.0
-        self.broken_off_at = None
-        self._wait_s, self._takes_end = wait_s, takes_end
+        self.aborted_at = None
+        self._wait_s, self._reads_end = wait_s, reads_end
 
     @property
     def caller_wait_s(self):
@@ -427,19 +429,19 @@
         self.waited_s += self._wait_s
 
     async def finish(self):
-        if not self._takes_end:
+        if not self._reads_end:
             await asyncio.sleep(30)
 
     def abort_stream(self):
-        self.broken_off_at = time.monotonic()
+        self.aborted_at = time.monotonic()
         super().abort_stream()
 
 
 class TwoEvents(EngineAttempt):
-    """An engine that sends two events at once, and then ends as it is told to."""
+    """An attempt that sends two events at once, and then the given ending."""
 
     def __init__(self, ending):
-        self._found = [
+        self._steps = [
             [events.EventReceived(StreamEvent(1, b"id: 1\n\n"))],
             [events.EventReceived(StreamEvent(2, b"id: 2\n\n"))],
             [ending],
@@ -450,7 +452,7 @@
         return [events.StreamOpened(200, ())]
 
     async def read(self):
-        return self._found.pop(0)
+        return self._steps.pop(0)
 
     def close(self):
         self.closed_at = self.closed_at or time.monotonic()
@@ -471,23 +473,23 @@
         return self._attempt
 
 
-@given("a run whose caller takes {wait:g} s for each event")
+@given("a run whose caller needs {wait:g} s for each event")
 def step_slow_sink(context, wait):
     context.sink, context.deadline_s = SlowSink(wait), 5.0
 
 
-@given("a run whose caller never takes the end of its answer, with a deadline in {seconds:g} s")
-def step_never_taken(context, seconds):
-    context.sink, context.deadline_s = SlowSink(0.0, takes_end=False), seconds
+@given("a run whose caller never reads the end of its answer, with a deadline in {seconds:g} s")
+def step_end_never_read(context, seconds):
+    context.sink, context.deadline_s = SlowSink(0.0, reads_end=False), seconds
 
 
-@when("its stream ends well")
-def step_ends_well(context):
+@when("its stream completes")
+def step_completes(context):
     deliver(context, events.StreamCompleted())
 
 
-@when("its engine breaks the stream")
-def step_breaks(context):
+@when("its engine interrupts the stream")
+def step_interrupts(context):
     deliver(context, events.AttemptInterrupted("cut"))
 
 
@@ -515,17 +517,17 @@
     for view in forwarder._engines.of_service("service-1"):
         view.breaker = context.breaker
     context.held = []
-    forwarder.record_slot_time = lambda machine, held_s: context.held.append((machine, held_s))
+    forwarder.record_slot_time = lambda run_state, held_s: context.held.append((run_state, held_s))
     now = time.monotonic()
-    context.began = now
+    context.started_at = now
     request = opaque_request(deadline=now + context.deadline_s, received_at=now)
     context.run(forwarder.deliver(request, context.sink))
 
 
 @then("its longest pause and the time of its slot are under {seconds:g} s")
 def step_no_pause(context, seconds):
-    ((machine, held_s),) = context.held
-    assert held_s < seconds and machine.times.longest_pause_s < seconds, (held_s, machine.times)
+    ((run_state, held_s),) = context.held
+    assert held_s < seconds and run_state.times.longest_pause_s < seconds, (held_s, run_state.times)
 
 
 @then("the engine's breaker has counted {count:d} failures")
@@ -533,11 +535,11 @@
     assert context.breaker.failures == count, context.breaker.failures
 
 
-@then("the answer was broken off within {seconds:g} s, and its engine's slot was free before")
-def step_broken_off(context, seconds):
+@then("the answer was aborted within {seconds:g} s, and its engine's slot was free before that")
+def step_aborted(context, seconds):
     assert context.sink.ending == "broken off"
-    assert context.sink.broken_off_at - context.began < seconds
-    assert context.attempt.closed_at - context.began < 0.1
+    assert context.sink.aborted_at - context.started_at < seconds
+    assert context.attempt.closed_at - context.started_at < 0.1
     assert context.view.own_load.requests == 0
 
 
@@ -545,7 +547,7 @@
 
 
 class BodySink(RecordingSink):
-    """Notes whether the body was held as the stream began."""
+    """Records whether the body was still held at the first event."""
 
     def __init__(self):
         super().__init__()
@@ -560,8 +562,8 @@
             self.held_at_first = not self.released
 
 
-class LookingSink(RecordingSink):
-    """Notes what an engine holds while its answer passes."""
+class BodiesSink(RecordingSink):
+    """Records the kilobytes of bodies at an engine while its answer passes."""
 
     def __init__(self, view):
         super().__init__()
@@ -572,24 +574,24 @@
         self.seen = self._view.body_kilobytes
 
 
-@given("an engine with {kilobytes:d} KB of bodies by a peer's word")
+@given("an engine with {kilobytes:d} KB of bodies reported by a peer")
 def step_peer_bodies(context, kilobytes):
     context.forwarder = new_forwarder(context, OneAttempt(TwoEvents(events.StreamCompleted())))
-    board = LoadTable(context.forwarder._engines)
-    told = LoadReport(
+    loads = LoadTable(context.forwarder._engines)
+    report = LoadReport(
         LoadScope.NODE, "peer", "zone-1", {"engine-1": EngineLoad(0, 0, 0, kilobytes)}
     )
-    (datagram,) = datagrams_from_report(told, 1)
+    (datagram,) = datagrams_from_report(report, 1)
     parsed = Datagram.FromString(datagram.SerializeToString())
-    board.update("peer", report_from_message(parsed).loads, 0.0)
+    loads.update("peer", report_from_message(parsed).loads, 0.0)
 
 
-@when("a request with a body of {size:d} KB is at it")
-def step_at_it(context, size):
+@when("a request with a body of {size:d} KB is sent to it")
+def step_sent_to_it(context, size):
     now = time.monotonic()
     context.forwarder._engines.get("engine-2").condition.leaving = True
     request = opaque_request(deadline=now + 5.0, received_at=now, body=b"x" * (size * KB))
-    context.sink = LookingSink(context.view)
+    context.sink = BodiesSink(context.view)
     context.run(context.forwarder.deliver(request, context.sink))
 
 
@@ -599,8 +601,8 @@
     assert context.view.body_kilobytes == left, context.view.body_kilobytes
 
 
-class NewAttempts(LastingTransport):
-    """Engines that send one event and break, until one ends well."""
+class SuccessiveAttempts(LastingTransport):
+    """Engines that end each attempt with the next of the given endings."""
 
     def __init__(self, endings):
         self.bodies = []
@@ -619,10 +621,12 @@
     context.request = opaque_request(route, deadline=now + 5.0, received_at=now, body=context.body)
 
 
-@when("its engine has sent the first event and breaks the stream")
-def step_one_event(context):
+@when("its engine interrupts the stream after the first event")
+def step_interrupts_after_event(context):
     context.sink = BodySink()
-    context.transport = NewAttempts([events.AttemptInterrupted("cut"), events.StreamCompleted()])
+    context.transport = SuccessiveAttempts(
+        [events.AttemptInterrupted("cut"), events.StreamCompleted()]
+    )
     forwarder = new_forwarder(context, context.transport)
     context.run(forwarder.deliver(context.request, context.sink))
 
@@ -634,13 +638,13 @@
     assert context.request.body == (context.body if is_held else b"")
 
 
-@then("it was sent {times:d} times, each time whole")
-def step_sent_whole(context, times):
+@then("it was sent {times:d} times, each time in full")
+def step_sent_in_full(context, times):
     assert context.transport.bodies == [context.body] * times, len(context.transport.bodies)
 
 
 class OpenProtocol(BaseProtocol):
-    """A connection that stays open and bears any amount."""
+    """A connection that stays open and accepts any number of bytes."""
 
     connected = True
 
@@ -653,26 +657,26 @@
     return content, BodyReader(content, budget, "caller")
 
 
-@given("a body of {size:d} KB under way, with a limit of {limit:d} KB")
-def step_under_way(context, size, limit):
+@given("a body of {size:d} KB that is being received, with a limit of {limit:d} KB")
+def step_receiving(context, size, limit):
     new_budget(context, 16, 6)
     context.size, context.limit = size * KB, limit * KB
     context.content, context.reader = new_body(context, context.budget)
 
 
-def read(context, then_what, within_s):
+def read(context, next_action, within_s):
     async def run():
         reading = asyncio.ensure_future(context.reader.read(context.size, context.limit, within_s))
         await asyncio.sleep(0.01)
         context.content.feed_data(b"x" * (context.size // 2))
         await asyncio.sleep(0.01)
-        then_what()
+        next_action()
         return await reading
 
     return context.run(run())
 
 
-@when("the limit becomes {limit:d} KB and the rest comes")
+@when("the limit becomes {limit:d} KB and the rest arrives")
 def step_lowered(context, limit):
     def lower_and_send():
         context.limit = limit * KB
@@ -682,8 +686,8 @@
     context.body = read(context, lower_and_send, 5.0)
 
 
-@then("the body was read whole")
-def step_whole(context):
+@then("the body was read in full")
+def step_read_in_full(context):
     half = context.size // 2
     assert context.body == b"x" * half + b"y" * half
 
@@ -695,11 +699,11 @@
         context.run(reader.read(size * KB, context.limit, 5.0))
     except BodyTooLargeError:
         return
-    raise AssertionError("it was read")
+    raise AssertionError(f"a body of {size} KB was read")
 
 
-@when("nothing more comes for the {seconds:g} s that its caller waits")
-def step_trickles(context, seconds):
+@when("nothing more arrives for the {seconds:g} s that its caller waits")
+def step_stops_arriving(context, seconds):
     try:
         read(context, lambda: None, seconds)
     except TimeoutError as error:
@@ -708,7 +712,7 @@
         context.reader.close()
 
 
-@then("it was refused as not run, and nothing is held")
+@then("it was refused as not executed, and nothing is held")
 def step_refused_late(context):
     assert context.refusal.code is ResultCode.DEADLINE_UNREACHABLE
     assert context.refusal.retry_after_seconds is not None
--- a/features/uneven_engines.py
+++ b/features/uneven_engines.py
@@ -208,10 +208,10 @@
             total = LoadReport(LoadScope.ZONE_SUM, node.name, node.zone, {})
             reports.append(SendReport(total, others))
         by_name = {n.name: n for n in self.nodes}
-        for report in node.exchange.due_reports(reports, self.now):
-            for member in report.members:
+        for send in node.exchange.due_reports(reports, self.now):
+            for member in send.members:
                 receiver = by_name[member.node_id]
-                self.at(self.now + LATE_S, self.receive_speeds, receiver, report.report)
+                self.at(self.now + LATE_S, self.receive_speeds, receiver, send.report)
 
     def receive_speeds(self, node, report):
         node.exchange.apply_report(report, self.now)
