--- a/features/crash_evidence.feature
+++ b/features/crash_evidence.feature
@@ -19,13 +19,13 @@
       | Two, and a crash between them without it             | 1@0:A 2@1:b 3@2:A                   | not quarantined |
       | Three, and a crash between them without it           | 1@0:A 2@1:b 3@2:A 4@4:A             | quarantined     |
       | Two, and a crash without it long before              | 1@0:b 2@12:A 3@14:A                 | quarantined     |
-      | Two that another request met as well                 | 1@0:AB 2@2:AB                       | not quarantined |
-      | Two that another one met that had run for a while    | 1@0:Ab 2@2:AB                       | quarantined     |
-      | Three that another request met as well               | 1@0:AB 2@2:AB 3@4:AB                | not quarantined |
-      | Four that another request met as well                | 1@0:AB 2@2:AB 3@4:AB 4@6:AB         | quarantined     |
-      | Three, one of them with another request twice        | 1@0:AB 2@2:AB 3@4:A                 | quarantined     |
+      | Two shared with another request                      | 1@0:AB 2@2:AB                       | not quarantined |
+      | Two, one with a request that had run for a while     | 1@0:Ab 2@2:AB                       | quarantined     |
+      | Three shared with another request                    | 1@0:AB 2@2:AB 3@4:AB                | not quarantined |
+      | Four shared with another request                     | 1@0:AB 2@2:AB 3@4:AB 4@6:AB         | quarantined     |
+      | Three, two of them shared with another request       | 1@0:AB 2@2:AB 3@4:A                 | quarantined     |
       | Five after a while, and a crash without it           | 1@0:a 2@1:b 3@2:a 4@4:a 5@6:a 6@7:a | not quarantined |
-      | Two with it served between                           | 1@0:A a+1 2@2:A                     | not quarantined |
+      | Two, with the request served between them            | 1@0:A a+1 2@2:A                     | not quarantined |
       | Two, where a quarantined request explains the others | 1@0:B 2@1:B b! 3@2:A 4@4:A          | quarantined     |
       | Two that a quarantined request explains              | 1@0:AB 2@1:B 3@2:AB 4@4:B b!        | not quarantined |
       | Two, one with an older run of it there as well       | 1@0:Aa 2@2:A                        | not quarantined |
--- a/features/engine_limits.feature
+++ b/features/engine_limits.feature
@@ -39,7 +39,7 @@
       | Server-Leaving: 1, Server-Limit: 2   | 2      | don't |
       | Server-Leaving: 0                    | none   | do    |
 
-  # What is remembered
+  # Remembered state
 
   Scenario Outline: A limit is forgotten
     Given a node that knows engines a and b with the weights of version 1
@@ -253,7 +253,7 @@
     And callers that call all nodes on "whole" and "stream" and know where they called
     When an engine of each kind names a limit of 2 a second in its answers
     And their records are removed for 1 s and written again
-    And the last node is killed and starts again under these callers
+    And the last node is killed and restarts while these callers go on
     And these callers go on for 4 s
     Then nodes that know the limit sent such an engine together no more than it allows
 
--- a/features/engine_records.feature
+++ b/features/engine_records.feature
@@ -1,6 +1,6 @@
 Feature: Engine records in the store: invalid records, restarts and late updates
 
-  Scenario: An invalid record of an engine takes it out of use
+  Scenario: A record with a missing or mistyped field is invalid
     Given a node that knows engines a and b with the weights of version 1
     Then no random record of a with a field missing or of a wrong type leaves a in use
     And b stays in use
@@ -60,8 +60,8 @@
     When the record of a is written again with born = 1700000009000
     Then a and b are in use immediately
     And a has no prompt parts, requests, tokens or orders
-    And the end of the former a is recorded as evidence against its requests
-    When a peer reports late its load on the former a, and that a has loaded version 2
+    And the end of the previous incarnation of a is recorded as evidence against its requests
+    When a peer reports late its load on the previous incarnation of a, and that a has loaded version 2
     Then a has no prompt parts, requests, tokens or orders
     And a has the weights of version 1
 
@@ -69,7 +69,7 @@
     Given a node that knows engines a and b with the weights of version 1
     And both record their start time
     When the record of a is written again with born = 1700000009000
-    And an older record of the former a arrives, with a as draining
+    And an older record of the previous incarnation of a arrives, with a as draining
     Then a and b are in use immediately
 
   Scenario: An earlier start time is a restart too
--- a/features/engine_words.feature
+++ b/features/engine_words.feature
@@ -20,7 +20,7 @@
       | report          |
       | answer to an order |
 
-  # What is remembered
+  # Remembered state
 
   Scenario Outline: An engine that is leaving stays so whatever happens to its record
     Given a node that knows engines a and b with the weights of version 1
@@ -50,7 +50,7 @@
     When a announces in an answer that it is leaving
     And the record of a is written again with born = 1700000009000
     Then a and b are in use
-    When the former a announces in a late answer that it is leaving
+    When the previous incarnation of a announces in a late answer that it is leaving
     Then a and b are in use
 
   Scenario: Without start times, an engine at a new address is a new engine
@@ -190,7 +190,7 @@
     And 3 nodes
     And callers that call all nodes on "whole" and "stream" and know where they called
     When an engine of each kind announces in all its answers that it is leaving, its record stays ready, is removed for 0.5 s and written again
-    And the last node is killed and starts again under these callers
+    And the last node is killed and restarts while these callers go on
     And these callers go on for 4 s
     Then no request reached such an engine later than 0.3 s after its first such answer
 
--- a/features/steps/engine_limit_steps.py
+++ b/features/steps/engine_limit_steps.py
@@ -189,17 +189,17 @@
 # One node
 
 
-def at(context, name):
+def identity_of(context, name):
     return context.node.engines.get(name).identity
 
 
 def name_limit(context, name, limit, now=0.0):
-    context.node.selector.limits.note_answer(at(context, name), limit, None, now)
+    context.node.selector.limits.note_answer(identity_of(context, name), limit, None, now)
 
 
 @when("{name} names a limit of {limit:g} a second in an answer")
 def step_names(context, name, limit):
-    context.engine = at(context, name)
+    context.engine = identity_of(context, name)
     name_limit(context, name, limit)
 
 
@@ -209,7 +209,7 @@
 
 
 @when("a peer reports late that an earlier limit ended")
-def step_late_end(context):
+def step_end_reported_late(context):
     limits = context.node.selector.limits
     limits.merge(EngineLimit(context.engine, 1.0, serial=3), 0.1)
     limits.merge(EngineLimit(context.engine, 1.0, serial=2, in_force=False), 0.2)
@@ -217,7 +217,7 @@
 
 @when("a node joins and learns of a limit of {limit:g} a second from its peers")
 def step_joiner_learns(context, limit):
-    state = UnrecordedEngineState(limits=(EngineLimit(at(context, "a"), limit),))
+    state = UnrecordedEngineState(limits=(EngineLimit(identity_of(context, "a"), limit),))
     for datagram in datagrams_from_update(state):
         update = update_from_message(parse_message(datagram.SerializeToString()))
         for row in update.limits:
@@ -227,13 +227,17 @@
 @then("a gets requests with permits only, and b without")
 def step_limited(context):
     limits = context.node.selector.limits
-    assert limits.is_limited(at(context, "a")) and not limits.is_limited(at(context, "b"))
+    assert limits.is_limited(identity_of(context, "a")) and not limits.is_limited(
+        identity_of(context, "b")
+    )
 
 
 @then("a and b get requests without permits")
 def step_not_limited(context):
     limits = context.node.selector.limits
-    assert not limits.is_limited(at(context, "a")) and not limits.is_limited(at(context, "b"))
+    assert not limits.is_limited(identity_of(context, "a")) and not limits.is_limited(
+        identity_of(context, "b")
+    )
 
 
 @when("{count:d} other engines name a limit")
@@ -310,7 +314,7 @@
         name_limit(context, name, limit)
     limits = context.node.selector.limits
     for name in ("a", "b"):
-        limits.request_permit(at(context, name), "user", 0.0, True, 0.0)
+        limits.request_permit(identity_of(context, name), "user", 0.0, True, 0.0)
     context.now = 1.0 / limit
     while isinstance(choice := choose_at(context, context.now), EngineChoice):
         assert choice.permit is not None
@@ -331,8 +335,8 @@
 
 @then("a run resumes at a with a permit, and not without one")
 def step_resumes_with_permit(context):
-    backup = at(context, "a")
-    b = at(context, "b")
+    backup = identity_of(context, "a")
+    b = identity_of(context, "b")
     interrupted = EngineChoice("b", b.address, 1, number=b.number, backup=backup)
     selector, request = context.node.selector, opaque_request()
     assert selector.continue_at_backup(request, interrupted, 0.1) is None
--- a/features/steps/engine_record_steps.py
+++ b/features/steps/engine_record_steps.py
@@ -71,13 +71,13 @@
         self.engines = EngineTable()
         self.targets = WeightTargets(10.0)
         self.selector = EngineSelector(self.engines, self.targets, "zone-1")
-        self.board = LoadTable(self.engines)
+        self.loads = LoadTable(self.engines)
         self.rollout = WeightRollout(self.targets)
         self.quarantine = new_quarantine(self.engines)
         self.log = RecordedLog()
         self.refused = 0
         self.revision = 0
-        self.beliefs = ClusterState(
+        self.cluster_state = ClusterState(
             PlatformRecordDecoder(),
             ConfigurationView(5.0),
             self.engines,
@@ -87,8 +87,10 @@
             self.log,
             2.4,
         )
-        self.beliefs.count_refused = self.count_refused
-        self.beliefs.incarnation_ended = lambda view: self.quarantine.incarnation_ended(view, 0.0)
+        self.cluster_state.count_refused = self.count_refused
+        self.cluster_state.incarnation_ended = lambda view: self.quarantine.incarnation_ended(
+            view, 0.0
+        )
 
     def count_refused(self):
         self.refused += 1
@@ -97,7 +99,7 @@
         self.revision += 1
         data = value if isinstance(value, bytes) else json.dumps(value).encode()
         item = StoredItem(PREFIX + name, data, revision or self.revision, 0)
-        self.beliefs.apply(MirrorChange(written=(item,), removed=(), gap=False), 0.0)
+        self.cluster_state.apply(MirrorChange(written=(item,), removed=(), gap=False), 0.0)
 
     def in_use(self):
         """Return the engines that a request may be sent to, chosen one after the other."""
@@ -128,11 +130,11 @@
 @given("a has failed, holds prompt parts, and has requests of this node and others")
 def step_used_before(context):
     node = context.node
-    context.former = view = node.engines.get("a")
+    context.previous = view = node.engines.get("a")
     for _ in range(20):
         view.breaker.record_failure(0.0)
     view.own_load.add(EngineLoad(2, 300, 400))
-    node.board.update("peer", {"a": EngineLoad(3, 500, 600, number=view.advertised_number)}, 0.0)
+    node.loads.update("peer", {"a": EngineLoad(3, 500, 600, number=view.advertised_number)}, 0.0)
     node.selector.parts.directory.record_read(
         part_number("", "part"),
         view.number,
@@ -186,16 +188,18 @@
     node.targets.add(WeightTarget("model", 2, 1), 0.0)
 
 
-@when("an older record of the former a arrives, with a as draining")
+@when("an older record of the previous incarnation of a arrives, with a as draining")
 def step_late_record(context):
     context.node.write("a", context.bodies["a"] | {"State": "draining"}, revision=1)
 
 
-@when("a peer reports late its load on the former a, and that a has loaded version 2")
+@when(
+    "a peer reports late its load on the previous incarnation of a, and that a has loaded version 2"
+)
 def step_late_reports(context):
-    number = context.former.advertised_number
+    number = context.previous.advertised_number
     node = context.node
-    node.board.update("peer", {"a": EngineLoad(3, 500, 600, number=number)}, 0.0)
+    node.loads.update("peer", {"a": EngineLoad(3, 500, 600, number=number)}, 0.0)
     node.engines.apply_notice(EngineNotice("a", "model", 2, False, 99, number), 0.0)
 
 
@@ -237,9 +241,9 @@
     assert load is None or load.incarnation_number == view.number
 
 
-@then("the end of the former a is recorded as evidence against its requests")
+@then("the end of the previous incarnation of a is recorded as evidence against its requests")
 def step_end_recorded(context):
-    assert context.node.quarantine.knows_end(context.former)
+    assert context.node.quarantine.knows_end(context.previous)
 
 
 @then("a has the weights of version 1")
--- a/features/steps/engine_word_process_steps.py
+++ b/features/steps/engine_word_process_steps.py
@@ -120,7 +120,7 @@
     context.said_at = time.monotonic()
 
 
-@when("the last node is killed and starts again under these callers")
+@when("the last node is killed and restarts while these callers go on")
 def step_restart_last(context):
     context.run(restart_last(context))
 
--- a/features/steps/engine_word_steps.py
+++ b/features/steps/engine_word_steps.py
@@ -44,7 +44,7 @@
 def remove_record(context, gap):
     """Remove the record of engine a, in a gap of the store's watch or not."""
     change = MirrorChange(written=(), removed=("servers/a",), gap=gap)
-    context.node.beliefs.apply(change, clock.now_s() - 10.0 if gap else clock.now_s())
+    context.node.cluster_state.apply(change, clock.now_s() - 10.0 if gap else clock.now_s())
 
 
 @when("its record is written again")
@@ -62,7 +62,7 @@
 @when("its record is removed during a store outage and written again")
 def step_removed_in_outage(context):
     remove_record(context, gap=True)
-    context.node.beliefs.expire(clock.now_s() + 2.0)
+    context.node.cluster_state.expire(clock.now_s() + 2.0)
     assert context.node.engines.get("a") is None
     context.node.write("a", context.bodies["a"])
 
@@ -70,11 +70,11 @@
 @when("the snapshot of a store reader is applied")
 def step_snapshot(context):
     remove_record(context, gap=True)
-    context.node.beliefs.expire(clock.now_s() + 2.0)
+    context.node.cluster_state.expire(clock.now_s() + 2.0)
     body = json.dumps(context.bodies["a"]).encode()
     item = StoredItem("servers/a", body, context.node.revision + 1)
     change = MirrorChange(written=(item,), removed=(), gap=True)
-    context.node.beliefs.apply(change, clock.now_s())
+    context.node.cluster_state.apply(change, clock.now_s())
 
 
 @when("its record becomes invalid and valid again")
@@ -114,8 +114,8 @@
     assert (choice.engine_id, choice.weight_version) == (name, version), choice
 
 
-@when("the former {name} announces in a late answer that it is leaving")
-def step_former_announces(context, name):
+@when("the previous incarnation of {name} announces in a late answer that it is leaving")
+def step_previous_announces(context, name):
     assert not announce(context, context.engine, leaving=True)
 
 
--- a/features/steps/holding_steps.py
+++ b/features/steps/holding_steps.py
@@ -1,4 +1,4 @@
-"""Steps on a node's memory budget, streams to slow callers, and the blame for pauses."""
+"""Steps on a node's memory budget, streams to slow callers, and the attribution of pauses."""
 
 import asyncio
 import time
@@ -408,7 +408,7 @@
     assert context.budget.held_bytes == 0
 
 
-# Blame
+# Attribution of pauses and failures
 
 
 class SlowSink(RecordingSink):
--- a/features/steps/room_steps.py
+++ b/features/steps/room_steps.py
@@ -546,7 +546,7 @@
     "{count:d} callers with {patience:g} s of patience are refused at once,"
     " and there is capacity after {capacity_s:g} s"
 )
-def step_refused_without_room(context, count, patience, capacity_s):
+def step_refused_without_capacity(context, count, patience, capacity_s):
     schedule = RetrySchedule()
     context.waits = [schedule.next_retry_s(capacity_s, patience, 10.0) for _ in range(count)]
 
