--- a/features/following_node.py
+++ b/features/following_node.py
@@ -15,16 +15,16 @@
 from liftrill.gateway.relay_server import RelayServer
 from liftrill.gateway.store_follower import FollowerDelegate, StoreFollower
 
-LONGEST_MIRROR_AGE_S = 1.7
+MAX_MIRROR_AGE_S = 1.7
 # How far a wait in a test may be off, beside a load.
-LOOK_S = 0.02
+POLL_INTERVAL_S = 0.02
 
 
 async def eventually(condition, seconds):
     until = time.monotonic() + seconds
     while not condition():
         assert time.monotonic() < until, "it did not come about in time"
-        await asyncio.sleep(LOOK_S)
+        await asyncio.sleep(POLL_INTERVAL_S)
 
 
 class ScriptedStore(MemoryStore):
@@ -33,61 +33,61 @@
     Attributes:
         away: whether every call fails.
         watch_errors: what the next watches raise, at once.
-        watched_after: the revisions after which watches asked for changes.
+        watch_revisions: the revisions after which watches asked for changes.
         hears: whether watches are told of changes.
     """
 
     def __init__(self):
         super().__init__()
-        self.away = False
-        self.read_at = []
+        self.is_unavailable = False
+        self.read_times = []
         self.watch_errors = []
-        self.watched_after = []
-        self.hears = asyncio.Event()
+        self.watch_revisions = []
+        self.delivers_changes = asyncio.Event()
 
     async def read_range(self, prefix, after):
         self._check()
-        self.read_at.append(time.monotonic())
+        self.read_times.append(time.monotonic())
         return await super().read_range(prefix, after)
 
     async def watch(self, prefix, after_revision, wait_seconds):
         self._check()
-        self.watched_after.append(after_revision)
+        self.watch_revisions.append(after_revision)
         if self.watch_errors:
             raise self.watch_errors.pop(0)
-        while not self.hears.is_set():
-            await asyncio.sleep(LOOK_S)
+        while not self.delivers_changes.is_set():
+            await asyncio.sleep(POLL_INTERVAL_S)
             self._check()
         return await super().watch(prefix, after_revision, wait_seconds)
 
     def _check(self):
-        if self.away:
+        if self.is_unavailable:
             raise StoreUnavailableError("no answer")
 
 
 @dataclass
-class Following:
+class FollowPeriod:
     """When a node began to follow another one, and when it left it."""
 
     since: float
     until: float = math.inf
 
-    def lasted_s(self, counted_from=-math.inf):
+    def duration_s(self, counted_from=-math.inf):
         return min(self.until, time.monotonic()) - max(self.since, counted_from)
 
 
 class FollowingNode(FollowerDelegate):
     """A follower with a relay server, and one peer that it follows where the store is lost."""
 
-    def __init__(self, name, store, beliefs=None, limits=None):
+    def __init__(self, name, store, cluster_state=None, limits=None):
         self.name = name
-        self.beliefs = beliefs
+        self.cluster_state = cluster_state
         self.peer = None
-        self.followings = []
+        self.follow_periods = []
         self.answers = 0
         self.view = ConfigurationView(4.5)
         self.view.adopt(GatewayConfiguration(5, (), {}))
-        limits = limits or ReaderLimits(name, LONGEST_MIRROR_AGE_S)
+        limits = limits or ReaderLimits(name, MAX_MIRROR_AGE_S)
         self.follower = StoreFollower(store, "", self, limits)
         self.server = RelayServer(self.follower, self.view, lambda count: None)
         self.address = f"127.0.0.1:{free_ports(1)[0]}"
@@ -102,8 +102,8 @@
 
     def mirror_changed(self, change, known_until):
         self.server.publish(change)
-        if self.beliefs is not None:
-            self.beliefs.apply(change, known_until)
+        if self.cluster_state is not None:
+            self.cluster_state.apply(change, known_until)
 
     def range_read(self, asked_at):
         self.view.prove_current(5, asked_at)
@@ -128,7 +128,7 @@
         return True
 
     def reader_followed(self, reader, store_lost):
-        self.followings.append(Following(time.monotonic()))
+        self.follow_periods.append(FollowPeriod(time.monotonic()))
 
     def reader_lost(self, reader, reason):
-        self.followings[-1].until = time.monotonic()
+        self.follow_periods[-1].until = time.monotonic()
--- a/features/steps/caller_division_steps.py
+++ b/features/steps/caller_division_steps.py
@@ -4,7 +4,7 @@
 
 from behave import given, then, when
 
-from features.caller_replay import BEAT_S, SIZES, Replay
+from features.caller_simulation import BEAT_S, SIZES, Replay
 from liftrill.coordination import rendezvous
 from liftrill.coordination.membership_messages import Condition, Member
 from liftrill.gateway.engines.engine_table import EngineLoad
--- a/features/steps/copy_age_steps.py
+++ b/features/steps/copy_age_steps.py
@@ -6,7 +6,7 @@
 
 from behave import given, then, when
 
-from features.following_node import LOOK_S, FollowingNode, ScriptedStore, eventually
+from features.following_node import POLL_INTERVAL_S, FollowingNode, ScriptedStore, eventually
 from features.standin.connections import reset
 from liftrill.bench.launcher import free_ports
 from liftrill.coordination.membership_messages import Member
@@ -16,7 +16,7 @@
 WATCHED_S = 2.5
 
 
-class Silenceable:
+class SilenceableProxy:
     """Passes connections on to an address, until it goes silent or ends."""
 
     def __init__(self, target):
@@ -76,7 +76,7 @@
         context.reader = FollowingNode("reader", store)
         await context.reader.start()
         context.proving = asyncio.ensure_future(prove(context.reader, every))
-        context.way = Silenceable(context.reader.address)
+        context.way = SilenceableProxy(context.reader.address)
         await context.way.start()
         context.store = ScriptedStore()
         context.store.put("key", b"value")
@@ -103,7 +103,7 @@
     async def start():
         address = f"127.0.0.1:{free_ports(1)[0]}"
         if what == "connections in silence":
-            silent = Silenceable("")
+            silent = SilenceableProxy("")
             await silent.start()
             address = silent.address
         context.node.readers.append(member("second", address))
@@ -120,12 +120,12 @@
         if what == "ends":
             await context.way.end()
         context.way.silent = True
-        context.readings = len(context.store.read_at)
+        context.readings = len(context.store.read_times)
         context.ages_s = []
         until = time.monotonic() + WATCHED_S
         while time.monotonic() < until:
             context.ages_s.append(round(copy_age_s(context.node), 2))
-            await asyncio.sleep(LOOK_S)
+            await asyncio.sleep(POLL_INTERVAL_S)
 
     context.run(lose())
 
@@ -143,5 +143,5 @@
 @then("the node reads the store at most {count:d} times in the {seconds:g} s after that")
 def step_few_readings(context, count, seconds):
     assert seconds == WATCHED_S
-    readings = len(context.store.read_at) - context.readings
+    readings = len(context.store.read_times) - context.readings
     assert readings <= count, readings
--- a/features/steps/store_copy_steps.py
+++ b/features/steps/store_copy_steps.py
@@ -7,7 +7,7 @@
 
 from behave import given, then, when
 
-from features.following_node import LOOK_S, FollowingNode, ScriptedStore, eventually
+from features.following_node import POLL_INTERVAL_S, FollowingNode, ScriptedStore, eventually
 from features.gateway_support import engine_record
 from features.standin.store import StandInStore
 from liftrill import constants
@@ -99,7 +99,7 @@
         first.peer, second.peer = second.member(), first.member()
         await first.start()
         await second.start()
-        await eventually(lambda: all(store.watched_after for store in context.stores), 3.0)
+        await eventually(lambda: all(store.watch_revisions for store in context.stores), 3.0)
 
     context.run(start())
 
@@ -116,7 +116,7 @@
     async def lose():
         for node, store in zip(context.nodes, context.stores, strict=True):
             prove_now(node, store)
-            store.away = True
+            store.is_unavailable = True
         await asyncio.sleep(seconds)
 
     context.run(lose())
@@ -125,7 +125,7 @@
 @then("they followed each other, but never for longer than {seconds:g} s")
 def step_not_for_long(context, seconds):
     for node in context.nodes:
-        lasted = [following.lasted_s() for following in node.followings]
+        lasted = [following.duration_s() for following in node.follow_periods]
         assert lasted, f"{node.name} followed nobody"
         assert max(lasted) <= seconds, (node.name, lasted)
 
@@ -134,7 +134,7 @@
     """Let the store answer the second node no more, and wait until it follows the first."""
     first, second = context.nodes
     prove_now(first, context.stores[0])
-    context.stores[1].away = True
+    context.stores[1].is_unavailable = True
     await eventually(lambda: second.answers, 2.0)
 
 
@@ -161,7 +161,7 @@
         heard = second.answers
         await eventually(lambda: second.answers > heard, 1.0)
         prove_now(first, first_store)
-        first_store.away = True
+        first_store.is_unavailable = True
         context.lost_at = time.monotonic()
 
     context.run(lose())
@@ -173,12 +173,12 @@
 )
 def step_neither_for_long(context, seconds):
     first, second = context.nodes
-    assert first.followings and second.followings
+    assert first.follow_periods and second.follow_periods
     lost_at = context.lost_at
     # The second asks the first every so often, and leaves at its next answer.
     bounds_s = {first.name: seconds, second.name: seconds + constants.RELAY_QUERY_INTERVAL_SECONDS}
     for node in context.nodes:
-        lasted = [following.lasted_s(lost_at) for following in node.followings]
+        lasted = [following.duration_s(lost_at) for following in node.follow_periods]
         assert max(lasted) <= bounds_s[node.name], (node.name, lasted)
 
 
@@ -198,7 +198,7 @@
     async def fail():
         context.store.watch_errors.append(StoreUnavailableError("cut"))
         await context.node.start()
-        await eventually(lambda: context.store.watched_after, 3.0)
+        await eventually(lambda: context.store.watch_revisions, 3.0)
         # What is written now is found by the reading.
         context.store.put("key", b"other")
 
@@ -207,19 +207,19 @@
 
 @then("the node reads the range a second time within {seconds:g} s")
 def step_second_reading(context, seconds):
-    context.run(eventually(lambda: len(context.store.read_at) == 2, seconds))
+    context.run(eventually(lambda: len(context.store.read_times) == 2, seconds))
 
 
 @then("it followed nobody")
 def step_followed_nobody(context):
-    assert not context.node.followings, context.node.followings
+    assert not context.node.follow_periods, context.node.follow_periods
 
 
 @then("its next watch goes on from there")
 def step_next_watch(context):
     store = context.store
-    context.run(eventually(lambda: len(store.watched_after) == 2, 1.0))
-    assert store.watched_after[1] == store.revision, store.watched_after
+    context.run(eventually(lambda: len(store.watch_revisions) == 2, 1.0))
+    assert store.watch_revisions[1] == store.revision, store.watch_revisions
 
 
 # From when a version counts
@@ -239,7 +239,7 @@
         return None
 
 
-def new_beliefs(grace_s):
+def new_cluster_state(grace_s):
     targets = WeightTargets(grace_s)
     view = ConfigurationView(4.5)
     log = DecisionLog("node")
@@ -253,10 +253,10 @@
     async def name():
         context.store = ScriptedStore()
         context.store.put("version", b"1")
-        context.beliefs = new_beliefs(grace)
-        context.node = FollowingNode("node", context.store, context.beliefs)
+        context.cluster_state = new_cluster_state(grace)
+        context.node = FollowingNode("node", context.store, context.cluster_state)
         await context.node.start()
-        await eventually(lambda: context.store.watched_after, 3.0)
+        await eventually(lambda: context.store.watch_revisions, 3.0)
         context.named_at = time.monotonic()
         context.store.put("version", b"2")
 
@@ -264,9 +264,9 @@
 
 
 async def hear_version(context):
-    context.store.hears.set()
-    await eventually(lambda: context.beliefs.targets.newest(MODEL) == 2, 2.0)
-    context.store.hears.clear()
+    context.store.delivers_changes.set()
+    await eventually(lambda: context.cluster_state.targets.newest(MODEL) == 2, 2.0)
+    context.store.delivers_changes.clear()
 
 
 @when("the watch finds its history gone, and the range is read")
@@ -289,7 +289,7 @@
 
 
 def counted_from(context):
-    (found,) = context.beliefs.targets.newer_versions(MODEL, 1)
+    (found,) = context.cluster_state.targets.newer_versions(MODEL, 1)
     return found.published_at
 
 
@@ -302,9 +302,9 @@
 @then("not from before the last proof of the copy")
 def step_not_before_proof(context):
     # The reading at the start is the only proof there was, asked for just before it came.
-    proven_at = context.store.read_at[0]
+    proven_at = context.store.read_times[0]
     early_s = proven_at - counted_from(context)
-    assert early_s < LOOK_S, f"it counts from {early_s:.2f} s before the proof"
+    assert early_s < POLL_INTERVAL_S, f"it counts from {early_s:.2f} s before the proof"
 
 
 @given("a grace of {grace:g} s for replaced weights")
@@ -324,10 +324,10 @@
     "and {count:d} engines behind"
 )
 def step_engines_behind(context, bound, count):
-    context.beliefs = new_beliefs(bound - constants.WEIGHT_GRACE_MARGIN_SECONDS)
+    context.cluster_state = new_cluster_state(bound - constants.WEIGHT_GRACE_MARGIN_SECONDS)
     for number in range(count):
         record = engine_record(f"engine-{number}", weights={MODEL: 1})
-        context.beliefs.engines.update(record)
+        context.cluster_state.engines.update(record)
 
 
 @when("its first reading finds the version")
@@ -335,17 +335,17 @@
     async def read():
         store = ScriptedStore()
         store.put("version", b"2")
-        node = FollowingNode("node", store, context.beliefs)
+        node = FollowingNode("node", store, context.cluster_state)
         await node.start()
-        await eventually(lambda: context.beliefs.store_read, 1.0)
+        await eventually(lambda: context.cluster_state.store_read, 1.0)
 
     context.run(read())
 
 
 @then("{count:d} of the engines are ordered at once")
 def step_ordered_at_once(context, count):
-    rollout = WeightRollout(context.beliefs.targets)
-    due = rollout.due(context.beliefs.engines, time.monotonic())
+    rollout = WeightRollout(context.cluster_state.targets)
+    due = rollout.due(context.cluster_state.engines, time.monotonic())
     ordered = [order for order in due if isinstance(order, AnnounceLoad)]
     assert len(ordered) == count, len(ordered)
 
--- a/features/steps/store_era_overlap_steps.py
+++ b/features/steps/store_era_overlap_steps.py
@@ -7,7 +7,7 @@
 from behave import given, then, when
 
 from features.standin import sleeper
-from features.store_drill import SERVED, drill
+from features.store_drill import SERVED, run_restore
 
 # Until after the return, which comes 0.8 s after the troubles begin.
 STOOD_STILL_S = 1.2
@@ -82,7 +82,7 @@
     " and back from a copy {age:g} s old, while {trouble}"
 )
 def step_drill_beside(context, away, age, trouble):
-    context.run(drill(context, away, age, TROUBLES[trouble]))
+    context.run(run_restore(context, away, age, TROUBLES[trouble]))
 
 
 @then("no engine that had left got a request later than {seconds:g} s after the store was back")
--- a/features/steps/store_era_steps.py
+++ b/features/steps/store_era_steps.py
@@ -8,12 +8,12 @@
 from behave import given, then, when
 
 from features.store_drill import (
-    drill,
-    key_in_force,
-    loaded,
+    key_delay_s,
+    load_delay_s,
     restore,
-    write_again,
-    write_what_will_be_lost,
+    rewrite_lost_records,
+    run_restore,
+    write_lost_records,
 )
 from liftrill.coordination.range_store import (
     ConditionFailedError,
@@ -52,17 +52,17 @@
     " and back from a copy {age:g} s old"
 )
 def step_drill(context, away, age):
-    context.run(drill(context, away, age))
+    context.run(run_restore(context, away, age))
 
 
 @when("what operators and engines wrote is written again, and then a further key and version")
 def step_again(context):
-    context.run(write_again(context, 0))
+    context.run(rewrite_lost_records(context, 0))
 
 
 @when("{count:d} other records are written, and then all again with a further key and version")
 def step_again_later(context, count):
-    context.run(write_again(context, count))
+    context.run(rewrite_lost_records(context, count))
 
 
 @then("the further key is in force at all nodes within {seconds:g} s")
@@ -100,7 +100,7 @@
 async def two_drills(context, seconds):
     deployment = context.deployment
     await asyncio.sleep(0.6)
-    write_what_will_be_lost(deployment.store)
+    write_lost_records(deployment.store)
     deployment.name_weights(2)
     await asyncio.sleep(1.0)
     for version in (3, 4):
@@ -111,7 +111,7 @@
         deployment.name_weights(version)
         await asyncio.sleep(seconds / 2 - 0.5)
     context.written_at = time.monotonic()
-    context.loaded_at = await loaded(context, 4)
+    context.loaded_at = await load_delay_s(context, 4)
 
 
 @then("all engines reach the last version, with fences that never go back and one holder each")
@@ -288,7 +288,7 @@
         deployment.record(engine)
     context.written_at = time.monotonic()
     store.tell_two_eras(context.written_at + seconds)
-    context.key_at = await key_in_force(context, "key-3")
+    context.key_at = await key_delay_s(context, "key-3")
     # The key may come with the first answer: those of the era before follow it.
     await asyncio.sleep(seconds - context.key_at)
 
--- a/features/store_drill.py
+++ b/features/store_drill.py
@@ -13,10 +13,10 @@
 POLL_S = 0.05
 
 
-async def drill(context, away, age, trouble=None):
+async def run_restore(context, away, age, trouble=None):
     deployment = context.deployment
     context.said_at = time.monotonic()
-    write_what_will_be_lost(deployment.store)
+    write_lost_records(deployment.store)
     context.left = [deployment.engines[name] for name in ("desk-0", "desk-1")]
     deployment.record(context.left[0], "draining")
     deployment.store.remove("servers/desk-1")
@@ -29,7 +29,7 @@
     context.started = await beside if beside is not None else None
 
 
-def write_what_will_be_lost(store):
+def write_lost_records(store):
     for number in range(LOST_RECORDS):
         store.put(f"op/lost/{number}", {})
 
@@ -43,7 +43,7 @@
     store.fault = ""
 
 
-async def write_again(context, others):
+async def rewrite_lost_records(context, others):
     deployment = context.deployment
     for number in range(others):
         deployment.store.put(f"op/other/{number}", {})
@@ -57,13 +57,13 @@
     deployment.configure(7, keys=("key-of-tenant-1", "key-2", "key-3"))
     deployment.name_weights(3)
     context.written_at = time.monotonic()
-    context.key_at = await key_in_force(context, "key-3")
-    context.loaded_at = await loaded(context, 3)
+    context.key_at = await key_delay_s(context, "key-3")
+    context.loaded_at = await load_delay_s(context, 3)
     context.calling.cancel()
     await asyncio.gather(*context.callers.tasks)
 
 
-async def key_in_force(context, key):
+async def key_delay_s(context, key):
     """Return after what time all nodes take a key, or infinity."""
 
     async def taken(node):
@@ -81,7 +81,7 @@
     return float("inf")
 
 
-async def loaded(context, version):
+async def load_delay_s(context, version):
     """Return after what time all engines have a version, or infinity."""
     engines = [e for e in context.deployment.engines.values() if e.service == "llm"]
     while time.monotonic() < context.written_at + 10.0:
