--- a/features/caller_simulation.py
+++ b/features/caller_simulation.py
@@ -10,19 +10,19 @@
 from liftrill.gateway.settings import MachineLimits
 
 STEP_S = 0.05
-BEAT_S = 0.25
-REPORT_S = 0.3
-WAVE_S = 20.0
+TICK_S = 0.25
+REPORT_INTERVAL_S = 0.3
+WAVE_PERIOD_S = 20.0
 ZONES = 3
 SIZES = (1.8, 1.8, *[0.6] * 6, *[0.3] * 24)
 REQUEST_CPU_S = 0.003
 REQUEST_BYTES = 9_200
 KEPT_CONNECTIONS = 10
 # A gone node is named by nobody after this time: see peer_silence.feature.
-SILENT_S = 2.0
+SILENCE_TIMEOUT_S = 2.0
 DIRECTORIES = 3
 # A caller leaves out what failed it for as long as it keeps an answer.
-FAILED_S = 8.0
+AVOID_FAILED_NODE_S = 8.0
 
 
 @dataclass
@@ -34,43 +34,43 @@
     capacity: NodeCapacity
     link: float = math.inf
     gone_at: float = math.inf
-    back_at: float = math.inf
-    waiting_s: float = 0.0
-    waiting_bytes: float = 0.0
+    restarted_at: float = math.inf
+    queued_cpu_s: float = 0.0
+    queued_bytes: float = 0.0
     cpu_s: float = 0.0
-    taken_s: float = 0.0
+    accepted_cpu_s: float = 0.0
     requests: float = 0.0
-    next_beat: float = 0.0
+    next_tick_at: float = 0.0
 
-    def lives(self, now):
-        return now < self.gone_at or now >= self.back_at
+    def is_alive(self, now):
+        return now < self.gone_at or now >= self.restarted_at
 
     def is_listed(self, now):
-        return now < self.gone_at + SILENT_S or now >= self.back_at
+        return now < self.gone_at + SILENCE_TIMEOUT_S or now >= self.restarted_at
 
     @property
-    def late_s(self):
-        return max(self.waiting_s / self.cores, self.waiting_bytes / self.link)
+    def lag_s(self):
+        return max(self.queued_cpu_s / self.cores, self.queued_bytes / self.link)
 
-    def give(self, requests):
-        self.taken_s += requests * REQUEST_CPU_S
-        self.waiting_bytes += requests * REQUEST_BYTES
+    def accept(self, requests):
+        self.accepted_cpu_s += requests * REQUEST_CPU_S
+        self.queued_bytes += requests * REQUEST_BYTES
         self.requests += requests
 
     def work(self, now):
         # What the link has not brought yet can't be worked on; callers give up after 2 s.
-        through = min(self.waiting_bytes, self.link * STEP_S)
-        self.waiting_s += through / REQUEST_BYTES * REQUEST_CPU_S
-        self.waiting_bytes = min(self.waiting_bytes - through, 2 * self.link)
-        done = min(self.waiting_s, self.cores * STEP_S)
+        through = min(self.queued_bytes, self.link * STEP_S)
+        self.queued_cpu_s += through / REQUEST_BYTES * REQUEST_CPU_S
+        self.queued_bytes = min(self.queued_bytes - through, 2 * self.link)
+        done = min(self.queued_cpu_s, self.cores * STEP_S)
         self.cpu_s += done
-        self.waiting_s = min(self.waiting_s - done, 2 * self.cores)
-        if now >= self.next_beat:
+        self.queued_cpu_s = min(self.queued_cpu_s - done, 2 * self.cores)
+        if now >= self.next_tick_at:
             for _ in range(min(15, int(self.requests))):
-                self.capacity.record_request(REQUEST_BYTES - 1_200, self.waiting_bytes / self.link)
+                self.capacity.record_request(REQUEST_BYTES - 1_200, self.queued_bytes / self.link)
             self.requests = 0.0
             self.capacity.update(now, self.cpu_s, 0)
-            self.next_beat = now + BEAT_S + self.waiting_s / self.cores
+            self.next_tick_at = now + TICK_S + self.queued_cpu_s / self.cores
 
 
 @dataclass
@@ -80,75 +80,76 @@
     address: str
     zone: str
     names: list = field(default_factory=list)
-    kept: list = field(default_factory=list)
-    failed: dict = field(default_factory=dict)
-    asks_at: float = 0.0
-    moves: int = 0
+    connections: list = field(default_factory=list)
+    failed_until: dict = field(default_factory=dict)
+    next_query_at: float = 0.0
+    moved_connections: int = 0
 
 
-class Replay:
+class CallerSimulation:
     """A fleet, its callers, and what is measured of them."""
 
-    def __init__(self, division, load, lends=True, callers=24, lost=0.05, sizes=SIZES):
+    def __init__(self, policy, load, allows_spillover=True, callers=24, lost=0.05, sizes=SIZES):
         self.random = random.Random(11)
         self.now, self.load, self.lost = 0.0, load, lost
         self.nodes = {}
-        self.told = self.beat_at = 0.0
+        self.next_report_at = self.next_directory_update_at = 0.0
         for zone in range(ZONES):
             for number, cores in enumerate(sizes):
                 name = f"node-{zone}-{number}"
                 member = Member(name, f"10.1.{zone}.{number}:1", "region", f"zone-{zone}", 1)
-                capacity = NodeCapacity(MachineLimits(cpu_share=cores), BEAT_S)
+                capacity = NodeCapacity(MachineLimits(cpu_share=cores), TICK_S)
                 self.nodes[name] = FakeNode(member, cores, capacity)
         self.directories = {
             f"zone-{zone}": [
-                NodeDirectory(NodeCapacities(), division, lends) for _ in range(DIRECTORIES)
+                NodeDirectory(NodeCapacities(), policy, allows_spillover)
+                for _ in range(DIRECTORIES)
             ]
             for zone in range(ZONES)
         }
         self.callers = [
-            FakeCaller(f"10.9.{zone}.{5 + n}", f"zone-{zone}", asks_at=self.random.random())
+            FakeCaller(f"10.9.{zone}.{5 + n}", f"zone-{zone}", next_query_at=self.random.random())
             for zone in range(ZONES)
             for n in range(callers)
         ]
         self.lags = []
-        self.lost_at = 0.0
+        self.last_failure_at = 0.0
         self.weights = dict.fromkeys(self.directories, 1.0)
 
     def run(self, seconds):
         until = self.now + seconds
         while self.now < until - 1e-9:
             self.now += STEP_S
-            if self.now >= self.told:
-                self.told = self.now + REPORT_S
+            if self.now >= self.next_report_at:
+                self.next_report_at = self.now + REPORT_INTERVAL_S
                 self._report()
-            if self.now >= self.beat_at:
-                self.beat_at = self.now + BEAT_S
-                self._beat()
+            if self.now >= self.next_directory_update_at:
+                self.next_directory_update_at = self.now + TICK_S
+                self._update_directories()
             for caller in self.callers:
-                self._ask(caller)
+                self._query(caller)
                 self._send(caller)
-            living = [node for node in self.nodes.values() if node.lives(self.now)]
+            living = [node for node in self.nodes.values() if node.is_alive(self.now)]
             for node in living:
                 node.work(self.now)
-            self.lags.append((self.now, [node.late_s for node in living]))
+            self.lags.append((self.now, [node.lag_s for node in living]))
 
     def zone_nodes(self, zone):
         return [node for node in self.nodes.values() if node.member.zone == zone]
 
-    def _listed(self):
+    def _listed_members(self):
         return [node.member for node in self.nodes.values() if node.is_listed(self.now)]
 
-    def _beat(self):
+    def _update_directories(self):
         for zone, directories in self.directories.items():
             for directory in directories:
-                directory.update(self._listed(), zone, self.now)
+                directory.update(self._listed_members(), zone, self.now)
 
     def _report(self):
         for zone, directories in self.directories.items():
             for directory in directories:
                 for node in self.zone_nodes(zone):
-                    if node.lives(self.now) and self.random.random() >= self.lost:
+                    if node.is_alive(self.now) and self.random.random() >= self.lost:
                         directory.capacities.update(
                             node.member.node_id, node.capacity.current_load(), self.now
                         )
@@ -158,27 +159,27 @@
                 for directory in others if other != zone else ():
                     directory.capacities.update_zone(zone, total, self.now)
 
-    def _ask(self, caller):
-        if self.now < caller.asks_at:
+    def _query(self, caller):
+        if self.now < caller.next_query_at:
             return
-        caller.asks_at = self.now + self.random.uniform(1.0, 5.0)
+        caller.next_query_at = self.now + self.random.uniform(1.0, 5.0)
         directory = self.random.choice(self.directories[caller.zone])
-        answer = directory.nodes_for(self._listed(), caller.zone, caller.address, self.now)
+        answer = directory.nodes_for(self._listed_members(), caller.zone, caller.address, self.now)
         caller.names = [member.node_id for member in answer]
-        for place, name in enumerate(caller.kept):
+        for place, name in enumerate(caller.connections):
             if name not in caller.names:
-                caller.kept[place] = self._connect(caller)
-                caller.moves += 1
-        while len(caller.kept) < KEPT_CONNECTIONS:
-            caller.kept.append(self._connect(caller))
+                caller.connections[place] = self._connect(caller)
+                caller.moved_connections += 1
+        while len(caller.connections) < KEPT_CONNECTIONS:
+            caller.connections.append(self._connect(caller))
 
     def _connect(self, caller):
-        usable = [name for name in caller.names if caller.failed.get(name, 0.0) <= self.now]
+        usable = [name for name in caller.names if caller.failed_until.get(name, 0.0) <= self.now]
         return self.random.choice(usable or caller.names)
 
     def _rate(self, zone):
         number = int(zone[-1])
-        wave = 1.0 + 0.3 * math.sin(2 * math.pi * (self.now / WAVE_S + number / ZONES))
+        wave = 1.0 + 0.3 * math.sin(2 * math.pi * (self.now / WAVE_PERIOD_S + number / ZONES))
         total = sum(n.cores for n in self.nodes.values()) / ZONES
         per_zone = sum(c.zone == zone for c in self.callers)
         return self.load * self.weights[zone] * wave * total / REQUEST_CPU_S / per_zone
@@ -187,50 +188,55 @@
         if not caller.names:
             return
         requests = self._rate(caller.zone) * STEP_S
-        for place, name in enumerate(caller.kept):
-            if not self.nodes[name].lives(self.now):
-                caller.failed[name] = self.now + FAILED_S
-                caller.kept[place] = name = self._connect(caller)
-            self._give(caller, name, requests / 2 / KEPT_CONNECTIONS)
+        for place, name in enumerate(caller.connections):
+            if not self.nodes[name].is_alive(self.now):
+                caller.failed_until[name] = self.now + AVOID_FAILED_NODE_S
+                caller.connections[place] = name = self._connect(caller)
+            self._send_to(caller, name, requests / 2 / KEPT_CONNECTIONS)
         for _ in range(KEPT_CONNECTIONS):
-            self._give(caller, self._connect(caller), requests / 2 / KEPT_CONNECTIONS)
+            self._send_to(caller, self._connect(caller), requests / 2 / KEPT_CONNECTIONS)
 
-    def _give(self, caller, name, requests):
+    def _send_to(self, caller, name, requests):
         node = self.nodes[name]
-        if node.lives(self.now):
-            node.give(requests)
+        if node.is_alive(self.now):
+            node.accept(requests)
         else:
-            caller.failed[name] = self.now + FAILED_S
-            self.lost_at = self.now
+            caller.failed_until[name] = self.now + AVOID_FAILED_NODE_S
+            self.last_failure_at = self.now
 
     # What is measured
 
     def begin(self):
         self.lags.clear()
         for node in self.nodes.values():
-            node.taken_s = 0.0
+            node.accepted_cpu_s = 0.0
         for caller in self.callers:
-            caller.moves = 0
-        self.began = self.now
+            caller.moved_connections = 0
+        self.measured_since = self.now
 
-    def share_errors(self):
+    def work_per_capacity(self):
         """Return for each size of nodes its part of the work, by its part of the capacity."""
         work, cores = {}, {}
         for node in self.nodes.values():
-            work[node.cores] = work.get(node.cores, 0.0) + node.taken_s
+            work[node.cores] = work.get(node.cores, 0.0) + node.accepted_cpu_s
             cores[node.cores] = cores.get(node.cores, 0.0) + node.cores
         return {
             size: work[size] / sum(work.values()) / (cores[size] / sum(cores.values()))
             for size in sorted(work)
         }
 
-    def busiest_lag_s(self):
+    def mean_lags_s(self):
         """Return the mean over time of the latest node, and of all."""
         latest = sum(max(lags) for _, lags in self.lags) / len(self.lags)
         usual = sum(sum(lags) / len(lags) for _, lags in self.lags) / len(self.lags)
         return latest, usual
 
-    def moves_per_s(self):
+    def moved_share_per_s(self):
         """Return the part of kept connections that callers leave in a second."""
-        moves = sum(caller.moves for caller in self.callers)
-        return moves / len(self.callers) / KEPT_CONNECTIONS / (self.now - self.began)
+        moved_connections = sum(caller.moved_connections for caller in self.callers)
+        return (
+            moved_connections
+            / len(self.callers)
+            / KEPT_CONNECTIONS
+            / (self.now - self.measured_since)
+        )
--- a/features/steps/caller_division_steps.py
+++ b/features/steps/caller_division_steps.py
@@ -4,7 +4,7 @@
 
 from behave import given, then, when
 
-from features.caller_simulation import BEAT_S, SIZES, Replay
+from features.caller_simulation import SIZES, TICK_S, CallerSimulation
 from liftrill.coordination import rendezvous
 from liftrill.coordination.membership_messages import Condition, Member
 from liftrill.gateway.engines.engine_table import EngineLoad
@@ -34,19 +34,19 @@
 
 def settle(context, **options):
     context.options = options
-    context.replay = Replay(WeightedSelection(), **options)
-    context.replay.run(SETTLING_S)
-    context.replay.begin()
+    context.simulation = CallerSimulation(WeightedSelection(), **options)
+    context.simulation.run(SETTLING_S)
+    context.simulation.begin()
 
 
-def compared(context, division, lends):
+def compared(context, policy, allows_spillover):
     """Return the same replay, divided in another way."""
-    replay = Replay(division, lends=lends, **context.options)
-    replay.weights = context.replay.weights
-    replay.run(SETTLING_S)
-    replay.begin()
-    replay.run(context.replay.now - context.replay.began)
-    return replay
+    simulation = CallerSimulation(policy, allows_spillover=allows_spillover, **context.options)
+    simulation.weights = context.simulation.weights
+    simulation.run(SETTLING_S)
+    simulation.begin()
+    simulation.run(context.simulation.now - context.simulation.measured_since)
+    return simulation
 
 
 @given("callers at {load:g} of what all nodes can bear")
@@ -62,7 +62,7 @@
 @given("callers at {load:g} of what all nodes can bear, half of them in one zone")
 def step_callers_uneven(context, load):
     settle(context, load=load)
-    context.replay.weights = {"zone-0": 1.5, "zone-1": 0.75, "zone-2": 0.75}
+    context.simulation.weights = {"zone-0": 1.5, "zone-1": 0.75, "zone-2": 0.75}
 
 
 @given(
@@ -70,7 +70,7 @@
 )
 def step_slow_link(context, load, cores):
     settle(context, load=load)
-    context.slow = context.replay.nodes["node-0-2"]
+    context.slow = context.simulation.nodes["node-0-2"]
     assert context.slow.cores == cores
     # It says ten times as much, which would be enough.
     context.slow.link = 0.1 * cores / 0.003 * 9_200
@@ -78,39 +78,44 @@
 
 @when("callers call for {seconds:g} s")
 def step_run(context, seconds):
-    context.replay.run(seconds)
+    context.simulation.run(seconds)
 
 
 @when("half of the nodes of a zone end")
 def step_half_ends(context):
-    end(context, context.replay.zone_nodes("zone-0")[::2])
+    end(context, context.simulation.zone_nodes("zone-0")[::2])
 
 
 @when("a node of {cores:g} cores ends")
 def step_node_ends(context, cores):
-    end(context, [node for node in context.replay.zone_nodes("zone-0") if node.cores == cores][:1])
+    end(
+        context,
+        [node for node in context.simulation.zone_nodes("zone-0") if node.cores == cores][:1],
+    )
 
 
 def end(context, nodes):
-    context.ended_at = context.replay.now
+    context.ended_at = context.simulation.now
     for node in nodes:
-        node.gone_at = context.replay.now
+        node.gone_at = context.simulation.now
 
 
 @then("each size of nodes has its part of the work, within {within:d} in 100")
 def step_parts(context, within):
-    parts = context.replay.share_errors()
+    parts = context.simulation.work_per_capacity()
     assert all(abs(part - 1.0) <= within / 100 for part in parts.values()), parts
 
 
 @then("callers leave at most {most:d} in 100 of their kept connections a second")
 def step_moves(context, most):
-    assert context.replay.moves_per_s() <= most / 100, context.replay.moves_per_s()
+    assert context.simulation.moved_share_per_s() <= most / 100, (
+        context.simulation.moved_share_per_s()
+    )
 
 
 @then("the latest node is late by {latest:g} s at most in the mean, and all nodes by {usual:g} s")
 def step_late(context, latest, usual):
-    found = context.replay.busiest_lag_s()
+    found = context.simulation.mean_lags_s()
     assert found[0] <= latest and found[1] <= usual, found
 
 
@@ -119,48 +124,50 @@
     " and all by {usual:g} s"
 )
 def step_late_alike(context, latest, usual):
-    found = compared(context, SelectAll(), False).busiest_lag_s()
+    found = compared(context, SelectAll(), False).mean_lags_s()
     assert found[0] >= latest and found[1] >= usual, found
 
 
 @then("that zone's nodes have no more than {most:d} in 100 of the work")
 def step_zone_part(context, most):
-    zone = sum(node.taken_s for node in context.replay.zone_nodes("zone-0"))
-    total = sum(node.taken_s for node in context.replay.nodes.values())
+    zone = sum(node.accepted_cpu_s for node in context.simulation.zone_nodes("zone-0"))
+    total = sum(node.accepted_cpu_s for node in context.simulation.nodes.values())
     assert zone <= total * most / 100, zone / total
 
 
 @then("nodes are late by a fifth less in the mean than where zones don't help each other")
 def step_helped(context):
-    alone = compared(context, WeightedSelection(), False).busiest_lag_s()[1]
-    found = context.replay.busiest_lag_s()[1]
+    alone = compared(context, WeightedSelection(), False).mean_lags_s()[1]
+    found = context.simulation.mean_lags_s()[1]
     assert found <= 0.8 * alone, (found, alone)
 
 
 @then("nobody is named a node of another zone")
 def step_own_zone(context):
-    for caller in context.replay.callers:
-        zones = {context.replay.nodes[name].member.zone for name in caller.names}
+    for caller in context.simulation.callers:
+        zones = {context.simulation.nodes[name].member.zone for name in caller.names}
         assert zones == {caller.zone}, (caller.address, zones)
 
 
 @then("no request went to an ended node later than {seconds:g} s after that")
 def step_none_lost(context, seconds):
-    assert context.replay.lost_at > context.ended_at
-    assert context.replay.lost_at <= context.ended_at + seconds, context.replay.lost_at
+    assert context.simulation.last_failure_at > context.ended_at
+    assert context.simulation.last_failure_at <= context.ended_at + seconds, (
+        context.simulation.last_failure_at
+    )
 
 
 @then("no node is late by more than {late:g} s in the last second")
 def step_in_time(context, late):
-    last = [max(lags) for at, lags in context.replay.lags if at > context.replay.now - 1.0]
+    last = [max(lags) for at, lags in context.simulation.lags if at > context.simulation.now - 1.0]
     assert max(last) <= late, max(last)
 
 
 @then("that node has at most half of the work that others of its size have")
 def step_slow_part(context):
-    others = [n for n in context.replay.zone_nodes("zone-0") if n.cores == context.slow.cores]
-    usual = sum(n.taken_s for n in others if n is not context.slow) / (len(others) - 1)
-    assert context.slow.taken_s <= usual / 2, (context.slow.taken_s, usual)
+    others = [n for n in context.simulation.zone_nodes("zone-0") if n.cores == context.slow.cores]
+    usual = sum(n.accepted_cpu_s for n in others if n is not context.slow) / (len(others) - 1)
+    assert context.slow.accepted_cpu_s <= usual / 2, (context.slow.accepted_cpu_s, usual)
 
 
 # One directory
@@ -317,14 +324,14 @@
 
 @given("a machine of {cores:g} cores with a link of {link:d} bytes a second")
 def step_machine(context, cores, link):
-    context.node = NodeCapacity(MachineLimits(cpu_share=cores, link_bytes_per_s=link), BEAT_S)
+    context.node = NodeCapacity(MachineLimits(cpu_share=cores, link_bytes_per_s=link), TICK_S)
     context.at, context.cpu_s = 100.0, 7.0
     context.node.update(context.at, context.cpu_s, 0)
 
 
 def beat(context, cores, late_s=0.0):
-    context.at += BEAT_S + late_s
-    context.cpu_s += cores * (BEAT_S + late_s)
+    context.at += TICK_S + late_s
+    context.cpu_s += cores * (TICK_S + late_s)
     context.node.update(context.at, context.cpu_s, 0)
 
 
@@ -333,8 +340,8 @@
     " with {cpu_ms:d} ms each"
 )
 def step_serves(context, rate, size, seconds, cpu_ms):
-    for _ in range(int(seconds / BEAT_S)):
-        for _ in range(int(rate * BEAT_S)):
+    for _ in range(int(seconds / TICK_S)):
+        for _ in range(int(rate * TICK_S)):
             context.node.record_request(size, 0.001)
         beat(context, rate * cpu_ms / 1000)
 
@@ -356,7 +363,7 @@
 
 @when("its beats come {late:g} s late for {seconds:g} s while it uses {cores:g} cores")
 def step_late_beats(context, late, seconds, cores):
-    for _ in range(int(seconds / (BEAT_S + late))):
+    for _ in range(int(seconds / (TICK_S + late))):
         beat(context, cores, late)
 
 
@@ -367,7 +374,7 @@
 
 @then("{seconds:g} s later by less than {late:g} s")
 def step_less_late(context, seconds, late):
-    for _ in range(int(seconds / BEAT_S)):
+    for _ in range(int(seconds / TICK_S)):
         beat(context, 0.1)
     assert context.node.current_load().late_s < late, context.node.current_load()
 
@@ -400,7 +407,7 @@
 
 @when("{seconds:g} s pass in which it is in time")
 def step_in_time_again(context, seconds):
-    for _ in range(int(seconds / BEAT_S)):
+    for _ in range(int(seconds / TICK_S)):
         busy_beat(context, 0.0)
 
 
