--- a/features/caller_simulation.py
+++ b/features/caller_simulation.py
@@ -1,4 +1,4 @@
-"""Callers of three zones before nodes of three sizes, in virtual time."""
+"""Simulates callers of three zones and nodes of three sizes in virtual time."""
 
 import math
 import random
@@ -18,22 +18,22 @@
 REQUEST_CPU_S = 0.003
 REQUEST_BYTES = 9_200
 KEPT_CONNECTIONS = 10
-# A gone node is named by nobody after this time: see peer_silence.feature.
+# No node lists a stopped node after this time, see peer_silence.feature.
 SILENCE_TIMEOUT_S = 2.0
 DIRECTORIES = 3
-# A caller leaves out what failed it for as long as it keeps an answer.
+# For as long as a caller uses an answer, it avoids nodes that failed.
 AVOID_FAILED_NODE_S = 8.0
 
 
 @dataclass
 class FakeNode:
-    """A node that does its work in order, and whose loop is late by what waits."""
+    """A node that works in order of arrival, and whose event loop lags by the queued work."""
 
     member: Member
     cores: float
     capacity: NodeCapacity
     link: float = math.inf
-    gone_at: float = math.inf
+    ended_at: float = math.inf
     restarted_at: float = math.inf
     queued_cpu_s: float = 0.0
     queued_bytes: float = 0.0
@@ -43,10 +43,10 @@
     next_tick_at: float = 0.0
 
     def is_alive(self, now):
-        return now < self.gone_at or now >= self.restarted_at
+        return now < self.ended_at or now >= self.restarted_at
 
     def is_listed(self, now):
-        return now < self.gone_at + SILENCE_TIMEOUT_S or now >= self.restarted_at
+        return now < self.ended_at + SILENCE_TIMEOUT_S or now >= self.restarted_at
 
     @property
     def lag_s(self):
@@ -58,10 +58,11 @@
         self.requests += requests
 
     def work(self, now):
-        # What the link has not brought yet can't be worked on; callers give up after 2 s.
-        through = min(self.queued_bytes, self.link * STEP_S)
-        self.queued_cpu_s += through / REQUEST_BYTES * REQUEST_CPU_S
-        self.queued_bytes = min(self.queued_bytes - through, 2 * self.link)
+        # Only requests that have arrived over the link can be processed. Callers time out after
+        # 2 s, which bounds both queues.
+        received = min(self.queued_bytes, self.link * STEP_S)
+        self.queued_cpu_s += received / REQUEST_BYTES * REQUEST_CPU_S
+        self.queued_bytes = min(self.queued_bytes - received, 2 * self.link)
         done = min(self.queued_cpu_s, self.cores * STEP_S)
         self.cpu_s += done
         self.queued_cpu_s = min(self.queued_cpu_s - done, 2 * self.cores)
@@ -75,11 +76,11 @@
 
 @dataclass
 class FakeCaller:
-    """One address with the requests of many users."""
+    """One client address with the requests of many users."""
 
     address: str
     zone: str
-    names: list = field(default_factory=list)
+    node_names: list = field(default_factory=list)
     connections: list = field(default_factory=list)
     failed_until: dict = field(default_factory=dict)
     next_query_at: float = 0.0
@@ -87,11 +88,13 @@
 
 
 class CallerSimulation:
-    """A fleet, its callers, and what is measured of them."""
+    """A fleet and its callers, with measurements of both."""
 
-    def __init__(self, policy, load, allows_spillover=True, callers=24, lost=0.05, sizes=SIZES):
+    def __init__(
+        self, policy, load, allows_spillover=True, callers=24, loss_rate=0.05, sizes=SIZES
+    ):
         self.random = random.Random(11)
-        self.now, self.load, self.lost = 0.0, load, lost
+        self.now, self.load, self.loss_rate = 0.0, load, loss_rate
         self.nodes = {}
         self.next_report_at = self.next_directory_update_at = 0.0
         for zone in range(ZONES):
@@ -129,10 +132,10 @@
             for caller in self.callers:
                 self._query(caller)
                 self._send(caller)
-            living = [node for node in self.nodes.values() if node.is_alive(self.now)]
-            for node in living:
+            alive = [node for node in self.nodes.values() if node.is_alive(self.now)]
+            for node in alive:
                 node.work(self.now)
-            self.lags.append((self.now, [node.lag_s for node in living]))
+            self.lags.append((self.now, [node.lag_s for node in alive]))
 
     def zone_nodes(self, zone):
         return [node for node in self.nodes.values() if node.member.zone == zone]
@@ -149,7 +152,7 @@
         for zone, directories in self.directories.items():
             for directory in directories:
                 for node in self.zone_nodes(zone):
-                    if node.is_alive(self.now) and self.random.random() >= self.lost:
+                    if node.is_alive(self.now) and self.random.random() >= self.loss_rate:
                         directory.capacities.update(
                             node.member.node_id, node.capacity.current_load(), self.now
                         )
@@ -165,27 +168,31 @@
         caller.next_query_at = self.now + self.random.uniform(1.0, 5.0)
         directory = self.random.choice(self.directories[caller.zone])
         answer = directory.nodes_for(self._listed_members(), caller.zone, caller.address, self.now)
-        caller.names = [member.node_id for member in answer]
+        caller.node_names = [member.node_id for member in answer]
         for place, name in enumerate(caller.connections):
-            if name not in caller.names:
+            if name not in caller.node_names:
                 caller.connections[place] = self._connect(caller)
                 caller.moved_connections += 1
         while len(caller.connections) < KEPT_CONNECTIONS:
             caller.connections.append(self._connect(caller))
 
     def _connect(self, caller):
-        usable = [name for name in caller.names if caller.failed_until.get(name, 0.0) <= self.now]
-        return self.random.choice(usable or caller.names)
+        usable = [
+            name for name in caller.node_names if caller.failed_until.get(name, 0.0) <= self.now
+        ]
+        return self.random.choice(usable or caller.node_names)
 
     def _rate(self, zone):
         number = int(zone[-1])
         wave = 1.0 + 0.3 * math.sin(2 * math.pi * (self.now / WAVE_PERIOD_S + number / ZONES))
-        total = sum(n.cores for n in self.nodes.values()) / ZONES
-        per_zone = sum(c.zone == zone for c in self.callers)
-        return self.load * self.weights[zone] * wave * total / REQUEST_CPU_S / per_zone
+        cores_per_zone = sum(n.cores for n in self.nodes.values()) / ZONES
+        callers_in_zone = sum(c.zone == zone for c in self.callers)
+        return (
+            self.load * self.weights[zone] * wave * cores_per_zone / REQUEST_CPU_S / callers_in_zone
+        )
 
     def _send(self, caller):
-        if not caller.names:
+        if not caller.node_names:
             return
         requests = self._rate(caller.zone) * STEP_S
         for place, name in enumerate(caller.connections):
@@ -204,9 +211,9 @@
             caller.failed_until[name] = self.now + AVOID_FAILED_NODE_S
             self.last_failure_at = self.now
 
-    # What is measured
+    # Measurements
 
-    def begin(self):
+    def start_measuring(self):
         self.lags.clear()
         for node in self.nodes.values():
             node.accepted_cpu_s = 0.0
@@ -215,7 +222,7 @@
         self.measured_since = self.now
 
     def work_per_capacity(self):
-        """Return for each size of nodes its part of the work, by its part of the capacity."""
+        """Return the ratio of the share of the work to the share of the capacity, by node size."""
         work, cores = {}, {}
         for node in self.nodes.values():
             work[node.cores] = work.get(node.cores, 0.0) + node.accepted_cpu_s
@@ -226,13 +233,13 @@
         }
 
     def mean_lags_s(self):
-        """Return the mean over time of the latest node, and of all."""
-        latest = sum(max(lags) for _, lags in self.lags) / len(self.lags)
-        usual = sum(sum(lags) / len(lags) for _, lags in self.lags) / len(self.lags)
-        return latest, usual
+        """Return the means over time of the largest lag, and of the mean lag of all nodes."""
+        largest = sum(max(lags) for _, lags in self.lags) / len(self.lags)
+        mean = sum(sum(lags) / len(lags) for _, lags in self.lags) / len(self.lags)
+        return largest, mean
 
     def moved_share_per_s(self):
-        """Return the part of kept connections that callers leave in a second."""
+        """Return the share of persistent connections that callers move per second."""
         moved_connections = sum(caller.moved_connections for caller in self.callers)
         return (
             moved_connections
--- a/features/following_node.py
+++ b/features/following_node.py
@@ -1,4 +1,4 @@
-"""A node that follows the store or another node, and nothing else, in-process."""
+"""An in-process node that only follows the store or another node."""
 
 import asyncio
 import math
@@ -16,25 +16,26 @@
 from liftrill.gateway.store_follower import FollowerDelegate, StoreFollower
 
 MAX_MIRROR_AGE_S = 1.7
-# How far a wait in a test may be off, beside a load.
+# Also the tolerance of measured times.
 POLL_INTERVAL_S = 0.02
 
 
 async def eventually(condition, seconds):
     until = time.monotonic() + seconds
     while not condition():
-        assert time.monotonic() < until, "it did not come about in time"
+        assert time.monotonic() < until, f"condition not met within {seconds} s"
         await asyncio.sleep(POLL_INTERVAL_S)
 
 
 class ScriptedStore(MemoryStore):
-    """A store whose watches hear nothing, and which can be made to answer nobody.
+    """A store whose watches deliver no changes until told to, and that can become unavailable.
 
     Attributes:
-        away: whether every call fails.
-        watch_errors: what the next watches raise, at once.
-        watch_revisions: the revisions after which watches asked for changes.
-        hears: whether watches are told of changes.
+        is_unavailable: whether every call fails.
+        read_times: when the range was read.
+        watch_errors: the errors that the next watches raise immediately.
+        watch_revisions: the revisions after which watches were started.
+        delivers_changes: set while watches deliver changes.
     """
 
     def __init__(self):
@@ -67,17 +68,17 @@
 
 @dataclass
 class FollowPeriod:
-    """When a node began to follow another one, and when it left it."""
+    """The time for which a node followed another one."""
 
     since: float
     until: float = math.inf
 
-    def duration_s(self, counted_from=-math.inf):
-        return min(self.until, time.monotonic()) - max(self.since, counted_from)
+    def duration_s(self, from_time=-math.inf):
+        return min(self.until, time.monotonic()) - max(self.since, from_time)
 
 
 class FollowingNode(FollowerDelegate):
-    """A follower with a relay server, and one peer that it follows where the store is lost."""
+    """A follower with a relay server, and a peer that it follows while the store is unavailable."""
 
     def __init__(self, name, store, cluster_state=None, limits=None):
         self.name = name
--- a/features/peer_silence.feature
+++ b/features/peer_silence.feature
@@ -1,10 +1,10 @@
-Feature: A machine that is gone is named no more
+Feature: Peers that stopped reporting are not listed
 
-  Scenario Outline: A peer that ended without a word is named no longer than two seconds
+  Scenario Outline: A peer that stopped without notice is listed for at most two seconds
     Given <nodes> nodes of 3 zones that report to each other, of which 5 in 100 datagrams are lost
-    When one of them ends without a word
-    Then nobody of its zone names it <late> s later
-    And no other node of that zone was left out in a minute before
+    When one of them stops without notice
+    Then no node of its zone lists it <late> s later
+    And no other node of that zone was omitted in the minute before
 
     Examples:
       | nodes | late |
@@ -13,13 +13,13 @@
       | 195   | 2.1  |
       | 350   | 2.1  |
 
-  Scenario: A node that hears nobody goes on naming all
+  Scenario: A node that receives no reports goes on listing all peers
     Given 7 nodes of 3 zones that report to each other, of which 0 in 100 datagrams are lost
-    When all but one of them are cut off from it
-    Then it still names all of them
+    When one of them stops receiving reports from all others
+    Then it still lists all of them
 
-  Scenario: A peer that comes back is named again as soon as it is heard
+  Scenario: A peer that comes back is listed again with its first report
     Given 7 nodes of 3 zones that report to each other, of which 0 in 100 datagrams are lost
-    When one of them ends without a word
-    And it is heard again after 5 s
-    Then everybody who hears it names it
+    When one of them stops without notice
+    And it reports again after 5 s
+    Then every node that gets its reports lists it
--- a/features/platform.feature
+++ b/features/platform.feature
@@ -1,16 +1,16 @@
-Feature: The program that serves the users' platform, as separate processes before a stand-in
+Feature: The platform's program, as separate processes against a stand-in platform
 
   Background:
     Given a stand-in platform with 2 desk engines and 2 model engines
 
-  Scenario: Each kind of request is served, and only what the platform says is changed
+  Scenario: Each kind of request is served, and only the specified headers are changed
     Given a node
     When a client posts to "/whole/a%2Fb/..;x?q=%7E&&r" with forged internal headers
-    Then the answer is an engine's, whole and signed
+    Then the answer is an engine's, complete and signed
     And the engine got the target "/whole/a%2Fb/..;x?q=%7E&&r" unchanged, the tenant and no key
     And none of the forged headers reached the engine
     When a client gets "/safe/x"
-    Then the answer is an engine's, whole and signed
+    Then the answer is an engine's, complete and signed
     When a client asks for a stream at "/stream/x"
     Then the stream has events 1 to 4 and is complete
 
@@ -19,17 +19,17 @@
     When hostile requests are sent
     Then each got a final status or a closed connection, and none reached an engine
 
-  Scenario: Unknown routes and keys are refused, and before a configuration nothing is said of them
+  Scenario: Unknown routes and keys are refused
     Given a node
     Then "/nowhere/x" with the known key is answered 404
     And "/whole/x" with another key is answered 401
 
-  Scenario: A node without a configuration answers 503 with a time to come back
+  Scenario: A node without a configuration answers 503 with a Retry-After header
     Given the store has no configuration
     And a node that is not ready
-    Then "/whole/x" with the known key is answered 503 with a time to come back
+    Then "/whole/x" with the known key is answered 503 with a Retry-After header
 
-  Scenario Outline: What a faulty engine does is never taken for a good answer
+  Scenario Outline: A faulty response of an engine is never taken for a valid answer
     Given a node
     And the next request to any desk engine meets the fault "<fault>"
     When a client posts to "/whole/x"
@@ -56,7 +56,7 @@
       | extra      |
       | extra_late |
 
-  Scenario: A request on a kept connection that the engine closes is not sent again by a library
+  Scenario: The HTTP library does not resend a request on a persistent connection that the engine closes
     Given a node
     When a client gets "/whole/x"
     And every engine closes the next requests without an answer
@@ -64,22 +64,22 @@
     Then that request reached engines 1 time
     And the answer has status 502
 
-  Scenario: A torn stream that may not be begun anew goes on with the copy of its run
-    Given engines that send copies of runs to each other
+  Scenario: An interrupted stream that may not be restarted is resumed from its backup
+    Given engines that back up requests to each other
     And a node
     And the next request to any model engine meets the fault "torn"
     When a client asks for a stream of up to 2000 tokens at "/stream/x"
     Then the stream has events 1 to 4 and is complete
-    And it went on at the engine that had the copy
+    And it was resumed at the engine that had the backup
 
-  Scenario: No copy is made of a run that is over soon
-    Given engines that send copies of runs to each other
+  Scenario: A short request gets no backup
+    Given engines that back up requests to each other
     And a node
     And the next request to any model engine meets the fault "torn"
     When a client asks for a stream at "/stream/x"
     Then the stream is not complete
 
-  Scenario: A torn stream is resumed elsewhere if that is allowed, and broken off otherwise
+  Scenario: An interrupted stream is resumed at another engine if the route allows it, and ends otherwise
     Given a node
     And the next request to any model engine meets the fault "torn"
     When a client asks for a stream at "/resume/x"
@@ -88,31 +88,31 @@
     When a client asks for a stream at "/stream/x"
     Then the stream is not complete
 
-  Scenario: An engine stops when its client leaves
+  Scenario: An engine stops when the client disconnects
     Given a node
     And model engines take 10 s for a stream
-    When a client leaves during a stream
-    Then the engine's work is cut within 0.5 s
+    When a client disconnects during a stream
+    Then the engine's work is cancelled within 0.5 s
 
-  Scenario: A leaving engine gets no new requests, and an address in new hands gets none of the old
+  Scenario: A removed engine gets no new requests, nor does a different engine at its address
     Given a node
     When the first desk engine is replaced by an engine of another service at its address
     Then 10 requests to "/whole/x" are served and none ran on the other service
 
-  Scenario: Configurations only go forward, also when the store has lost its history
+  Scenario: A newer configuration takes effect although the store has dropped its history
     Given a node
     When the configuration loses a route while the store drops its history
     Then within 2 s "/whole/x" with the known key is answered 404
 
-  Scenario: A key that was taken away is refused, and unproven keys are once the store is silent
+  Scenario: Revoked keys are refused, and so are all keys once the store has stopped responding
     Given bounds of 2 s for keys
     And a node
-    When the key is taken away
+    When the key is revoked
     Then within 2 s "/whole/x" with the known key is answered 401
-    When the key is given back
+    When the key is restored
     Then within 2 s "/whole/x" with the known key is answered 200
-    When the store falls silent
-    Then within 3 s "/whole/x" with the known key is answered 503 with a time to come back
+    When the store stops responding
+    Then within 3 s "/whole/x" with the known key is answered 503 with a Retry-After header
     When the store answers again
     Then within 4 s "/whole/x" with the known key is answered 200
 
@@ -121,60 +121,60 @@
     When the tenant may use 1000 tokens a second, and a request without a prompt counts 200
     And both nodes are asked for 30 requests each to "/whole/x" at once
     Then between 5 and 20 of them are served, and the others are answered 429 with code 2012
-    And each of these is told another time to come back, of 30 s at the most
-    And a node's log tells that "tenant-1" is limited, and its metrics count the refusals
+    And most of these have different Retry-After values, all of at most 30 s
+    And a node's log reports that "tenant-1" is limited, and its metrics count the refusals
     And within 4 s "/whole/x" with the known key is answered 200
     When the tenant may use 100000 tokens a second, and a request without a prompt counts 200
     And 1 s passes
     And both nodes are asked for 30 requests each to "/whole/x" at once
     Then between 60 and 60 of them are served, and the others are answered 429 with code 2012
 
-  Scenario: A planned stop cuts nothing, and peers no longer name the node
+  Scenario: A graceful shutdown interrupts no stream, and peers no longer list the node
     Given 2 nodes
     And model engines take 1 s for a stream
     When the first node is told to stop during a stream
-    Then within 1 s the second node names only itself
+    Then within 1 s the second node lists only itself
     And the first node is not ready
     And the stream has events 1 to 4 and is complete
     And the first node exits with code 0 within 8 s
 
-  Scenario: A node about to end refuses what comes late, and still finishes what it took
+  Scenario: A node that shuts down refuses late requests and finishes those it has accepted
     Given a node
     And model engines take 3.7 s for a stream
     And a connection to the node that was used before
     When the node is told to stop during a stream and 3.2 s pass
-    Then a request on that connection is answered 503 with a time to come back and ran nowhere
+    Then a request on that connection is answered 503 with a Retry-After header and ran on no engine
     And the stream has events 1 to 4 and is complete
     And the first node exits with code 0 within 8 s
 
-  Scenario: A reload cuts nothing and tells of a wrong file
+  Scenario: A reload of an invalid file is refused, and requests are still served
     Given a node
     When its settings file is broken and it is told to reload
     Then its log has "reload_refused"
     And "/whole/x" with the known key is answered 200
 
-  Scenario: New weights reach every engine under one holder, with each engine ordered once
+  Scenario: Every engine gets one load order for new weights, all from one leader
     Given 2 nodes
-    When version 2 of the weights is named
+    When version 2 of the weights is published
     Then within 8 s every model engine has version 2
-    And each model engine was ordered 1 time, by one holder
+    And each model engine got 1 load order, from one holder
 
-  Scenario: When the holder is killed midway another one finishes with a higher fence
+  Scenario: When the leader is killed during a rollout another one finishes it with a higher fence
     Given 2 nodes
     And engines take 2 s to load
-    When version 2 of the weights is named and the holder is killed after its first order
+    When version 2 of the weights is published and the holder is killed after its first order
     Then within 14 s every model engine has version 2
     And orders of the second holder came 3 s after the first's, with a higher fence
 
-  Scenario: A node that stood still sends nothing to engines that left meanwhile
-    A node stands still while it connects to an engine that takes no connections. Engines say
-    meanwhile that they leave, and clients send requests. The node wakes, finds that its attempt
-    took too long, reads the requests, and chooses engines for all of them before it has read
-    what the store told. What it believes is 2.8 s old, and no engine may get a request 2 s after
-    its leaving was acknowledged.
+  Scenario: A paused node sends no requests to engines that left meanwhile
+    A node is paused while it connects to an engine that accepts no connections. Meanwhile engines
+    announce that they drain, and clients send requests. When the node resumes, its connection attempt
+    has timed out, and it reads the requests and selects engines for them before it reads the changes
+    from the store. Its state is 2.8 s old, and no engine may get a request 2 s after its change to
+    draining was acknowledged.
 
     Given a node
-    And a request at "/whole/x" is on its way to an engine that takes no connections
+    And a request at "/whole/x" is waiting to connect to an engine that accepts no connections
     When the node stands still for 3 s, and at 0.2 s all desk engines leave and 3 clients post to "/whole/x"
     Then no engine that left got a request
 
@@ -183,16 +183,16 @@
     When all gateways are killed and started again
     Then within 3 s "/whole/x" with the known key is answered 200
 
-  Scenario: A reader of the log that stalls delays no answer
-    Given a node whose log nobody reads
+  Scenario: A log pipe that is not read delays no answer
+    Given a node whose log output is not read
     When 300 clients post to "/nowhere/x"
     Then "/whole/x" with the known key is answered 200
 
-  Scenario: A wrong setting ends the program with one line
+  Scenario: An invalid setting ends the program with a one-line error
     When a node is started with "GraceS" set to "soon"
     Then it ends with code 2 and one line naming the file, "Bounds.GraceS", "soon" and what was expected
 
-  Scenario: Counters are served as text
+  Scenario: Metrics are served as text
     Given a node
     When a client posts to "/whole/x"
-    Then the metrics tell of 1 request served
+    Then the metrics count 1 served request
--- a/features/processor_time.feature
+++ b/features/processor_time.feature
@@ -1,25 +1,25 @@
-Feature: What a node does seldom or together, since its processor time is paid for
+Feature: A node batches periodic work and messages to save processor time
 
-  Scenario: Loops with pauses of their own wake together
+  Scenario: Loops with different pauses wake at common ticks
     Given loops that pause for 0.1, 0.1, 0.25, 0.28 and 0.4 s
     When they run for 1.2 s
-    Then they woke at no more than 13 moments
-    And none of them turned less often than its pause and half a tick allow
+    Then they woke at no more than 13 different times
+    And none of them ran less often than its pause and half a tick allow
 
-  Scenario Outline: What peers are told in one turn of the event loop goes in few datagrams
+  Scenario Outline: Messages to peers from one event loop iteration share datagrams
     Given a node with 5 peers
-    When it tells of <spendings> spendings and of <readings> long prompts in one turn
+    When it broadcasts <notices> spending notices and <prompts> long prompts in one iteration
     Then each peer gets <datagrams> datagrams
-    And each peer learns of <spendings> spendings and of <readings> long prompts
-    And a peer of an older version learns of <spendings> spendings
+    And each peer receives <notices> spending notices and <prompts> long prompts
+    And a peer of an older version receives <notices> spending notices
 
     Examples:
-      | spendings | readings | datagrams |
+      | notices   | prompts  | datagrams |
       | 1         | 1        | 1         |
       | 1         | 0        | 1         |
       | 0         | 3        | 1         |
       | 2         | 3        | 2         |
 
-  Scenario: The list of members is new after each change, and only then
+  Scenario: The list of members is rebuilt only after a change
     Given a node with 5 peers
-    Then its list of members stays the same until one of them is dead
+    Then its list of members is unchanged until one of them is dead
--- a/features/steps/build_steps.py
+++ b/features/steps/build_steps.py
@@ -16,11 +16,11 @@
 from liftrill.gateway.relay_codec import RelayUpdate
 from liftrill.gateway.store_follower import StoreFollower
 
-NODE_ENDS_WITHIN_S = 9.0
+NODE_EXIT_TIMEOUT_S = 9.0
 
 
 def tree(context, commit):
-    """Return the tree of a commit; skip the scenario where the checkout lacks its history."""
+    """Return the source tree of a commit; skip the scenario if the checkout lacks the commit."""
     found = tree_of(commit, context.directory)
     if found is None:
         context.scenario.skip(f"the checkout has no commit {commit}")
@@ -39,41 +39,41 @@
     context.run(add_node(context, ROOT))
 
 
-async def take_place(context, root):
-    former = context.deployment.nodes[-1]
+async def replace_node(context, root):
+    replaced = context.deployment.nodes[-1]
     await add_node(context, root)
-    interrupt(former)
-    await asyncio.wait_for(former.process.wait(), NODE_ENDS_WITHIN_S)
+    interrupt(replaced)
+    await asyncio.wait_for(replaced.process.wait(), NODE_EXIT_TIMEOUT_S)
 
 
-@when("a node of build {commit} takes the place of the other, and version {version:d} is named")
+@when("a node of build {commit} replaces the other, and version {version:d} is published")
 def step_earlier(context, commit, version):
     root = tree(context, commit)
     if root is not None:
-        context.run(take_place(context, root))
+        context.run(replace_node(context, root))
         context.deployment.name_weights(version)
 
 
-@when("a node of this build takes the place of the other, and version {version:d} is named")
+@when("a node of this build replaces the other, and version {version:d} is published")
 def step_back(context, version):
-    context.run(take_place(context, ROOT))
+    context.run(replace_node(context, ROOT))
     context.deployment.name_weights(version)
 
 
 @then("all engines have that version within {seconds:g} s")
-def step_have_it(context, seconds):
+def step_have_version(context, seconds):
     newest = json.loads(context.deployment.store.value("op/version/model-1"))["Version"]
 
-    async def have_it():
+    async def have_version():
         engines = [e for e in context.deployment.engines.values() if e.service == "llm"]
         return all(engine.weights["model-1"] == newest for engine in engines)
 
-    context.run(context.deployment.wait_until(have_it, seconds))
+    context.run(context.deployment.wait_until(have_version, seconds))
 
 
-@then("all engines have that version within {seconds:g} s, by fences that never go back")
+@then("all engines have that version within {seconds:g} s, with fences that never decrease")
 def step_fences(context, seconds):
-    step_have_it(context, seconds)
+    step_have_version(context, seconds)
     for engine in context.deployment.engines.values():
         fences = [order["Fence"] for order in engine.orders]
         assert fences == sorted(fences), fences
@@ -85,8 +85,8 @@
     return itertools.groupby(orders, key=lambda order: order["Fence"])
 
 
-def follows(mirror):
-    """Return whether a node with a copy takes changes of a reader that tells no era."""
+def accepts_no_era(mirror):
+    """Return whether a node with a copy accepts changes of a reader that reports no era."""
     follower = StoreFollower(None, "", StubOwner(), ReaderLimits("node", 1.0))
     follower.mirror = mirror
     try:
@@ -97,24 +97,24 @@
 
 
 class StubOwner:
-    """Hears nothing."""
+    """Ignores the notices of a follower."""
 
     def store_connection_changed(self, connected):
         pass
 
 
-@then("a node that has it follows no reader that tells no era")
+@then("a node that has it follows no reader that reports no era")
 def step_follows_none(context):
-    assert not follows(context.mirror)
+    assert not accepts_no_era(context.mirror)
 
 
 @then("a node that has none yet does")
 def step_follows(context):
-    assert follows(StoreMirror())
+    assert accepts_no_era(StoreMirror())
 
 
-@when("nodes of this build and of {commit} play seed {seed:d} for {seconds:g} s")
-def step_play(context, commit, seed, seconds):
+@when("nodes of this build and of {commit} run seed {seed:d} for {seconds:g} s")
+def step_soak(context, commit, seed, seconds):
     if tree(context, commit) is None:
         return
     (context.directory / f"build-{commit}").rename(context.directory / "checked")
--- a/features/steps/copy_age_steps.py
+++ b/features/steps/copy_age_steps.py
@@ -1,4 +1,4 @@
-"""Steps on readers that go silent, and on how old the copy of their follower grows."""
+"""Steps on readers that stop responding, and on the age of their follower's copy."""
 
 import asyncio
 import time
@@ -12,12 +12,12 @@
 from liftrill.coordination.membership_messages import Member
 from liftrill.gateway.relay_client import ReaderLimits, max_mirror_age_s
 
-# How long the copy is watched: longer than two readers that are waited for one after the other.
-WATCHED_S = 2.5
+# Longer than the timeouts of two readers, one after the other.
+OBSERVED_S = 2.5
 
 
 class SilenceableProxy:
-    """Passes connections on to an address, until it goes silent or ends."""
+    """Forwards connections to an address until it is silenced or ended."""
 
     def __init__(self, target):
         self.target = target
@@ -37,20 +37,22 @@
         self.writers.append(writer)
         if not self.target:
             return
-        theirs, ours = await asyncio.open_connection(*self.target.split(":"))
-        self.writers.append(ours)
-        # The loop complains of a connection's task that ends by being cancelled.
+        target_reader, target_writer = await asyncio.open_connection(*self.target.split(":"))
+        self.writers.append(target_writer)
+        # The event loop logs an error if the task of a connection is cancelled.
         with suppress(asyncio.CancelledError, ConnectionError):
-            await asyncio.gather(self._pass_on(reader, ours), self._pass_on(theirs, writer))
+            await asyncio.gather(
+                self._forward(reader, target_writer), self._forward(target_reader, writer)
+            )
 
-    async def _pass_on(self, reader, writer):
+    async def _forward(self, reader, writer):
         while data := await reader.read(65536):
             if not self.silent:
                 writer.write(data)
 
 
-class ChoosingNode(FollowingNode):
-    """Follows the first of its readers that has not been lost yet."""
+class ReaderListNode(FollowingNode):
+    """A node that follows the first of its readers that it has not lost."""
 
     def __init__(self, store, readers, limits):
         super().__init__("node", store, limits=limits)
@@ -68,28 +70,31 @@
     return Member(name, address, "region", "zone", 1)
 
 
-@given("a node bound to use news within {news:g} s, whose reader proves its copy every {every:g} s")
-def step_node(context, news, every):
+@given(
+    "a node that must apply changes within {limit:g} s,"
+    " and whose reader proves its copy every {every:g} s"
+)
+def step_node(context, limit, every):
     async def start():
         store = ScriptedStore()
         store.put("key", b"value")
         context.reader = FollowingNode("reader", store)
         await context.reader.start()
-        context.proving = asyncio.ensure_future(prove(context.reader, every))
-        context.way = SilenceableProxy(context.reader.address)
-        await context.way.start()
+        context.reader_proving = asyncio.ensure_future(prove(context.reader, every))
+        context.proxy = SilenceableProxy(context.reader.address)
+        await context.proxy.start()
         context.store = ScriptedStore()
         context.store.put("key", b"value")
-        limits = ReaderLimits("node", max_mirror_age_s(news))
-        readers = [member("reader", context.way.address)]
-        context.node = ChoosingNode(context.store, readers, limits)
-        context.also_proving = asyncio.ensure_future(prove(context.node, every))
+        limits = ReaderLimits("node", max_mirror_age_s(limit))
+        readers = [member("reader", context.proxy.address)]
+        context.node = ReaderListNode(context.store, readers, limits)
+        context.node_proving = asyncio.ensure_future(prove(context.node, every))
 
     context.run(start())
 
 
 async def prove(node, every_s):
-    """Prove a node's copy as long as it reads the store itself."""
+    """Record proofs of a node's copy while the node reads the store itself."""
     while True:
         if node.follower.followed is None:
             now = time.monotonic()
@@ -113,16 +118,16 @@
     context.run(start())
 
 
-@when("the first reader {what} as the node's copy is {age:g} s old")
+@when("the first reader {what} when the node's copy is {age:g} s old")
 def step_lost(context, what, age):
     async def lose():
         await eventually(lambda: copy_age_s(context.node) > age, 3.0)
         if what == "ends":
-            await context.way.end()
-        context.way.silent = True
-        context.readings = len(context.store.read_times)
+            await context.proxy.end()
+        context.proxy.silent = True
+        context.reads_before = len(context.store.read_times)
         context.ages_s = []
-        until = time.monotonic() + WATCHED_S
+        until = time.monotonic() + OBSERVED_S
         while time.monotonic() < until:
             context.ages_s.append(round(copy_age_s(context.node), 2))
             await asyncio.sleep(POLL_INTERVAL_S)
@@ -136,12 +141,12 @@
 
 @then("the node's copy is never older than {seconds:g} s")
 def step_never_older(context, seconds):
-    assert context.ages_s[-1] < seconds, "it was not read anew"
+    assert context.ages_s[-1] < seconds, "the store was not read again"
     assert max(context.ages_s) <= seconds, max(context.ages_s)
 
 
 @then("the node reads the store at most {count:d} times in the {seconds:g} s after that")
-def step_few_readings(context, count, seconds):
-    assert seconds == WATCHED_S
-    readings = len(context.store.read_times) - context.readings
-    assert readings <= count, readings
+def step_few_reads(context, count, seconds):
+    assert seconds == OBSERVED_S
+    reads = len(context.store.read_times) - context.reads_before
+    assert reads <= count, reads
--- a/features/steps/platform_relay_steps.py
+++ b/features/steps/platform_relay_steps.py
@@ -1,11 +1,11 @@
-"""Steps that run many nodes of one zone before the stand-in."""
+"""Steps that run many nodes of one zone against the stand-in platform."""
 
 import asyncio
 import signal
 
 from behave import given, then, when
 
-READS = "liftrill_reads_store 1.0"
+READER_METRIC = "liftrill_reads_store 1.0"
 
 
 async def metrics(deployment, node):
@@ -16,7 +16,7 @@
 
 async def readers(deployment, nodes):
     texts = await asyncio.gather(*(metrics(deployment, node) for node in nodes))
-    return [node for node, text in zip(nodes, texts, strict=True) if READS in text]
+    return [node for node, text in zip(nodes, texts, strict=True) if READER_METRIC in text]
 
 
 @given("two of the nodes read the store and the others follow them")
@@ -31,29 +31,30 @@
     context.stopped = []
 
 
-@when("{seconds:g} s pass in which nothing changes")
-def step_quiet(context, seconds):
+@when("nothing changes for {seconds:g} s")
+def step_no_changes(context, seconds):
     store = context.deployment.store
     before = len(store.calls)
     context.run(asyncio.sleep(seconds))
     context.calls = [call for call, _ in store.calls[before:]]
 
 
-@then("the store got at most {questions:d} questions and {most:d} other calls in them")
-def step_few_calls(context, questions, most):
-    # Two readers prove currency every 0.9 s, 0.45 of DrainMs; the leader renews its lease besides.
-    asked = [call for call in context.calls if call == "kv-key"]
+@then("the store got at most {reads:d} key reads and {most:d} other calls meanwhile")
+def step_few_calls(context, reads, most):
+    # Each of the two readers reads a key every 0.9 s (0.45 of DrainMs) to prove its copy
+    # current; the leader also renews its lease.
+    key_reads = [call for call in context.calls if call == "kv-key"]
     others = [call for call in context.calls if call not in ("kv-key", "kv-keep")]
-    assert 1 <= len(asked) <= questions, context.calls
+    assert 1 <= len(key_reads) <= reads, context.calls
     assert len(others) <= most, context.calls
 
 
-@when("the operator takes the known key away")
+@when("the operator revokes the known key")
 def step_revoke(context):
     context.deployment.configure(9, keys=("another-key",))
 
 
-def every_status(context, nodes, status, seconds):
+def wait_for_status(context, nodes, status, seconds):
     deployment = context.deployment
 
     async def all_answer():
@@ -66,19 +67,19 @@
 
 @then("within {seconds:g} s every node answers the known key with {status:d}")
 def step_every(context, seconds, status):
-    every_status(context, context.deployment.nodes, status, seconds)
+    wait_for_status(context, context.deployment.nodes, status, seconds)
 
 
-@then("within {seconds:g} s every node that runs answers the known key with {status:d}")
+@then("within {seconds:g} s every running node answers the known key with {status:d}")
 def step_every_running(context, seconds, status):
     running = [node for node in context.deployment.nodes if node not in context.stopped]
-    every_status(context, running, status, seconds)
+    wait_for_status(context, running, status, seconds)
 
 
 @then("within {seconds:g} s every follower answers the known key with {status:d}")
 def step_every_follower(context, seconds, status):
     nodes = [node for node in context.deployment.nodes if node not in context.readers]
-    every_status(context, nodes, status, seconds)
+    wait_for_status(context, nodes, status, seconds)
 
 
 @when("a reader is paused")
@@ -105,18 +106,18 @@
     context.deployment.store.refused_callers = {context.readers[0].ip}
 
 
-@when("the store is silent for all")
+@when("the store stops responding to all nodes")
 def step_silent(context):
     context.deployment.store.fault = "silent"
 
 
-@then("within {seconds:g} s no node that runs follows it")
-def step_unfollowed(context, seconds):
+@then("within {seconds:g} s no running node follows it")
+def step_no_followers(context, seconds):
     deployment = context.deployment
     stopped = context.stopped[0]
 
-    async def unfollowed():
+    async def has_no_followers():
         text = await metrics(deployment, stopped)
         return "liftrill_relay_followers 0.0" in text
 
-    context.run(deployment.wait_until(unfollowed, seconds))
+    context.run(deployment.wait_until(has_no_followers, seconds))
--- a/features/steps/platform_steps.py
+++ b/features/steps/platform_steps.py
@@ -1,4 +1,4 @@
-"""Steps that run the platform's program before the stand-in."""
+"""Steps that run the platform's program against the stand-in platform."""
 
 import asyncio
 import itertools
@@ -117,37 +117,37 @@
 
 
 def full_listener(context):
-    """Return the address of a listener that answers no further connection."""
+    """Return the address of a listener that accepts no further connection."""
     listener = socket.socket()
     listener.bind(("127.0.0.1", 0))
     listener.listen(0)
     context.stack.callback(listener.close)
-    # Linux takes one connection more than the backlog says, and drops what comes then.
+    # Linux queues one connection more than the backlog, and drops later ones.
     for _ in range(2):
-        waiting = socket.socket()
-        waiting.setblocking(False)
+        client = socket.socket()
+        client.setblocking(False)
         with suppress(BlockingIOError):
-            waiting.connect(listener.getsockname())
-        context.stack.callback(waiting.close)
+            client.connect(listener.getsockname())
+        context.stack.callback(client.close)
     return f"127.0.0.1:{listener.getsockname()[1]}"
 
 
-@given('a request at "{path}" is on its way to an engine that takes no connections')
+@given('a request at "{path}" is waiting to connect to an engine that accepts no connections')
 def step_connecting(context, path):
     deployment = context.deployment
     deployment.record(StandInEngine("deaf", "desk", address=full_listener(context)))
 
     async def is_connecting():
         call = asyncio.ensure_future(deployment.call(deployment.nodes[0], path))
-        # Others are answered sooner, and a connect is given up after 0.4 s.
+        # Other engines answer sooner, and the attempt to connect times out after 0.4 s.
         await asyncio.wait([call], timeout=0.3)
         return None if call.done() else call
 
     context.connecting = context.run(deployment.wait_until(is_connecting))
 
 
-@given("a node whose steady clock stands while it sleeps")
-def step_sleeping_node(context):
+@given("a node whose monotonic clock stops while it sleeps")
+def step_suspendable_node(context):
     async def add():
         node = await context.deployment.add_node("node-1", wrapper=[sleeper.__file__])
         await context.deployment.ready(node)
@@ -159,17 +159,19 @@
     "the node {is_still} for {seconds:g} s, and at {at:g} s all desk engines leave "
     'and {count:d} clients post to "{path}"'
 )
-def step_stands_still(context, is_still, seconds, at, count, path):
+def step_paused(context, is_still, seconds, at, count, path):
     deployment = context.deployment
     node = deployment.nodes[0]
-    context.left = [engine for engine in deployment.engines.values() if engine.service == "desk"]
+    context.left_engines = [
+        engine for engine in deployment.engines.values() if engine.service == "desk"
+    ]
 
-    async def stand_still():
+    async def pause():
         node.signal(signal.SIGSTOP)
         await asyncio.sleep(at)
-        # What was sent before the node stood still has arrived by now.
-        context.arrived_before = sum(len(engine.arrivals) for engine in context.left)
-        for engine in context.left:
+        # Requests sent before the pause have arrived by now.
+        context.arrived_before = sum(len(engine.arrivals) for engine in context.left_engines)
+        for engine in context.left_engines:
             deployment.record(engine, "draining")
         calls = [asyncio.ensure_future(deployment.call(node, path)) for _ in range(count)]
         await asyncio.sleep(seconds - at)
@@ -179,12 +181,12 @@
             node.signal(signal.SIGCONT)
         await asyncio.gather(context.connecting, *calls, return_exceptions=True)
 
-    context.run(stand_still())
+    context.run(pause())
 
 
 @when(
-    "the node sleeps for {seconds:g} s, its key is taken away at {at:g} s, "
-    'a client posts to "{path}" with it, and the store says nothing more'
+    "the node sleeps for {seconds:g} s, its key is revoked at {at:g} s, "
+    'a client posts to "{path}" with it, and the store stops responding'
 )
 def step_sleeps_revoked(context, seconds, at, path):
     deployment = context.deployment
@@ -206,12 +208,12 @@
 
 
 @then("no engine that left got a request")
-def step_left_alone(context):
-    arrived = sum(len(engine.arrivals) for engine in context.left) - context.arrived_before
+def step_no_arrivals(context):
+    arrived = sum(len(engine.arrivals) for engine in context.left_engines) - context.arrived_before
     assert arrived == 0, arrived
 
 
-@given("a node whose log nobody reads")
+@given("a node whose log output is not read")
 def step_unread_log(context):
     reader, writer = os.pipe()
     context.stack.callback(os.close, reader)
@@ -273,7 +275,7 @@
     context.run(asyncio.wait_for(flood(), 10.0))
 
 
-@then("the answer is an engine's, whole and signed")
+@then("the answer is an engine's, complete and signed")
 def step_signed(context):
     status, headers, body, whole = context.answer
     assert (status, whole) == (200, True), context.answer
@@ -354,7 +356,7 @@
     assert status_of(context, path, "another") == status, context.answer
 
 
-@then('"{path}" with the known key is answered {status:d} with a time to come back')
+@then('"{path}" with the known key is answered {status:d} with a Retry-After header')
 def step_status_retry(context, path, status):
     assert status_of(context, path) == status, context.answer
     assert float(context.answer[1]["Retry-After"]) > 0
@@ -380,20 +382,20 @@
 
 @then(
     'within {seconds:g} s "{path}" with the known key is answered {status:d} '
-    "with a time to come back"
+    "with a Retry-After header"
 )
 def step_within_retry(context, seconds, path, status):
     wait_for_status(context, path, status, seconds)
     assert float(context.answer[1]["Retry-After"]) > 0
 
 
-@given("engines that send copies of runs to each other")
+@given("engines that back up requests to each other")
 def step_backups(context):
     context.deployment.configure(6, backups=True)
 
 
-@then("it went on at the engine that had the copy")
-def step_went_on(context):
+@then("it was resumed at the engine that had the backup")
+def step_resumed(context):
     first, second = sorted(
         (a for a in context.deployment.arrivals() if a.target.startswith("/stream/")),
         key=lambda arrival: "Kv-From" in arrival.headers,
@@ -411,17 +413,17 @@
 @given('the next request to any {kind} engine meets the fault "{fault}"')
 def step_fault(context, kind, fault):
     service = {"desk": "desk", "model": "llm"}[kind]
-    # The first engine that gets a request uses the fault up for all.
-    shared = itertools.count()
+    # Only the first engine that gets a request uses the fault.
+    uses = itertools.count()
     for engine in engines_of(context, service):
         engine.fault = fault
         engine.fault_count = 1
-        engine._take_fault = lambda shared=shared, fault=fault: "" if next(shared) else fault
+        engine._take_fault = lambda uses=uses, fault=fault: "" if next(uses) else fault
 
 
 @when("every engine closes the next requests without an answer")
 def step_close(context):
-    context.seen = len(context.deployment.arrivals())
+    context.arrivals_before = len(context.deployment.arrivals())
     for engine in context.deployment.engines.values():
         engine.fault = "close"
         engine.fault_count = 10
@@ -429,7 +431,7 @@
 
 @then("that request reached engines {count:d} time")
 def step_reached(context, count):
-    assert len(context.deployment.arrivals()) - context.seen == count
+    assert len(context.deployment.arrivals()) - context.arrivals_before == count
 
 
 @then("the answer has status {status:d}")
@@ -455,25 +457,25 @@
         engine.event_seconds = seconds / engine.events
 
 
-@when("a client leaves during a stream")
-def step_leave(context):
+@when("a client disconnects during a stream")
+def step_disconnect(context):
     node = context.deployment.nodes[0]
 
-    async def leave():
+    async def disconnect():
         task = asyncio.ensure_future(context.deployment.call(node, "/stream/x", model="model-1"))
         await asyncio.sleep(0.5)
         task.cancel()
         await asyncio.gather(task, return_exceptions=True)
 
-    context.run(leave())
+    context.run(disconnect())
 
 
-@then("the engine's work is cut within {seconds:g} s")
-def step_cut(context, seconds):
-    async def was_cut():
+@then("the engine's work is cancelled within {seconds:g} s")
+def step_cancelled(context, seconds):
+    async def was_cancelled():
         return any(a.cut for a in context.deployment.arrivals())
 
-    context.run(context.deployment.wait_until(was_cut, seconds))
+    context.run(context.deployment.wait_until(was_cancelled, seconds))
 
 
 @when("the first desk engine is replaced by an engine of another service at its address")
@@ -515,17 +517,17 @@
     return body
 
 
-@when("the key is taken away")
-def step_take_key(context):
+@when("the key is revoked")
+def step_revoke_key(context):
     context.deployment.configure(7, keys=("another-key",))
 
 
-@when("the key is given back")
-def step_give_key(context):
+@when("the key is restored")
+def step_restore_key(context):
     context.deployment.configure(9)
 
 
-@when("the store falls silent")
+@when("the store stops responding")
 def step_silent(context):
     context.deployment.store.fault = "silent"
 
@@ -548,15 +550,15 @@
     context.run(stop())
 
 
-@then("within {seconds:g} s the second node names only itself")
-def step_names_itself(context, seconds):
+@then("within {seconds:g} s the second node lists only itself")
+def step_lists_itself(context, seconds):
     second = context.deployment.nodes[1]
 
-    async def names_itself():
+    async def lists_itself():
         answer = await context.deployment.resolve(second)
         return answer["Addresses"] == [second.address("Front")]
 
-    context.run(context.deployment.wait_until(names_itself, seconds))
+    context.run(context.deployment.wait_until(lists_itself, seconds))
 
 
 @then("the first node is not ready")
@@ -598,8 +600,8 @@
         engine.load_seconds = seconds
 
 
-@when("version {version:d} of the weights is named")
-def step_name_weights(context, version):
+@when("version {version:d} of the weights is published")
+def step_publish_weights(context, version):
     context.deployment.name_weights(version)
 
 
@@ -611,14 +613,16 @@
     context.run(context.deployment.wait_until(have, seconds))
 
 
-@then("each model engine was ordered {count:d} time, by one holder")
+@then("each model engine got {count:d} load order, from one holder")
 def step_ordered(context, count):
     orders = [engine.orders for engine in engines_of(context, "llm")]
     assert [len(found) for found in orders] == [count] * len(orders), orders
     assert len({order["Holder"] for found in orders for order in found}) == 1
 
 
-@when("version {version:d} of the weights is named and the holder is killed after its first order")
+@when(
+    "version {version:d} of the weights is published and the holder is killed after its first order"
+)
 def step_kill_holder(context, version):
     deployment = context.deployment
     deployment.name_weights(version)
@@ -632,29 +636,29 @@
     context.ordered_at = context.loop.time()
     node = next(n for n in deployment.nodes if n.name == order["Holder"])
     context.run(node.stop())
-    # What the killed holder had ordered besides is undone, so that work is left.
+    # The other order of the killed leader is undone, so that an engine is left to order.
     engine = engines_of(context, "llm")[-1]
     engine.weights["model-1"] = 1
     engine.load_seconds = 0.2
-    context.run(_make_behind(context, engine))
+    context.run(_reset_version(context, engine))
 
 
-async def _make_behind(context, engine):
+async def _reset_version(context, engine):
     async def has_loaded():
         return not engine.loading
 
     await context.deployment.wait_until(has_loaded)
     engine.weights["model-1"] = 1
     context.orders_before = len(engine.orders)
-    context.behind = engine
+    context.reset_engine = engine
     context.deployment.record(engine)
 
 
 @then("orders of the second holder came {seconds:g} s after the first's, with a higher fence")
 def step_second_holder(context, seconds):
-    later = [o for o in context.behind.orders if o["Holder"] != context.first_holder]
-    assert later and later[0]["Fence"] > context.first_fence, context.behind.orders
-    # The stand-in has just seen the second holder's order carried out.
+    later = [o for o in context.reset_engine.orders if o["Holder"] != context.first_holder]
+    assert later and later[0]["Fence"] > context.first_fence, context.reset_engine.orders
+    # The second leader's order has just been carried out.
     assert context.loop.time() - context.ordered_at >= seconds
 
 
@@ -696,7 +700,7 @@
         assert text in lines[0], lines
 
 
-@then("the metrics tell of {count:d} request served")
+@then("the metrics count {count:d} served request")
 def step_metrics(context, count):
     url = f"http://{context.deployment.nodes[0].address('Metrics')}/metrics"
 
@@ -733,7 +737,7 @@
     context.run(asyncio.sleep(seconds))
 
 
-@then("a request on that connection is answered 503 with a time to come back and ran nowhere")
+@then("a request on that connection is answered 503 with a Retry-After header and ran on no engine")
 def step_late_refused(context):
     async def ask():
         context.writer.write(raw_request(2))
@@ -796,19 +800,19 @@
         assert answer[0] == status and json.loads(answer[2])["Code"] == code, answer
 
 
-@then("each of these is told another time to come back, of {longest:g} s at the most")
-def step_times_to_come_back(context, longest):
+@then("most of these have different Retry-After values, all of at most {longest:g} s")
+def step_retry_after_values(context, longest):
     waits = [float(answer[1]["Retry-After"]) for answer in context.refused]
     assert all(0.0 < wait <= longest for wait in waits), waits
-    sooner = [wait for wait in waits if wait < longest]
-    assert len(set(sooner)) >= 0.8 * len(sooner) > 0, waits
+    shorter = [wait for wait in waits if wait < longest]
+    assert len(set(shorter)) >= 0.8 * len(shorter) > 0, waits
 
 
-@then('a node\'s log tells that "{tenant}" is limited, and its metrics count the refusals')
-def step_limited_told(context, tenant):
+@then('a node\'s log reports that "{tenant}" is limited, and its metrics count the refusals')
+def step_limit_reported(context, tenant):
     nodes = context.deployment.nodes
-    told = [line for node in nodes for line in node.log().splitlines() if "quota_limited" in line]
-    assert any(json.loads(line)["tenant"] == tenant for line in told), told
+    logged = [line for node in nodes for line in node.log().splitlines() if "quota_limited" in line]
+    assert any(json.loads(line)["tenant"] == tenant for line in logged), logged
     counted = 0.0
     for node in nodes:
         text = context.run(metrics_text(context, node))
--- a/features/steps/processor_time_steps.py
+++ b/features/steps/processor_time_steps.py
@@ -1,4 +1,4 @@
-"""Steps about what nodes do seldom or together."""
+"""Steps on the batching of periodic work and of messages to peers."""
 
 import asyncio
 import itertools
@@ -21,18 +21,18 @@
 
 @when("they run for {seconds:g} s")
 def step_run_loops(context, seconds):
-    context.woken = [[] for _ in context.pauses]
+    context.wake_times = [[] for _ in context.pauses]
     context.seconds = seconds
 
-    async def turn(pause_s, woken):
+    async def loop_with_pause(pause_s, wake_times):
         loop = asyncio.get_running_loop()
         while True:
             await ticks.pause(pause_s)
-            woken.append(round(loop.time(), 2))
+            wake_times.append(round(loop.time(), 2))
 
     async def run():
-        pairs = zip(context.pauses, context.woken, strict=True)
-        tasks = [asyncio.ensure_future(turn(pause_s, woken)) for pause_s, woken in pairs]
+        pairs = zip(context.pauses, context.wake_times, strict=True)
+        tasks = [asyncio.ensure_future(loop_with_pause(pause_s, times)) for pause_s, times in pairs]
         await asyncio.sleep(seconds)
         for task in tasks:
             task.cancel()
@@ -40,19 +40,19 @@
     asyncio.run(run())
 
 
-@then("they woke at no more than {count:d} moments")
-def step_moments(context, count):
-    # Loops that wake at one tick do so within milliseconds, which rounding may divide.
-    moments = sorted(itertools.chain.from_iterable(context.woken))
-    later = [after for before, after in itertools.pairwise(moments) if after - before > 0.03]
-    assert 1 + len(later) <= count, moments
+@then("they woke at no more than {count:d} different times")
+def step_wake_count(context, count):
+    # Loops of one tick wake within milliseconds; rounding may give them different times.
+    times = sorted(itertools.chain.from_iterable(context.wake_times))
+    distinct = [after for before, after in itertools.pairwise(times) if after - before > 0.03]
+    assert 1 + len(distinct) <= count, times
 
 
-@then("none of them turned less often than its pause and half a tick allow")
-def step_turns(context):
-    for pause_s, woken in zip(context.pauses, context.woken, strict=True):
+@then("none of them ran less often than its pause and half a tick allow")
+def step_run_counts(context):
+    for pause_s, times in zip(context.pauses, context.wake_times, strict=True):
         least = int(context.seconds / (pause_s + ticks.TICK_S / 2)) - 1
-        assert len(woken) >= least, (pause_s, woken)
+        assert len(times) >= least, (pause_s, times)
 
 
 class RecordingTransport:
@@ -67,14 +67,14 @@
 
 
 class Node:
-    """A link whose callbacks count what it is told."""
+    """A peer link whose callbacks are counted by name."""
 
     def __init__(self, peers):
         own = Member("node-0", "10.0.0.1:7340", "region-1", "zone-1", 1)
         others = [replace(own, node_id=f"node-{n}", address=f"10.0.0.{n}:7341") for n in peers]
         self.membership = new_membership(own, [])
         self.membership.merge(others, 0.0)
-        self.told = Counter()
+        self.received = Counter()
         names = PeerCallbacks.__dataclass_fields__
         self.link = PeerLink(
             self.membership, PeerCallbacks(**{name: self.counter(name) for name in names})
@@ -83,7 +83,7 @@
         self.link.connection_made(self.transport)
 
     def counter(self, name):
-        return lambda *_: self.told.update([name])
+        return lambda *_: self.received.update([name])
 
 
 @given("a node with {count:d} peers")
@@ -91,58 +91,58 @@
     context.node = Node(range(1, count + 1))
 
 
-@when("it tells of {spendings:d} spendings and of {readings:d} long prompts in one turn")
-def step_tell(context, spendings, readings):
-    async def turn():
-        for number in range(readings):
+@when("it broadcasts {notices:d} spending notices and {prompts:d} long prompts in one iteration")
+def step_broadcast(context, notices, prompts):
+    async def broadcast():
+        for number in range(prompts):
             context.node.link.broadcast_prefill(number, 2_000)
-        for number in range(spendings):
+        for number in range(notices):
             context.node.link.broadcast_spending(
                 SpendingNotice(f"tenant-{number}", 3.0, number + 1)
             )
         assert not context.node.transport.sent
         await asyncio.sleep(0)
 
-    asyncio.run(turn())
+    asyncio.run(broadcast())
 
 
 @then("each peer gets {count:d} datagrams")
 def step_datagrams(context, count):
-    got = Counter(address for address, _ in context.node.transport.sent)
-    assert set(got.values()) == {count}, got
-    assert len(got) == 5, got
+    counts = Counter(address for address, _ in context.node.transport.sent)
+    assert set(counts.values()) == {count}, counts
+    assert len(counts) == 5, counts
 
 
-def received(context):
-    """Return what one peer was sent."""
+def datagrams_to_first(context):
+    """Return the datagrams sent to the first peer that got one."""
     first, _ = context.node.transport.sent[0]
     return [data for address, data in context.node.transport.sent if address == first]
 
 
-@then("each peer learns of {spendings:d} spendings and of {readings:d} long prompts")
-def step_learns(context, spendings, readings):
+@then("each peer receives {notices:d} spending notices and {prompts:d} long prompts")
+def step_received(context, notices, prompts):
     peer = Node([])
-    for data in received(context):
+    for data in datagrams_to_first(context):
         peer.link.datagram_received(data, ("10.0.0.1", 7340))
-    expected = Counter(spending=spendings, reading_begun=readings)
-    assert peer.told == expected, peer.told
+    expected = Counter(spending=notices, reading_begun=prompts)
+    assert peer.received == expected, peer.received
 
 
-@then("a peer of an older version learns of {spendings:d} spendings")
-def step_older(context, spendings):
-    # It looks for a reading first, and then for nothing else.
-    told = [messages.Datagram.FromString(data) for data in received(context)]
-    counted = [m for m in told if m.HasField("spends") and not m.HasField("reading_begun")]
-    assert len(counted) == spendings, told
+@then("a peer of an older version receives {notices:d} spending notices")
+def step_older(context, notices):
+    # An older version handles the start of a prefill and ignores the rest of that datagram.
+    datagrams = [messages.Datagram.FromString(data) for data in datagrams_to_first(context)]
+    counted = [m for m in datagrams if m.HasField("spends") and not m.HasField("reading_begun")]
+    assert len(counted) == notices, datagrams
 
 
-@then("its list of members stays the same until one of them is dead")
-def step_list(context):
+@then("its list of members is unchanged until one of them is dead")
+def step_members_cached(context):
     membership = context.node.membership
     before = membership.members()
     assert membership.members() is before
     assert len(before) == 6, before
-    gone = replace(before[-1], condition=Condition.DEAD)
-    membership.merge([gone], 1.0)
-    assert gone.node_id not in {m.node_id for m in membership.members()}
-    assert len(before) == 6, "a list that was handed out has changed"
+    dead = replace(before[-1], condition=Condition.DEAD)
+    membership.merge([dead], 1.0)
+    assert dead.node_id not in {m.node_id for m in membership.members()}
+    assert len(before) == 6, "a returned member list was modified"
--- a/features/steps/store_copy_steps.py
+++ b/features/steps/store_copy_steps.py
@@ -1,4 +1,4 @@
-"""Steps on the age of a node's copy of the store, and on whom it follows, in-process."""
+"""Steps on the age of a node's copy of the store, and on the reader that it follows, in-process."""
 
 import asyncio
 import math
@@ -30,12 +30,12 @@
 MODEL = "model"
 
 
-# The currency of a copy
+# The freshness of a copy
 
 
-@given("a copy of which nothing is proven")
+@given("a copy without a proof")
 def step_unproven(context):
-    context.currency = MirrorFreshness()
+    context.freshness = MirrorFreshness()
 
 
 @when("these happen: {events}")
@@ -43,23 +43,23 @@
     for event in events.split(", "):
         numbers = [int(number) for number in re.findall(r"\d+", event)]
         if event.startswith("reading"):
-            context.currency.record_reading(*numbers)
+            context.freshness.record_reading(*numbers)
         else:
-            context.currency.record_position(*numbers)
+            context.freshness.record_position(*numbers)
 
 
 @then("the copy is proven as of {as_of}")
 def step_as_of(context, as_of):
     expected = -math.inf if as_of == "nothing" else float(as_of)
-    assert context.currency.as_of == expected, context.currency.as_of
+    assert context.freshness.as_of == expected, context.freshness.as_of
 
 
 @then("the copy is {age:g} s old at {now:g}")
 def step_copy_age(context, age, now):
-    assert context.currency.age_s(now) == age
+    assert context.freshness.age_s(now) == age
 
 
-# Which readers are fit
+# Which readers a node may follow
 
 
 @given("a node that follows readers whose copies are at most {seconds:g} s old")
@@ -86,10 +86,10 @@
 # Nodes that follow the store and each other
 
 
-@given("two nodes that know each other and a store that answers")
+@given("two nodes that know each other, and a reachable store")
 def step_two_nodes(context):
     async def start():
-        # A store each, so that it can fail one alone.
+        # One store for each node, so that one of them can fail alone.
         context.stores = [ScriptedStore(), ScriptedStore()]
         for store in context.stores:
             store.put("key", b"value")
@@ -105,7 +105,7 @@
 
 
 def prove_now(node, store):
-    """Prove a node's copy, as its proof of currency does, so that its age says nothing."""
+    """Record a proof of a node's copy, so that its age does not limit the test."""
     now = time.monotonic()
     node.view.prove_current(5, now)
     node.follower.store_answered(store.revision, now)
@@ -125,41 +125,41 @@
 @then("they followed each other, but never for longer than {seconds:g} s")
 def step_not_for_long(context, seconds):
     for node in context.nodes:
-        lasted = [following.duration_s() for following in node.follow_periods]
-        assert lasted, f"{node.name} followed nobody"
-        assert max(lasted) <= seconds, (node.name, lasted)
+        durations_s = [period.duration_s() for period in node.follow_periods]
+        assert durations_s, f"{node.name} followed no node"
+        assert max(durations_s) <= seconds, (node.name, durations_s)
 
 
 async def lose_second(context):
-    """Let the store answer the second node no more, and wait until it follows the first."""
+    """Make the store unavailable to the second node, and wait until it follows the first."""
     first, second = context.nodes
     prove_now(first, context.stores[0])
     context.stores[1].is_unavailable = True
     await eventually(lambda: second.answers, 2.0)
 
 
-@when("the store answers one of them no more")
+@when("the store no longer answers one of them")
 def step_one_lost(context):
     context.run(lose_second(context))
 
 
-@then("it names itself and the other one as the path of its copy")
-def step_origin(context):
+@then("it reports itself and the other one as the path of its copy")
+def step_path(context):
     first, second = context.nodes
-    assert second.follower.followed is not None, "it follows nobody"
+    assert second.follower.followed is not None, "second follows no node"
     assert second.follower.path == (second.name, first.name), second.follower.path
 
 
-@when("the store answers one of them no more, and the other one neither after {seconds:g} s")
+@when("the store no longer answers one of them, and after {seconds:g} s neither of them")
 def step_one_after_the_other(context, seconds):
     async def lose():
         (first, second), (first_store, _) = context.nodes, context.stores
         await lose_second(context)
         await asyncio.sleep(seconds)
-        assert second.follower.followed is not None, "it does not follow the one that reads"
-        # Just after an answer: the first follows the second before the second asks again.
-        heard = second.answers
-        await eventually(lambda: second.answers > heard, 1.0)
+        assert second.follower.followed is not None, "second does not follow first"
+        # Just after an answer, so that the first follows the second before the second asks again.
+        answers_before = second.answers
+        await eventually(lambda: second.answers > answers_before, 1.0)
         prove_now(first, first_store)
         first_store.is_unavailable = True
         context.lost_at = time.monotonic()
@@ -175,14 +175,14 @@
     first, second = context.nodes
     assert first.follow_periods and second.follow_periods
     lost_at = context.lost_at
-    # The second asks the first every so often, and leaves at its next answer.
+    # The second asks the first in this interval, and leaves it at the next answer.
     bounds_s = {first.name: seconds, second.name: seconds + constants.RELAY_QUERY_INTERVAL_SECONDS}
     for node in context.nodes:
-        lasted = [following.duration_s(lost_at) for following in node.follow_periods]
-        assert max(lasted) <= bounds_s[node.name], (node.name, lasted)
+        durations_s = [period.duration_s(lost_at) for period in node.follow_periods]
+        assert max(durations_s) <= bounds_s[node.name], (node.name, durations_s)
 
 
-@given("a node that may follow another one where the store is lost")
+@given("a node that may follow another one if the store is unavailable")
 def step_node_with_peer(context):
     async def make():
         context.store = ScriptedStore()
@@ -199,34 +199,34 @@
         context.store.watch_errors.append(StoreUnavailableError("cut"))
         await context.node.start()
         await eventually(lambda: context.store.watch_revisions, 3.0)
-        # What is written now is found by the reading.
+        # The next read finds this change.
         context.store.put("key", b"other")
 
     context.run(fail())
 
 
 @then("the node reads the range a second time within {seconds:g} s")
-def step_second_reading(context, seconds):
+def step_second_read(context, seconds):
     context.run(eventually(lambda: len(context.store.read_times) == 2, seconds))
 
 
-@then("it followed nobody")
+@then("it followed no node")
 def step_followed_nobody(context):
     assert not context.node.follow_periods, context.node.follow_periods
 
 
-@then("its next watch goes on from there")
+@then("its next watch starts at the revision of that read")
 def step_next_watch(context):
     store = context.store
     context.run(eventually(lambda: len(store.watch_revisions) == 2, 1.0))
     assert store.watch_revisions[1] == store.revision, store.watch_revisions
 
 
-# From when a version counts
+# When the grace of a version starts
 
 
 class WeightDecoder(RecordDecoder):
-    """Takes every item for a version of one model, except those of engines."""
+    """Decodes each item with a key that starts with "version" as a version of one model."""
 
     configuration_key = "configuration"
 
@@ -247,64 +247,65 @@
 
 
 @given(
-    "a node whose store names a version while its watch hears nothing, with {grace:g} s of grace"
+    "a node with {grace:g} s of grace,"
+    " and a version that is published while its watch gets no changes"
 )
-def step_naming_in_gap(context, grace):
-    async def name():
+def step_published_in_gap(context, grace):
+    async def publish():
         context.store = ScriptedStore()
         context.store.put("version", b"1")
         context.cluster_state = new_cluster_state(grace)
         context.node = FollowingNode("node", context.store, context.cluster_state)
         await context.node.start()
         await eventually(lambda: context.store.watch_revisions, 3.0)
-        context.named_at = time.monotonic()
+        context.published_at = time.monotonic()
         context.store.put("version", b"2")
 
-    context.run(name())
+    context.run(publish())
 
 
-async def hear_version(context):
+async def deliver_version(context):
     context.store.delivers_changes.set()
     await eventually(lambda: context.cluster_state.targets.newest(MODEL) == 2, 2.0)
     context.store.delivers_changes.clear()
 
 
-@when("the watch finds its history gone, and the range is read")
+@when("the watch fails because its history is gone, and the range is read")
 def step_history_gone(context):
     async def read():
         await asyncio.sleep(0.5)
         context.store.forget_history()
-        await hear_version(context)
+        await deliver_version(context)
 
     context.run(read())
 
 
-@when("the watch brings it {seconds:g} s later")
+@when("the watch delivers it {seconds:g} s later")
 def step_late_watch(context, seconds):
     async def bring():
         await asyncio.sleep(seconds)
-        await hear_version(context)
+        await deliver_version(context)
 
     context.run(bring())
 
 
-def counted_from(context):
-    (found,) = context.cluster_state.targets.newer_versions(MODEL, 1)
-    return found.published_at
+def grace_start(context):
+    (version,) = context.cluster_state.targets.newer_versions(MODEL, 1)
+    return version.published_at
 
 
-@then("the version counts from a time before it was named")
-def step_counts_from_before(context):
-    late_s = counted_from(context) - context.named_at
-    assert late_s <= 0, f"it counts from {late_s:.2f} s after it was named"
+@then("the grace of the version starts before its publication")
+def step_starts_before(context):
+    late_s = grace_start(context) - context.published_at
+    assert late_s <= 0, f"the grace starts {late_s:.2f} s after the publication"
 
 
-@then("not from before the last proof of the copy")
+@then("it starts no earlier than the last proof of the copy")
 def step_not_before_proof(context):
-    # The reading at the start is the only proof there was, asked for just before it came.
+    # The read at the start is the only proof. It was requested just before this time.
     proven_at = context.store.read_times[0]
-    early_s = proven_at - counted_from(context)
-    assert early_s < POLL_INTERVAL_S, f"it counts from {early_s:.2f} s before the proof"
+    early_s = proven_at - grace_start(context)
+    assert early_s < POLL_INTERVAL_S, f"the grace starts {early_s:.2f} s before the proof"
 
 
 @given("a grace of {grace:g} s for replaced weights")
@@ -312,7 +313,7 @@
     context.targets = WeightTargets(grace)
 
 
-@then("what is news at {now:g} to a copy proven as of {proven} counts from {start:g}")
+@then("the grace of a version found at {now:g} by a copy proven as of {proven} starts at {start:g}")
 def step_earliest(context, now, proven, start):
     known_until = -math.inf if proven == "never" else float(proven)
     found = context.targets.earliest_publication(known_until, now)
@@ -321,7 +322,7 @@
 
 @given(
     "a node that starts with a bound of {bound:g} s for replaced weights, "
-    "and {count:d} engines behind"
+    "and {count:d} engines with an older version"
 )
 def step_engines_behind(context, bound, count):
     context.cluster_state = new_cluster_state(bound - constants.WEIGHT_GRACE_MARGIN_SECONDS)
@@ -330,8 +331,8 @@
         context.cluster_state.engines.update(record)
 
 
-@when("its first reading finds the version")
-def step_first_reading(context):
+@when("its first read finds the version")
+def step_first_read(context):
     async def read():
         store = ScriptedStore()
         store.put("version", b"2")
@@ -342,7 +343,7 @@
     context.run(read())
 
 
-@then("{count:d} of the engines are ordered at once")
+@then("{count:d} of the engines are ordered to load it at once")
 def step_ordered_at_once(context, count):
     rollout = WeightRollout(context.cluster_state.targets)
     due = rollout.due(context.cluster_state.engines, time.monotonic())
@@ -353,7 +354,7 @@
 # Connections to the store
 
 
-async def call_at_once(context, count):
+async def call_concurrently(context, count):
     url = f"http://{context.store.address}/liftrill/kv-range?PathPrefix="
 
     async def call():
@@ -365,23 +366,23 @@
     assert statuses == [200] * count, statuses
 
 
-@given("a store to which {count:d} calls at once were answered")
+@given("a store that has answered {count:d} concurrent calls")
 def step_answered_calls(context, count):
     async def start():
         context.store = StandInStore()
         await context.store.start()
         context.stack.push_async_callback(context.store.stop)
         context.session = await context.stack.enter_async_context(new_store_session())
-        await call_at_once(context, count)
+        await call_concurrently(context, count)
 
     context.run(start())
 
 
-@when("its open connections go silent")
-def step_go_silent(context):
+@when("its open connections stop responding")
+def step_stop_responding(context):
     context.store.silence_connections()
 
 
 @then("{count:d} further calls to it are answered within {seconds:g} s")
 def step_further_calls(context, count, seconds):
-    context.run(asyncio.wait_for(call_at_once(context, count), seconds))
+    context.run(asyncio.wait_for(call_concurrently(context, count), seconds))
--- a/features/steps/store_era_overlap_steps.py
+++ b/features/steps/store_era_overlap_steps.py
@@ -1,4 +1,4 @@
-"""Steps on a store that comes back from an older copy while something else goes wrong."""
+"""Steps on a store that is restored from an older copy during another failure."""
 
 import asyncio
 import signal
@@ -9,9 +9,9 @@
 from features.standin import sleeper
 from features.store_drill import SERVED, run_restore
 
-# Until after the return, which comes 0.8 s after the troubles begin.
-STOOD_STILL_S = 1.2
-ANSWERED_LATER_S = 0.8 + 1.5
+# Until after the restore, which comes 0.8 s after the failures begin.
+PAUSED_S = 1.2
+REFUSED_S = 0.8 + 1.5
 
 
 async def restart_leader(deployment):
@@ -31,38 +31,38 @@
     return node.name, time.monotonic()
 
 
-async def stand_still(deployment):
+async def pause_node(deployment):
     node = deployment.nodes[1]
     node.signal(signal.SIGSTOP)
-    await asyncio.sleep(STOOD_STILL_S)
+    await asyncio.sleep(PAUSED_S)
     node.signal(signal.SIGCONT)
 
 
-async def sleep_through(deployment):
+async def suspend_last_node(deployment):
     node = deployment.nodes[-1]
     node.signal(signal.SIGSTOP)
-    await asyncio.sleep(STOOD_STILL_S)
-    node.wake(STOOD_STILL_S)
+    await asyncio.sleep(PAUSED_S)
+    node.wake(PAUSED_S)
 
 
 async def add_node(deployment):
     await deployment.add_node("node-5")
 
 
-async def answer_two_later(deployment):
+async def refuse_two_nodes(deployment):
     refused = deployment.store.refused_callers
     refused.update(node.ip for node in deployment.nodes[:2])
-    await asyncio.sleep(ANSWERED_LATER_S)
+    await asyncio.sleep(REFUSED_S)
     refused.clear()
 
 
 TROUBLES = {
     "the leader is killed and starts again": restart_leader,
-    "the machine sleeps": sleep_through,
+    "the machine sleeps": suspend_last_node,
     "a node that does not lead is killed and starts again": restart_follower,
-    "a node stands still": stand_still,
+    "a node stands still": pause_node,
     "another node starts": add_node,
-    "the store answers two nodes 1.5 s later": answer_two_later,
+    "the store answers two nodes 1.5 s later": refuse_two_nodes,
 }
 
 
@@ -78,23 +78,27 @@
 
 
 @when(
-    "keys, weights and engines change, and the store is away for {away:g} s"
-    " and back from a copy {age:g} s old, while {trouble}"
+    "keys, weights and engines change, and the store is unavailable for {away:g} s"
+    " and restored from a copy {age:g} s old, while {trouble}"
 )
-def step_drill_beside(context, away, age, trouble):
+def step_restore_during(context, away, age, trouble):
     context.run(run_restore(context, away, age, TROUBLES[trouble]))
 
 
-@then("no engine that had left got a request later than {seconds:g} s after the store was back")
-def step_left_after_return(context, seconds):
-    for engine in context.left:
-        late = [a.at - context.back_at for a in engine.arrivals if a.at > context.back_at + seconds]
+@then("no engine that left got a request later than {seconds:g} s after the restore")
+def step_left_after_restore(context, seconds):
+    for engine in context.left_engines:
+        late = [
+            a.at - context.restored_at
+            for a in engine.arrivals
+            if a.at > context.restored_at + seconds
+        ]
         assert not late, (engine.engine_id, len(late), late[0])
 
 
-@then("all of these callers were served, those of a node that started once it was ready")
+@then("all of these callers were served, those of the restarted node once it was ready")
 def step_served_once_ready(context):
-    name, ready_at = context.started
+    name, ready_at = context.restarted
     failed = [
         call
         for call in context.callers.calls
--- a/features/steps/store_era_steps.py
+++ b/features/steps/store_era_steps.py
@@ -1,4 +1,4 @@
-"""Steps on a store that comes back from an older copy of itself."""
+"""Steps on a store that is restored from an older copy."""
 
 import asyncio
 import itertools
@@ -40,64 +40,69 @@
 LARGE_LEASE = (1 << 63) + 7
 
 
-@given("a store that tells its era")
+@given("a store that reports its era")
 def step_era(context):
     context.deployment.store.era = "1"
-    # What was written before it told is part of all copies.
+    # Records written before the store reported its era are part of all copies.
     context.deployment.store.put("op/era", {})
 
 
 @when(
-    "keys, weights and engines change, and the store is away for {away:g} s"
-    " and back from a copy {age:g} s old"
+    "keys, weights and engines change, and the store is unavailable for {away:g} s"
+    " and restored from a copy {age:g} s old"
 )
-def step_drill(context, away, age):
+def step_restore(context, away, age):
     context.run(run_restore(context, away, age))
 
 
-@when("what operators and engines wrote is written again, and then a further key and version")
-def step_again(context):
+@when("operators and engines write the lost records again, then a further key and version")
+def step_rewrite(context):
     context.run(rewrite_lost_records(context, 0))
 
 
-@when("{count:d} other records are written, and then all again with a further key and version")
-def step_again_later(context, count):
+@when("{count:d} other records are written, then the lost records and a further key and version")
+def step_rewrite_after_others(context, count):
     context.run(rewrite_lost_records(context, count))
 
 
-@then("the further key is in force at all nodes within {seconds:g} s")
+@then("all nodes accept the further key within {seconds:g} s")
 def step_key(context, seconds):
-    assert context.key_at <= seconds, context.key_at
+    assert context.key_delay_s <= seconds, context.key_delay_s
 
 
-@then("the further version is loaded by all engines within {seconds:g} s")
+@then("all engines load the further version within {seconds:g} s")
 def step_loaded(context, seconds):
-    assert context.loaded_at <= seconds, context.loaded_at
+    assert context.load_delay_s <= seconds, context.load_delay_s
 
 
 @then(
-    "no engine that had left got a request later than {seconds:g} s after its word,"
-    " nor after the store was back"
+    "no engine that left got a request later than {seconds:g} s after it left,"
+    " nor after the restore"
 )
 def step_left(context, seconds):
-    for engine in context.left:
+    for engine in context.left_engines:
         late = [a.at - context.said_at for a in engine.arrivals if a.at > context.said_at + seconds]
-        assert not late, (engine.engine_id, len(late), late[0], context.back_at - context.said_at)
+        assert not late, (
+            engine.engine_id,
+            len(late),
+            late[0],
+            context.restored_at - context.said_at,
+        )
 
 
-@then("the whole range was read at most {count:d} times in the {seconds:g} s after the return")
-def step_few_readings_after_return(context, count, seconds):
-    since = context.back_at
+@then("the whole range was read at most {count:d} times in the {seconds:g} s after the restore")
+def step_few_reads_after_restore(context, count, seconds):
+    since = context.restored_at
     calls = [name for name, at in context.deployment.store.calls if since <= at < since + seconds]
     assert calls.count("kv-range") <= count, Counter(calls)
 
 
-@when("versions are named while the store comes back from copies twice within {seconds:g} s")
-def step_two_drills(context, seconds):
-    context.run(two_drills(context, seconds))
+@when("versions are published while the store is restored from copies twice within {seconds:g} s")
+def step_two_restores(context, seconds):
+    context.run(publish_during_restores(context, seconds))
 
 
-async def two_drills(context, seconds):
+async def publish_during_restores(context, seconds):
     deployment = context.deployment
     await asyncio.sleep(0.6)
     write_lost_records(deployment.store)
@@ -110,13 +115,13 @@
         deployment.configure(6)
         deployment.name_weights(version)
         await asyncio.sleep(seconds / 2 - 0.5)
-    context.written_at = time.monotonic()
-    context.loaded_at = await load_delay_s(context, 4)
+    context.rewritten_at = time.monotonic()
+    context.load_delay_s = await load_delay_s(context, 4)
 
 
-@then("all engines reach the last version, with fences that never go back and one holder each")
+@then("all engines load the last version, with fences that never decrease and one holder per fence")
 def step_fences(context):
-    assert context.loaded_at < 10.0, "not loaded"
+    assert context.load_delay_s < 10.0, "not loaded"
     for engine in context.deployment.engines.values():
         fences = [order["Fence"] for order in engine.orders]
         assert fences == sorted(fences), fences
@@ -127,31 +132,33 @@
 # Positions
 
 
-def at(told, revision):
-    """Return a position in an era as the store tells it."""
-    return position(told + 1, revision)
+def at(reported, revision):
+    """Return the position of a revision in an era that the store reports."""
+    return position(reported + 1, revision)
 
 
 @given("a node that knows era {told} of the store")
-def step_knows(context, told):
+def step_known_era(context, told):
     context.refused = []
-    context.era = StoreEra(on_refused_answer=lambda known, told: context.refused.append(told))
+    context.era = StoreEra(
+        on_refused_answer=lambda known, reported: context.refused.append(reported)
+    )
     context.era.observe("" if told == "none" else told)
 
 
-@when('an answer tells "{told}" as its era')
-def step_tells(context, told):
-    context.is_taken = is_taken(context, told)
+@when('an answer reports era "{told}"')
+def step_reports(context, told):
+    context.is_accepted = is_accepted(context, told)
 
 
-@when('an answer tells "" as its era')
-def step_tells_none(context):
-    context.is_taken = is_taken(context, "")
+@when('an answer reports era ""')
+def step_reports_none(context):
+    context.is_accepted = is_accepted(context, "")
 
 
-def is_taken(context, told):
+def is_accepted(context, reported):
     try:
-        context.era.observe(told)
+        context.era.observe(reported)
     except OldEraError:
         return False
     return True
@@ -159,7 +166,7 @@
 
 @then("it is {taken}, and the node knows era {told}")
 def step_taken(context, taken, told):
-    assert context.is_taken == (taken == "taken") == (not context.refused), context.refused
+    assert context.is_accepted == (taken == "taken") == (not context.refused), context.refused
     expected = 0 if told == "none" else int(told) + 1
     assert context.era.era == expected, context.era.era
 
@@ -193,9 +200,9 @@
     assert context.era.condition_revision(at(era, number)) == 7
 
 
-@then('an answer that tells "{told}" is refused')
+@then('an answer that reports era "{told}" is refused')
 def step_refused(context, told):
-    assert not is_taken(context, told)
+    assert not is_accepted(context, told)
 
 
 def items(era, text):
@@ -211,39 +218,41 @@
     context.before = context.mirror.items()
 
 
-@when("changes of era {era:d} come: {text}")
+@when("changes of era {era:d} arrive: {text}")
 def step_changes(context, era, text):
-    found = items(era, text)
-    batch = WatchBatch(found, found[-1].revision)
+    written = items(era, text)
+    batch = WatchBatch(written, written[-1].revision)
     context.change = context.mirror.apply_batch(batch)
 
 
-@then("the copy is as before")
-def step_as_before(context):
+@then("the copy is unchanged")
+def step_unchanged(context):
     assert context.mirror.items() == context.before
     assert not context.change.written
 
 
-@when("a whole reading of era {era:d} comes: {text}")
-def step_reading(context, era, text):
-    found = items(era, text)
-    context.change = context.mirror.add_page(RangePage(found, found[-1].revision, False))
-    context.after = list(found)
+@when("a complete read of era {era:d} arrives: {text}")
+def step_complete_read(context, era, text):
+    read = items(era, text)
+    context.change = context.mirror.add_page(RangePage(read, read[-1].revision, False))
+    context.after = list(read)
 
 
-@then("the copy has a and b of era 4, is told to be restored, and lacks c")
+@then("the copy has a and b of era 4, is reported as restored, and lacks c")
 def step_restored(context):
     assert context.mirror.items() == context.after
     assert context.change.restored and context.change.removed == ("c",), context.change
 
 
 @then("the copy has a and b of era 4 alone")
-def step_alone(context):
+def step_only_items(context):
     assert context.mirror.items() == context.after
 
 
-@then("changes, snapshots and answers of eras 0, 1 and 8191 are the same when they are decoded")
-def step_relayed(context):
+@then(
+    "changes, snapshots and answers of eras 0, 1 and 8191 are unchanged after encoding and decoding"
+)
+def step_round_trip(context):
     for era in (0, 1, 8191):
         newest = position(era, 70_000)
         lease = lease_id(era, LARGE_LEASE)
@@ -255,12 +264,12 @@
         (part,) = encode_snapshot([written], newest)
         assert decode_message(part) == RelayUpdate(WatchBatch((written,), newest), snapshot=True)
         answer = RelayAnswer(1, 5, 0.5, newest, 0.25, ("reader",))
-        told = decode_message(encode_answer(answer))
-        assert (told.at, told.nonce, told.path) == (newest, 1, ("reader",)), told
+        decoded = decode_message(encode_answer(answer))
+        assert (decoded.at, decoded.nonce, decoded.path) == (newest, 1, ("reader",)), decoded
 
 
 @then("changes, snapshots and answers at revision 2 to the {power:d} are refused as malformed")
-def step_too_far(context, power):
+def step_out_of_range(context, power):
     items, answer = [messages.RelayItem(key="a", revision=1 << power)], messages.RelayAnswer()
     for message in (
         messages.RelayMessage(items=items, at=1),
@@ -271,14 +280,13 @@
 
 
 @when(
-    "the store comes back, and every other answer of it still tells the era before"
-    " for {seconds:g} s"
+    "the store is restored, and every other answer still reports the previous era for {seconds:g} s"
 )
-def step_two_stores(context, seconds):
-    context.run(two_stores(context, seconds))
+def step_two_eras(context, seconds):
+    context.run(restore_with_two_eras(context, seconds))
 
 
-async def two_stores(context, seconds):
+async def restore_with_two_eras(context, seconds):
     deployment = context.deployment
     store = deployment.store
     await asyncio.sleep(1.0)
@@ -286,19 +294,19 @@
     deployment.configure(6, keys=("key-of-tenant-1", "key-3"))
     for engine in deployment.engines.values():
         deployment.record(engine)
-    context.written_at = time.monotonic()
-    store.tell_two_eras(context.written_at + seconds)
-    context.key_at = await key_delay_s(context, "key-3")
-    # The key may come with the first answer: those of the era before follow it.
-    await asyncio.sleep(seconds - context.key_at)
+    context.rewritten_at = time.monotonic()
+    store.tell_two_eras(context.rewritten_at + seconds)
+    context.key_delay_s = await key_delay_s(context, "key-3")
+    # The key may be in the first answer, and the answers of the previous era come after it.
+    await asyncio.sleep(seconds - context.key_delay_s)
 
 
 @then(
-    "a key that is written meanwhile is in force within {seconds:g} s,"
+    "a key that is written meanwhile is accepted within {seconds:g} s,"
     " and refused answers are counted"
 )
-def step_two_stores_served(context, seconds):
-    assert context.key_at <= seconds, context.key_at
+def step_accepted_and_counted(context, seconds):
+    assert context.key_delay_s <= seconds, context.key_delay_s
     context.run(check_counted(context))
 
 
--- a/features/steps/store_gap_steps.py
+++ b/features/steps/store_gap_steps.py
@@ -1,4 +1,4 @@
-"""Steps on gaps in what nodes hear of the store, with callers that go on."""
+"""Steps on gaps in the watches of nodes, with continuous callers."""
 
 import asyncio
 import itertools
@@ -14,7 +14,7 @@
 
 
 class Callers:
-    """Calls all nodes in turn."""
+    """Clients that call all nodes in turn."""
 
     def __init__(self, deployment, route):
         self.deployment = deployment
@@ -27,14 +27,14 @@
             task = asyncio.ensure_future(self._call(node))
             self.tasks.add(task)
             task.add_done_callback(self.tasks.discard)
-            asleep_at = time.monotonic()
+            slept_from = time.monotonic()
             await asyncio.sleep(CALL_SPACING_S)
-            lag_s = time.monotonic() - asleep_at - CALL_SPACING_S
+            lag_s = time.monotonic() - slept_from - CALL_SPACING_S
             self.longest_lag_s = max(self.longest_lag_s, lag_s)
 
     async def _call(self, node):
         headers = prompt_headers("model-1") if self.route == "stream" else {}
-        # At the end of a scenario nodes are killed under open calls.
+        # At the end of a scenario nodes are killed while calls are open.
         with suppress(aiohttp.ClientError):
             await self.deployment.call(node, f"/{self.route}/x", **headers)
 
@@ -44,7 +44,7 @@
     context.deployment.bounds["VersionMs"] = int(seconds * 1000)
 
 
-@given("engines that take no orders")
+@given("engines that refuse all load orders")
 def step_no_orders(context):
     for engine in context.deployment.engines.values():
         engine.highest_fence = 10**9
@@ -61,58 +61,67 @@
     await asyncio.sleep(1.0)
 
 
-def leave(context):
+def drain(context):
     engine = next(e for e in context.deployment.engines.values() if e.service == "desk")
-    context.leaving = engine.engine_id
+    context.changed_engine = engine.engine_id
     context.deployment.record(engine, "draining")
     context.acknowledged_at = time.monotonic()
 
 
 def remove_record(context):
     engine = next(e for e in context.deployment.engines.values() if e.service == "desk")
-    context.leaving = engine.engine_id
+    context.changed_engine = engine.engine_id
     context.deployment.store.remove(f"servers/{engine.engine_id}")
     context.acknowledged_at = time.monotonic()
 
 
-def name_weights(context):
+def publish_weights(context):
     context.deployment.name_weights(2)
     context.acknowledged_at = time.monotonic()
 
 
-async def gap(context, seconds, happening):
+async def gap(context, seconds, change):
     store = context.deployment.store
     store.deafen_watches()
     await asyncio.sleep(0.05)
-    happening(context)
+    change(context)
     await asyncio.sleep(seconds - 0.05)
     store.cut_watches()
 
 
 @when(
-    "the watches hear nothing for {seconds:g} s, in which an engine says that it leaves, "
+    "the watches get no changes for {seconds:g} s, during which an engine starts to drain, "
     "and are cut"
 )
-def step_gap_leaving(context, seconds):
-    context.run(gap(context, seconds, leave))
+def step_gap_draining(context, seconds):
+    context.run(gap(context, seconds, drain))
 
 
-@when("the watches hear nothing for {seconds:g} s, in which new weights are named, and are cut")
-def step_gap_naming(context, seconds):
-    context.run(gap(context, seconds, name_weights))
+@when(
+    "the watches get no changes for {seconds:g} s, during which new weights are published, "
+    "and are cut"
+)
+def step_gap_published(context, seconds):
+    context.run(gap(context, seconds, publish_weights))
 
 
-@when("the watches hear nothing for {seconds:g} s, in which an engine's record goes, and are cut")
+@when(
+    "the watches get no changes for {seconds:g} s, during which an engine's record is removed, "
+    "and are cut"
+)
 def step_gap_removed(context, seconds):
     context.run(gap(context, seconds, remove_record))
 
 
-@when("the store is away for 2.6 s, in which an engine's record goes, and it is back 1 s later")
-def step_lapse(context):
-    context.run(lapse(context))
+@when(
+    "the store is unavailable for 2.6 s, during which an engine's record is removed, "
+    "and the record is back 1 s later"
+)
+def step_outage(context):
+    context.run(expire_during_outage(context))
 
 
-async def lapse(context):
+async def expire_during_outage(context):
     deployment = context.deployment
     deployment.store.fault = "reset"
     deployment.store.cut_watches()
@@ -121,34 +130,34 @@
     await asyncio.sleep(0.5)
     deployment.store.fault = ""
     await asyncio.sleep(1.0)
-    deployment.record(deployment.engines[context.leaving])
+    deployment.record(deployment.engines[context.changed_engine])
 
 
 @then("requests reached that engine in each of these seconds")
 def step_each_second(context):
-    times_s = since_acknowledgement(context, context.leaving)
+    times_s = since_acknowledgement(context, context.changed_engine)
     for second in (0.0, 1.0, 2.0):
         assert any(second - 0.5 <= at_s < second + 0.5 for at_s in times_s), (second, times_s)
 
 
-@when("the watches go deaf, and an engine says that it leaves")
-def step_deaf(context):
+@when("the watches stop delivering changes, and an engine starts to drain")
+def step_undelivered(context):
     context.deployment.store.deafen_watches()
-    leave(context)
+    drain(context)
 
 
 @when(
-    "the open connections to the store go silent, "
-    "and {seconds:g} s later an engine says that it leaves"
+    "the open connections to the store stop responding, "
+    "and {seconds:g} s later an engine starts to drain"
 )
 def step_silent_connections(context, seconds):
-    context.run(silence(context, seconds))
+    context.run(silence_connections(context, seconds))
 
 
-async def silence(context, seconds):
+async def silence_connections(context, seconds):
     context.deployment.store.silence_connections()
     await asyncio.sleep(seconds)
-    leave(context)
+    drain(context)
 
 
 @when("callers go on for {seconds:g} s")
@@ -162,23 +171,25 @@
     return [arrival.at - context.acknowledged_at for arrival in engine.arrivals]
 
 
-@then("no request reached that engine later than {seconds:g} s after its word")
+@then("no request reached that engine later than {seconds:g} s after that change")
 def step_none_reached(context, seconds):
-    times_s = since_acknowledgement(context, context.leaving)
-    assert any(at_s < 0 for at_s in times_s), "nothing reached it before"
+    times_s = since_acknowledgement(context, context.changed_engine)
+    assert any(at_s < 0 for at_s in times_s), "no request reached the engine before the change"
     late = [round(at_s, 2) for at_s in times_s if at_s > seconds]
-    # Engines and callers share one loop with the store: its lag makes arrivals look late.
+    # Engines, callers and the store share an event loop, whose lag delays the recorded arrivals.
     lag_s = round(context.callers.longest_lag_s, 2)
-    assert not late, f"{len(late)} requests, {late[:1]} to {late[-1:]} s after; own lag {lag_s} s"
+    assert not late, (
+        f"{len(late)} requests, {late[:1]} to {late[-1:]} s after; event loop lag {lag_s} s"
+    )
 
 
-@then("no request began on the older weights later than {seconds:g} s after the naming")
+@then("no request began on the older weights later than {seconds:g} s after the publication")
 def step_none_began(context, seconds):
     times_s = since_acknowledgement(context, "llm-0")
     late = [round(at_s, 2) for at_s in times_s if at_s > seconds]
-    assert not late, f"{len(late)} requests, {late[0]} to {late[-1]} s after the naming"
+    assert not late, f"{len(late)} requests, {late[0]} to {late[-1]} s after the publication"
 
 
-@then("requests began on them after it")
+@then("requests began on the older weights after the publication")
 def step_began(context):
     assert any(at_s > 0 for at_s in since_acknowledgement(context, "llm-0"))
--- a/features/store_copies.feature
+++ b/features/store_copies.feature
@@ -1,7 +1,7 @@
-Feature: How old a copy of the store is, whom a node follows, and what a gap means for its news
+Feature: The age of a copy of the store, the choice of a reader, and gaps in the watch
 
-  Scenario Outline: A copy is known to hold what was acknowledged before a reading that it has reached
-    Given a copy of which nothing is proven
+  Scenario Outline: A copy contains the changes acknowledged before a read whose revision it has reached
+    Given a copy without a proof
     When these happen: <events>
     Then the copy is proven as of <as_of>
 
@@ -19,12 +19,12 @@
       | reading 5 asked at 12, copy at 5, reading 5 asked at 10, copy at 5 | 12 |
       | reading 0 asked at 10, copy at 5                     | nothing |
 
-  Scenario: The age of a copy counts from its last proof
-    Given a copy of which nothing is proven
+  Scenario: The age of a copy starts at its last proof
+    Given a copy without a proof
     When these happen: reading 5 asked at 10, copy at 5
     Then the copy is 3 s old at 13
 
-  Scenario Outline: Which readers are fit to be followed
+  Scenario Outline: Which readers a node may follow
     Given a node that follows readers whose copies are at most 1.7 s old
     When a reader answers with a proof of <proof> s, a copy of <copy> s and path <path>
     Then the reader is <outcome>
@@ -39,44 +39,44 @@
       | 0.1   | 0.1  | reader,node       | left    |
       | 0.1   | 0.1  | reader,node,third | left    |
 
-  Scenario: Two nodes that the store does not answer, and that know only each other, do not stay
-    Given two nodes that know each other and a store that answers
+  Scenario: Two nodes that the store does not answer soon stop following each other
+    Given two nodes that know each other, and a reachable store
     When the store answers neither of them for 1.6 s
     Then they followed each other, but never for longer than 0.3 s
 
-  Scenario: A node that follows another one names the one that reads the store for it
-    Given two nodes that know each other and a store that answers
-    When the store answers one of them no more
-    Then it names itself and the other one as the path of its copy
+  Scenario: A follower reports the path of its copy from the store
+    Given two nodes that know each other, and a reachable store
+    When the store no longer answers one of them
+    Then it reports itself and the other one as the path of its copy
 
-  Scenario: A node that loses the store does not stay with one that follows it
-    Given two nodes that know each other and a store that answers
-    When the store answers one of them no more, and the other one neither after 0.6 s
+  Scenario: A node that loses the store soon stops following its own follower
+    Given two nodes that know each other, and a reachable store
+    When the store no longer answers one of them, and after 0.6 s neither of them
     And 1 s passes
     Then the first followed the second, which followed the first, neither for longer than 0.3 s after that
 
-  Scenario: A lost watch is no lost store
-    Given a node that may follow another one where the store is lost
+  Scenario: A failed watch does not mean that the store is unavailable
+    Given a node that may follow another one if the store is unavailable
     When its first watch fails, while the range can be read
     Then the node reads the range a second time within 2 s
-    And it followed nobody
-    And its next watch goes on from there
+    And it followed no node
+    And its next watch starts at the revision of that read
 
-  Scenario: A version that is found by a reading after a gap counts from the last proof of the copy
-    Given a node whose store names a version while its watch hears nothing, with 8 s of grace
-    When the watch finds its history gone, and the range is read
-    Then the version counts from a time before it was named
-    And not from before the last proof of the copy
+  Scenario: The grace of a version found by a read after a gap starts at the last proof of the copy
+    Given a node with 8 s of grace, and a version that is published while its watch gets no changes
+    When the watch fails because its history is gone, and the range is read
+    Then the grace of the version starts before its publication
+    And it starts no earlier than the last proof of the copy
 
-  Scenario: A version that the watch brings late counts from the last proof of the copy
-    Given a node whose store names a version while its watch hears nothing, with 8 s of grace
-    When the watch brings it 0.5 s later
-    Then the version counts from a time before it was named
-    And not from before the last proof of the copy
+  Scenario: The grace of a version that the watch delivers late starts at the last proof of the copy
+    Given a node with 8 s of grace, and a version that is published while its watch gets no changes
+    When the watch delivers it 0.5 s later
+    Then the grace of the version starts before its publication
+    And it starts no earlier than the last proof of the copy
 
-  Scenario Outline: A version counts from no more than half of its grace ago
+  Scenario Outline: The grace of a version starts at most half of the grace before it is found
     Given a grace of 8 s for replaced weights
-    Then what is news at <now> to a copy proven as of <proven> counts from <from>
+    Then the grace of a version found at <now> by a copy proven as of <proven> starts at <from>
 
     Examples:
       | now | proven | from |
@@ -85,12 +85,12 @@
       | 100 | 50     | 96   |
       | 100 | never  | 96   |
 
-  Scenario: What a first reading finds is dated back by half of the grace, once
-    Given a node that starts with a bound of 8 s for replaced weights, and 20 engines behind
-    When its first reading finds the version
-    Then 13 of the engines are ordered at once
+  Scenario: A version found by a first read is dated back by half of the grace, only once
+    Given a node that starts with a bound of 8 s for replaced weights, and 20 engines with an older version
+    When its first read finds the version
+    Then 13 of the engines are ordered to load it at once
 
-  Scenario: A call to the store is answered at once though connections of earlier calls are silent
-    Given a store to which 3 calls at once were answered
-    When its open connections go silent
+  Scenario: A call to the store is answered although connections of earlier calls have stopped responding
+    Given a store that has answered 3 concurrent calls
+    When its open connections stop responding
     Then 3 further calls to it are answered within 0.5 s
--- a/features/store_drill.py
+++ b/features/store_drill.py
@@ -1,4 +1,4 @@
-"""A drill: the store is away for a moment and comes back from an older copy of itself."""
+"""Restores the stand-in store from an older copy after a short outage."""
 
 import asyncio
 import time
@@ -6,36 +6,37 @@
 import aiohttp
 
 SERVED = 200
-# From the store's return until what was written is written again (own choice).
-WRITTEN_AGAIN_AFTER_S = 0.3
-# Records written in the time that the copy lacks: many more than are written right after it.
-LOST_RECORDS = 200
-POLL_S = 0.05
+# Time from the restore until the lost records are written again.
+REWRITE_DELAY_S = 0.3
+# Records that the copy lacks: many more than are written right after the restore, so that its
+# revisions stay below the earlier ones.
+LOST_RECORD_COUNT = 200
+POLL_INTERVAL_S = 0.05
 
 
 async def run_restore(context, away, age, trouble=None):
     deployment = context.deployment
     context.said_at = time.monotonic()
     write_lost_records(deployment.store)
-    context.left = [deployment.engines[name] for name in ("desk-0", "desk-1")]
-    deployment.record(context.left[0], "draining")
+    context.left_engines = [deployment.engines[name] for name in ("desk-0", "desk-1")]
+    deployment.record(context.left_engines[0], "draining")
     deployment.store.remove("servers/desk-1")
     deployment.name_weights(2)
     deployment.configure(6, keys=("key-of-tenant-1", "key-2"))
     await asyncio.sleep(age - away - 1.0)
-    beside = asyncio.ensure_future(trouble(deployment)) if trouble else None
+    troubling = asyncio.ensure_future(trouble(deployment)) if trouble else None
     await restore(deployment.store, away, age)
-    context.back_at = time.monotonic()
-    context.started = await beside if beside is not None else None
+    context.restored_at = time.monotonic()
+    context.restarted = await troubling if troubling is not None else None
 
 
 def write_lost_records(store):
-    for number in range(LOST_RECORDS):
+    for number in range(LOST_RECORD_COUNT):
         store.put(f"op/lost/{number}", {})
 
 
 async def restore(store, away, age):
-    """Let the store be away, and come back from a copy."""
+    """Make the store unavailable, and restore it from a copy of the given age."""
     store.fault = "reset"
     store.cut_watches()
     await asyncio.sleep(away)
@@ -43,49 +44,49 @@
     store.fault = ""
 
 
-async def rewrite_lost_records(context, others):
+async def rewrite_lost_records(context, other_count):
     deployment = context.deployment
-    for number in range(others):
+    for number in range(other_count):
         deployment.store.put(f"op/other/{number}", {})
-    await asyncio.sleep(0.0 if others else WRITTEN_AGAIN_AFTER_S)
+    await asyncio.sleep(0.0 if other_count else REWRITE_DELAY_S)
     deployment.configure(6, keys=("key-of-tenant-1", "key-2"))
     deployment.name_weights(2)
     for engine in deployment.engines.values():
-        if engine not in context.left:
+        if engine not in context.left_engines:
             deployment.record(engine)
-    deployment.record(context.left[0], "draining")
+    deployment.record(context.left_engines[0], "draining")
     deployment.configure(7, keys=("key-of-tenant-1", "key-2", "key-3"))
     deployment.name_weights(3)
-    context.written_at = time.monotonic()
-    context.key_at = await key_delay_s(context, "key-3")
-    context.loaded_at = await load_delay_s(context, 3)
+    context.rewritten_at = time.monotonic()
+    context.key_delay_s = await key_delay_s(context, "key-3")
+    context.load_delay_s = await load_delay_s(context, 3)
     context.calling.cancel()
     await asyncio.gather(*context.callers.tasks)
 
 
 async def key_delay_s(context, key):
-    """Return after what time all nodes take a key, or infinity."""
+    """Return the seconds from the writing until all nodes accept a key, or infinity."""
 
-    async def taken(node):
+    async def is_accepted(node):
         try:
             status, _, _, _ = await context.deployment.call(node, "/whole/x", key=key)
         except aiohttp.ClientConnectorError:
-            # It has not started again yet.
+            # The node has not restarted yet.
             return False
         return status == SERVED
 
-    while time.monotonic() < context.written_at + 8.0:
-        if all(await asyncio.gather(*map(taken, context.deployment.nodes))):
-            return time.monotonic() - context.written_at
-        await asyncio.sleep(POLL_S)
+    while time.monotonic() < context.rewritten_at + 8.0:
+        if all(await asyncio.gather(*map(is_accepted, context.deployment.nodes))):
+            return time.monotonic() - context.rewritten_at
+        await asyncio.sleep(POLL_INTERVAL_S)
     return float("inf")
 
 
 async def load_delay_s(context, version):
-    """Return after what time all engines have a version, or infinity."""
+    """Return the seconds from the writing until all engines have a version, or infinity."""
     engines = [e for e in context.deployment.engines.values() if e.service == "llm"]
-    while time.monotonic() < context.written_at + 10.0:
+    while time.monotonic() < context.rewritten_at + 10.0:
         if all(engine.weights["model-1"] == version for engine in engines):
-            return time.monotonic() - context.written_at
-        await asyncio.sleep(POLL_S)
+            return time.monotonic() - context.rewritten_at
+        await asyncio.sleep(POLL_INTERVAL_S)
     return float("inf")
--- a/features/store_era_overlaps.feature
+++ b/features/store_era_overlaps.feature
@@ -1,18 +1,18 @@
-Feature: A store that comes back from an older copy while something else goes wrong
+Feature: A store that is restored from an older copy during another failure
 
-  The drill of store_era, with the trouble beside it that days of operation bring. What was acknowledged
-  holds: an engine that had said that it leaves stays left alone, also where the copy calls it ready.
+  The restore of store_era.feature, together with another failure. Acknowledged changes hold: an
+  engine that is draining gets no requests, even if its record in the copy says that it is ready.
 
-  Scenario Outline: What is written after the return is in force as soon as ever, though <trouble>
+  Scenario Outline: Changes after the restore take effect in the usual time while <trouble>
     Given a stand-in platform with 4 desk engines and 3 model engines
-    And a store that tells its era
+    And a store that reports its era
     And 4 nodes
     And callers that call all nodes on "whole" and "stream" and know where they called
-    When keys, weights and engines change, and the store is away for 0.8 s and back from a copy 4 s old, while <trouble>
-    And what operators and engines wrote is written again, and then a further key and version
-    Then the further key is in force at all nodes within 2 s
-    And the further version is loaded by all engines within 8 s
-    And no engine that had left got a request later than 2 s after its word, nor after the store was back
+    When keys, weights and engines change, and the store is unavailable for 0.8 s and restored from a copy 4 s old, while <trouble>
+    And operators and engines write the lost records again, then a further key and version
+    Then all nodes accept the further key within 2 s
+    And all engines load the further version within 8 s
+    And no engine that left got a request later than 2 s after it left, nor after the restore
     And all of these callers were served
 
     Examples:
@@ -21,37 +21,37 @@
       | another node starts                      |
       | the store answers two nodes 1.5 s later  |
 
-  Scenario: A node that starts as the store comes back hears from the others what the copy lacks
+  Scenario: A node that starts during the restore learns from the other nodes what the copy lacks
     Given a stand-in platform with 4 desk engines and 3 model engines
-    And a store that tells its era
+    And a store that reports its era
     And 4 nodes
     And callers that call all nodes on "whole" and "stream" and know where they called
-    When keys, weights and engines change, and the store is away for 0.8 s and back from a copy 4 s old, while a node that does not lead is killed and starts again
-    And what operators and engines wrote is written again, and then a further key and version
-    Then the further key is in force at all nodes within 2 s
-    And the further version is loaded by all engines within 8 s
-    And no engine that had left got a request later than 2 s after the store was back
-    And all of these callers were served, those of a node that started once it was ready
+    When keys, weights and engines change, and the store is unavailable for 0.8 s and restored from a copy 4 s old, while a node that does not lead is killed and starts again
+    And operators and engines write the lost records again, then a further key and version
+    Then all nodes accept the further key within 2 s
+    And all engines load the further version within 8 s
+    And no engine that left got a request later than 2 s after the restore
+    And all of these callers were served, those of the restarted node once it was ready
 
-  Scenario: The leader is killed as the store goes away
+  Scenario: The leader is killed when the store becomes unavailable
     Given a stand-in platform with 4 desk engines and 3 model engines
-    And a store that tells its era
+    And a store that reports its era
     And 4 nodes
     And callers that call all nodes on "whole" and "stream" and know where they called
-    When keys, weights and engines change, and the store is away for 0.8 s and back from a copy 4 s old, while the leader is killed and starts again
-    And what operators and engines wrote is written again, and then a further key and version
-    Then the further key is in force at all nodes within 2 s
-    And all engines reach the last version, with fences that never go back and one holder each
-    And the further version is loaded by all engines within 8 s
-    And no engine that had left got a request later than 2 s after the store was back
+    When keys, weights and engines change, and the store is unavailable for 0.8 s and restored from a copy 4 s old, while the leader is killed and starts again
+    And operators and engines write the lost records again, then a further key and version
+    Then all nodes accept the further key within 2 s
+    And all engines load the last version, with fences that never decrease and one holder per fence
+    And all engines load the further version within 8 s
+    And no engine that left got a request later than 2 s after the restore
 
-  Scenario: A machine sleeps through the return of the store
+  Scenario: A machine sleeps during the restore
     Given a stand-in platform with 4 desk engines and 3 model engines
-    And a store that tells its era
+    And a store that reports its era
     And 4 nodes, the last on a machine that may sleep
     And callers that call all nodes on "whole" and "stream" and know where they called
-    When keys, weights and engines change, and the store is away for 0.8 s and back from a copy 4 s old, while the machine sleeps
-    And what operators and engines wrote is written again, and then a further key and version
-    Then the further key is in force at all nodes within 2 s
-    And the further version is loaded by all engines within 8 s
-    And no engine that had left got a request later than 2 s after its word, nor after the store was back
+    When keys, weights and engines change, and the store is unavailable for 0.8 s and restored from a copy 4 s old, while the machine sleeps
+    And operators and engines write the lost records again, then a further key and version
+    Then all nodes accept the further key within 2 s
+    And all engines load the further version within 8 s
+    And no engine that left got a request later than 2 s after it left, nor after the restore
--- a/features/store_gaps.feature
+++ b/features/store_gaps.feature
@@ -1,53 +1,52 @@
-Feature: What a node heard of the store grows old, and the node knows how old
+Feature: A node knows the age of its copy of the store after a gap in the watch
 
-  Engines that had said that they leave still got requests 2.0 to 2.5 s later, and weights were
-  used for seconds beyond their time. In the second before, the store's watches had told
-  nothing, and had then been cut on all nodes at the same time. Each node took one lost call for
-  a lost store and followed another node, which followed a third or the first one: the lines
-  said "connected: true, at: 17" on all eight nodes within 0.21 s, although the revision was the
-  old one and nobody read the store. It ended when the oldest proof was 2.6 s old ("its proof is
-  2.7 s old"), and that proof was of the configuration alone. What was found then counted from the
-  moment of reading.
+  Draining engines got requests 2.0 to 2.5 s after the change, and replaced weights were used for
+  seconds too long. All watches had delivered nothing for a second, and were then cut at the same
+  time. Each node took one failed call for an unavailable store and followed another node, which
+  followed a third one or the first: within 0.21 s eight nodes logged "connected: true, at: 17",
+  although that revision was old and no node read the store. This ended only when the oldest proof
+  was 2.6 s old ("its proof is 2.7 s old"), and that proof covered the configuration alone. The grace
+  of versions that were found then started at the time of the read.
 
   Background:
     Given a stand-in platform with 2 desk engines and 1 model engines
     And bounds of 4 s for replaced weights
     And 3 nodes
 
-  Scenario: Nodes whose watches are cut together read the store, and do not follow each other
+  Scenario: Nodes whose watches are cut at the same time read the store instead of following each other
     Given callers that call all nodes on "whole"
-    When the watches hear nothing for 1 s, in which an engine says that it leaves, and are cut
+    When the watches get no changes for 1 s, during which an engine starts to drain, and are cut
     And callers go on for 3.5 s
-    Then no request reached that engine later than 2 s after its word
+    Then no request reached that engine later than 2 s after that change
 
-  Scenario: A watch that has gone deaf is found out by a reading that names a later revision
+  Scenario: A watch that delivers nothing is detected by a read that returns a later revision
     Given callers that call all nodes on "whole"
-    When the watches go deaf, and an engine says that it leaves
+    When the watches stop delivering changes, and an engine starts to drain
     And callers go on for 3.5 s
-    Then no request reached that engine later than 2 s after its word
+    Then no request reached that engine later than 2 s after that change
 
-  Scenario: A version that is found after a gap counts from the last time the copy was whole
-    Given engines that take no orders
+  Scenario: The grace of a version found after a gap starts when the copy was last complete
+    Given engines that refuse all load orders
     And callers that call all nodes on "stream"
-    When the watches hear nothing for 1.7 s, in which new weights are named, and are cut
+    When the watches get no changes for 1.7 s, during which new weights are published, and are cut
     And callers go on for 5 s
-    Then no request began on the older weights later than 4 s after the naming
-    And requests began on them after it
+    Then no request began on the older weights later than 4 s after the publication
+    And requests began on the older weights after the publication
 
-  Scenario: An engine whose record goes in a gap of the watch alone is used no longer
+  Scenario: An engine whose record is removed during a gap of the watch is no longer used
     Given callers that call all nodes on "whole"
-    When the watches hear nothing for 1 s, in which an engine's record goes, and are cut
+    When the watches get no changes for 1 s, during which an engine's record is removed, and are cut
     And callers go on for 3.5 s
-    Then no request reached that engine later than 2 s after its word
+    Then no request reached that engine later than 2 s after that change
 
-  Scenario: An engine whose record lapses while the store is away is used until it is back
+  Scenario: An engine whose record expires during an outage of the store stays in use
     Given callers that call all nodes on "whole"
-    When the store is away for 2.6 s, in which an engine's record goes, and it is back 1 s later
+    When the store is unavailable for 2.6 s, during which an engine's record is removed, and the record is back 1 s later
     And callers go on for 1 s
     Then requests reached that engine in each of these seconds
 
-  Scenario: Connections that go silent while new ones work hide an engine's leaving from nobody
+  Scenario: Connections that stop responding while new ones work do not hide a draining engine
     Given callers that call all nodes on "whole"
-    When the open connections to the store go silent, and 0.5 s later an engine says that it leaves
+    When the open connections to the store stop responding, and 0.5 s later an engine starts to drain
     And callers go on for 3.5 s
-    Then no request reached that engine later than 2 s after its word
+    Then no request reached that engine later than 2 s after that change
