--- a/features/following_node.py
+++ b/features/following_node.py
@@ -28,7 +28,7 @@
 
 
 class ScriptedStore(MemoryStore):
-    """A store whose watches deliver no changes until told to, and that can become unavailable.
+    """A store whose watches deliver changes on demand, and that can become unavailable.
 
     Attributes:
         is_unavailable: whether every call fails.
--- a/features/platform.feature
+++ b/features/platform.feature
@@ -116,7 +116,7 @@
     When the store answers again
     Then within 4 s "/whole/x" with the known key is answered 200
 
-  Scenario: A tenant's limit in tokens holds over two nodes, and a lowered one at once
+  Scenario: A tenant's token limit holds across two nodes, and a changed one takes effect at once
     Given 2 nodes
     When the tenant may use 1000 tokens a second, and a request without a prompt counts 200
     And both nodes are asked for 30 requests each to "/whole/x" at once
@@ -132,7 +132,7 @@
   Scenario: A graceful shutdown interrupts no stream, and peers no longer list the node
     Given 2 nodes
     And model engines take 1 s for a stream
-    When the first node is told to stop during a stream
+    When the first node is asked to stop during a stream
     Then within 1 s the second node lists only itself
     And the first node is not ready
     And the stream has events 1 to 4 and is complete
@@ -142,14 +142,14 @@
     Given a node
     And model engines take 3.7 s for a stream
     And a connection to the node that was used before
-    When the node is told to stop during a stream and 3.2 s pass
+    When the node is asked to stop during a stream and 3.2 s pass
     Then a request on that connection is answered 503 with a Retry-After header and ran on no engine
     And the stream has events 1 to 4 and is complete
     And the first node exits with code 0 within 8 s
 
   Scenario: A reload of an invalid file is refused, and requests are still served
     Given a node
-    When its settings file is broken and it is told to reload
+    When its settings file is broken and it is asked to reload
     Then its log has "reload_refused"
     And "/whole/x" with the known key is answered 200
 
--- a/features/platform_relay.feature
+++ b/features/platform_relay.feature
@@ -28,7 +28,7 @@
     Then within 4 s every node answers the known key with 200
 
   Scenario: A reader that shuts down hands its followers over
-    When a reader is told to stop
+    When a reader is asked to stop
     Then within 1.5 s no running node follows it
     When the operator revokes the known key
     Then within 1.5 s every running node answers the known key with 401
--- a/features/steps/platform_relay_steps.py
+++ b/features/steps/platform_relay_steps.py
@@ -89,7 +89,7 @@
     context.stopped.append(node)
 
 
-@when("a reader is told to stop")
+@when("a reader is asked to stop")
 def step_stop(context):
     node = context.readers[0]
     node.signal(signal.SIGTERM)
--- a/features/steps/platform_steps.py
+++ b/features/steps/platform_steps.py
@@ -537,7 +537,7 @@
     context.deployment.store.fault = ""
 
 
-@when("the first node is told to stop during a stream")
+@when("the first node is asked to stop during a stream")
 def step_stop(context):
     deployment = context.deployment
     node = deployment.nodes[0]
@@ -579,7 +579,7 @@
     assert context.run(asyncio.wait_for(process.wait(), seconds)) == code
 
 
-@when("its settings file is broken and it is told to reload")
+@when("its settings file is broken and it is asked to reload")
 def step_reload(context):
     node = context.deployment.nodes[0]
     node.settings_path.write_text("not = [toml")
@@ -731,7 +731,7 @@
     assert b" 200 " in context.run(use())
 
 
-@when("the node is told to stop during a stream and {seconds:g} s pass")
+@when("the node is asked to stop during a stream and {seconds:g} s pass")
 def step_stop_and_wait(context, seconds):
     step_stop(context)
     context.run(asyncio.sleep(seconds))
--- a/features/steps/store_era_steps.py
+++ b/features/steps/store_era_steps.py
@@ -137,18 +137,18 @@
     return position(reported + 1, revision)
 
 
-@given("a node that knows era {told} of the store")
-def step_known_era(context, told):
+@given("a node that knows era {known} of the store")
+def step_known_era(context, known):
     context.refused = []
     context.era = StoreEra(
         on_refused_answer=lambda known, reported: context.refused.append(reported)
     )
-    context.era.observe("" if told == "none" else told)
+    context.era.observe("" if known == "none" else known)
 
 
-@when('an answer reports era "{told}"')
-def step_reports(context, told):
-    context.is_accepted = is_accepted(context, told)
+@when('an answer reports era "{reported}"')
+def step_reports(context, reported):
+    context.is_accepted = is_accepted(context, reported)
 
 
 @when('an answer reports era ""')
@@ -164,10 +164,10 @@
     return True
 
 
-@then("it is {taken}, and the node knows era {told}")
-def step_taken(context, taken, told):
+@then("it is {taken}, and the node knows era {known}")
+def step_taken(context, taken, known):
     assert context.is_accepted == (taken == "taken") == (not context.refused), context.refused
-    expected = 0 if told == "none" else int(told) + 1
+    expected = 0 if known == "none" else int(known) + 1
     assert context.era.era == expected, context.era.era
 
 
@@ -200,9 +200,9 @@
     assert context.era.condition_revision(at(era, number)) == 7
 
 
-@then('an answer that reports era "{told}" is refused')
-def step_refused(context, told):
-    assert not is_accepted(context, told)
+@then('an answer that reports era "{reported}" is refused')
+def step_refused(context, reported):
+    assert not is_accepted(context, reported)
 
 
 def items(era, text):
--- a/features/steps/store_gap_steps.py
+++ b/features/steps/store_gap_steps.py
@@ -20,7 +20,7 @@
         self.deployment = deployment
         self.route = route
         self.tasks = set()
-        self.longest_lag_s = 0.0
+        self.max_lag_s = 0.0
 
     async def call_on(self):
         for node in itertools.cycle(self.deployment.nodes):
@@ -30,7 +30,7 @@
             slept_from = time.monotonic()
             await asyncio.sleep(CALL_SPACING_S)
             lag_s = time.monotonic() - slept_from - CALL_SPACING_S
-            self.longest_lag_s = max(self.longest_lag_s, lag_s)
+            self.max_lag_s = max(self.max_lag_s, lag_s)
 
     async def _call(self, node):
         headers = prompt_headers("model-1") if self.route == "stream" else {}
@@ -177,7 +177,7 @@
     assert any(at_s < 0 for at_s in times_s), "no request reached the engine before the change"
     late = [round(at_s, 2) for at_s in times_s if at_s > seconds]
     # Engines, callers and the store share an event loop, whose lag delays the recorded arrivals.
-    lag_s = round(context.callers.longest_lag_s, 2)
+    lag_s = round(context.callers.max_lag_s, 2)
     assert not late, (
         f"{len(late)} requests, {late[:1]} to {late[-1:]} s after; event loop lag {lag_s} s"
     )
