--- a/features/caller_simulation.py
+++ b/features/caller_simulation.py
@@ -14,14 +14,14 @@
 REPORT_INTERVAL_S = 0.3
 WAVE_PERIOD_S = 20.0
 ZONES = 3
-SIZES = (1.8, 1.8, *[0.6] * 6, *[0.3] * 24)
+NODE_CORES = (1.8, 1.8, *[0.6] * 6, *[0.3] * 24)
 REQUEST_CPU_S = 0.003
 REQUEST_BYTES = 9_200
-KEPT_CONNECTIONS = 10
+CONNECTIONS_PER_CALLER = 10
 # No node lists a stopped node after this time, see peer_silence.feature.
 SILENCE_TIMEOUT_S = 2.0
 DIRECTORIES = 3
-# For as long as a caller uses an answer, it avoids nodes that failed.
+# A caller avoids a failed node for as long as it keeps an answer.
 AVOID_FAILED_NODE_S = 8.0
 
 
@@ -32,8 +32,8 @@
     member: Member
     cores: float
     capacity: NodeCapacity
-    link: float = math.inf
-    ended_at: float = math.inf
+    link_bytes_per_s: float = math.inf
+    stopped_at: float = math.inf
     restarted_at: float = math.inf
     queued_cpu_s: float = 0.0
     queued_bytes: float = 0.0
@@ -43,14 +43,14 @@
     next_tick_at: float = 0.0
 
     def is_alive(self, now):
-        return now < self.ended_at or now >= self.restarted_at
+        return now < self.stopped_at or now >= self.restarted_at
 
     def is_listed(self, now):
-        return now < self.ended_at + SILENCE_TIMEOUT_S or now >= self.restarted_at
+        return now < self.stopped_at + SILENCE_TIMEOUT_S or now >= self.restarted_at
 
     @property
     def lag_s(self):
-        return max(self.queued_cpu_s / self.cores, self.queued_bytes / self.link)
+        return max(self.queued_cpu_s / self.cores, self.queued_bytes / self.link_bytes_per_s)
 
     def accept(self, requests):
         self.accepted_cpu_s += requests * REQUEST_CPU_S
@@ -60,15 +60,17 @@
     def work(self, now):
         # Only requests that have arrived over the link can be processed. Callers time out after
         # 2 s, which bounds both queues.
-        received = min(self.queued_bytes, self.link * STEP_S)
+        received = min(self.queued_bytes, self.link_bytes_per_s * STEP_S)
         self.queued_cpu_s += received / REQUEST_BYTES * REQUEST_CPU_S
-        self.queued_bytes = min(self.queued_bytes - received, 2 * self.link)
+        self.queued_bytes = min(self.queued_bytes - received, 2 * self.link_bytes_per_s)
         done = min(self.queued_cpu_s, self.cores * STEP_S)
         self.cpu_s += done
         self.queued_cpu_s = min(self.queued_cpu_s - done, 2 * self.cores)
         if now >= self.next_tick_at:
             for _ in range(min(15, int(self.requests))):
-                self.capacity.record_request(REQUEST_BYTES - 1_200, self.queued_bytes / self.link)
+                self.capacity.record_request(
+                    REQUEST_BYTES - 1_200, self.queued_bytes / self.link_bytes_per_s
+                )
             self.requests = 0.0
             self.capacity.update(now, self.cpu_s, 0)
             self.next_tick_at = now + TICK_S + self.queued_cpu_s / self.cores
@@ -91,7 +93,7 @@
     """A fleet and its callers, with measurements of both."""
 
     def __init__(
-        self, policy, load, allows_spillover=True, callers=24, loss_rate=0.05, sizes=SIZES
+        self, policy, load, allows_spillover=True, callers=24, loss_rate=0.05, sizes=NODE_CORES
     ):
         self.random = random.Random(11)
         self.now, self.load, self.loss_rate = 0.0, load, loss_rate
@@ -173,7 +175,7 @@
             if name not in caller.node_names:
                 caller.connections[place] = self._connect(caller)
                 caller.moved_connections += 1
-        while len(caller.connections) < KEPT_CONNECTIONS:
+        while len(caller.connections) < CONNECTIONS_PER_CALLER:
             caller.connections.append(self._connect(caller))
 
     def _connect(self, caller):
@@ -199,9 +201,9 @@
             if not self.nodes[name].is_alive(self.now):
                 caller.failed_until[name] = self.now + AVOID_FAILED_NODE_S
                 caller.connections[place] = name = self._connect(caller)
-            self._send_to(caller, name, requests / 2 / KEPT_CONNECTIONS)
-        for _ in range(KEPT_CONNECTIONS):
-            self._send_to(caller, self._connect(caller), requests / 2 / KEPT_CONNECTIONS)
+            self._send_to(caller, name, requests / 2 / CONNECTIONS_PER_CALLER)
+        for _ in range(CONNECTIONS_PER_CALLER):
+            self._send_to(caller, self._connect(caller), requests / 2 / CONNECTIONS_PER_CALLER)
 
     def _send_to(self, caller, name, requests):
         node = self.nodes[name]
@@ -244,6 +246,6 @@
         return (
             moved_connections
             / len(self.callers)
-            / KEPT_CONNECTIONS
+            / CONNECTIONS_PER_CALLER
             / (self.now - self.measured_since)
         )
--- a/features/steps/caller_division_steps.py
+++ b/features/steps/caller_division_steps.py
@@ -4,7 +4,7 @@
 
 from behave import given, then, when
 
-from features.caller_simulation import SIZES, TICK_S, CallerSimulation
+from features.caller_simulation import NODE_CORES, TICK_S, CallerSimulation
 from liftrill.coordination import rendezvous
 from liftrill.coordination.membership_messages import Condition, Member
 from liftrill.gateway.engines.engine_table import EngineLoad
@@ -74,7 +74,7 @@
     context.slow_node = context.simulation.nodes["node-0-2"]
     assert context.slow_node.cores == cores
     # The node itself reports ten times this capacity, which would suffice.
-    context.slow_node.link = 0.1 * cores / 0.003 * 9_200
+    context.slow_node.link_bytes_per_s = 0.1 * cores / 0.003 * 9_200
 
 
 @when("callers send requests for {seconds:g} s")
@@ -98,7 +98,7 @@
 def stop(context, nodes):
     context.stopped_at = context.simulation.now
     for node in nodes:
-        node.ended_at = context.simulation.now
+        node.stopped_at = context.simulation.now
 
 
 @then("each size of nodes has its share of the work, within {within:d} %")
@@ -218,8 +218,8 @@
 
 @given("{count:d} nodes of one zone and three sizes")
 def step_sizes(context, count):
-    assert count == len(SIZES)
-    start_directory(context, [NodeLoad(cores, 0.3 * cores, 0.01) for cores in SIZES])
+    assert count == len(NODE_CORES)
+    start_directory(context, [NodeLoad(cores, 0.3 * cores, 0.01) for cores in NODE_CORES])
 
 
 @then("every caller is given the first {count:d} of them in their order")
@@ -273,7 +273,7 @@
 
 @when("the reports of a node of {cores:g} cores are lost for {seconds:g} s")
 def step_reports_lost(context, cores, seconds):
-    context.silent_node = context.members[SIZES.index(cores)].node_id
+    context.silent_node = context.members[NODE_CORES.index(cores)].node_id
     others = [m.node_id for m in context.members if m.node_id != context.silent_node]
     context.now += seconds
     for node_id in others:
@@ -295,15 +295,15 @@
 def step_spread(context, within):
     found = answers(context, callers=context.querying)
     selected = [node_id for answer in found for node_id in answer]
-    for member, cores in zip(context.members, SIZES, strict=True):
-        share = len(selected) * cores / sum(SIZES)
+    for member, cores in zip(context.members, NODE_CORES, strict=True):
+        share = len(selected) * cores / sum(NODE_CORES)
         count = selected.count(member.node_id)
         assert abs(count - share) <= share * within / 100, (member.node_id, count, share)
 
 
 @when("a node of {cores:g} cores reports again after {seconds:g} s")
 def step_reports_again(context, cores, seconds):
-    context.returned_node = context.members[SIZES.index(cores)].node_id
+    context.returned_node = context.members[NODE_CORES.index(cores)].node_id
     context.before = answers_with(context, context.returned_node)
     for tenths in range(int(seconds * 10) + 1):
         for member in context.members:
--- a/features/steps/peer_silence_steps.py
+++ b/features/steps/peer_silence_steps.py
@@ -1,4 +1,4 @@
-"""Steps about peers that have stopped reporting."""
+"""Steps on peers that have stopped reporting."""
 
 import random
 
@@ -13,7 +13,7 @@
 
 @given(
     "{count:d} nodes of {zones:d} zones that report to each other,"
-    " of which {lost:d} in 100 datagrams are lost"
+    " with {lost:d} % of the datagrams lost"
 )
 def step_nodes(context, count, zones, lost):
     context.peers = [
--- a/features/store_drill.py
+++ b/features/store_drill.py
@@ -8,8 +8,7 @@
 SERVED = 200
 # Time from the restore until the lost records are written again.
 REWRITE_DELAY_S = 0.3
-# Records that the copy lacks: many more than are written right after the restore, so that its
-# revisions stay below the earlier ones.
+# Records that the copy lacks: many more than are written right after the restore.
 LOST_RECORD_COUNT = 200
 POLL_INTERVAL_S = 0.05
 
