--- a/features/steps/copy_age_steps.py
+++ b/features/steps/copy_age_steps.py
@@ -118,7 +118,7 @@
     context.run(start())
 
 
-@when("the first reader {what} when the node's copy is {age:g} s old")
+@when("the first reader {what} once the node's copy is {age:g} s old")
 def step_lost(context, what, age):
     async def lose():
         await eventually(lambda: copy_age_s(context.node) > age, 3.0)
