--- a/features/crash_requests.feature
+++ b/features/crash_requests.feature
@@ -55,11 +55,11 @@
     Then the command given "<arguments>" fails and says "<says>"
 
     Examples:
-      | what                      | arguments                                      | says                     |
+      | what                      | arguments                                      | says                        |
       | an address                | show nowhere                                   | 'nowhere' is not an address |
-      | a store that is not there | show 127.0.0.1:1                               | ClientConnectorError     |
-      | a fingerprint             | release STORE abc                              | 'abc' is not a fingerprint |
-      | a request not quarantined | release STORE 00000000000000000000000000000000 | is not in quarantine     |
+      | a store that is not there | show 127.0.0.1:1                               | ClientConnectorError        |
+      | a fingerprint             | release STORE abc                              | 'abc' is not a fingerprint  |
+      | a request not quarantined | release STORE 00000000000000000000000000000000 | is not in quarantine        |
 
   Scenario: No request is quarantined when engines crash without a request as the cause
     Given engines that crash under no request
