--- a/features/builds.feature
+++ b/features/builds.feature
@@ -2,7 +2,7 @@
 
   During a rolling upgrade nodes of two builds share the store, follow each other's copies of it and
   take turns as the leader. Nodes of earlier builds support neither the store's eras, nor engines
-  that announce in their answers that they drain or rest.
+  that announce in their answers that they drain or need a backoff.
 
   Scenario Outline: A leader of each build makes engines load the published weights
     Given a stand-in platform with 1 desk engines and 2 model engines
@@ -25,9 +25,9 @@
     Then a node that has it follows no reader that reports no era
     And a node that has none yet does
 
-  Scenario Outline: A short soak with both builds breaks no promise
+  Scenario Outline: A short soak with both builds violates no guarantee
     When nodes of this build and of <commit> run seed <seed> for 12 s
-    Then it had faults and served requests, and broke no promise
+    Then it had faults and served requests, and violated no guarantee
     And nodes of both builds were started
 
     Examples:
--- a/features/platform.feature
+++ b/features/platform.feature
@@ -157,25 +157,24 @@
     Given 2 nodes
     When version 2 of the weights is published
     Then within 8 s every model engine has version 2
-    And each model engine got 1 load order, from one holder
+    And each model engine got 1 load order, all from one leader
 
   Scenario: When the leader is killed during a rollout another one finishes it with a higher fence
     Given 2 nodes
     And engines take 2 s to load
-    When version 2 of the weights is published and the holder is killed after its first order
+    When version 2 of the weights is published and the leader is killed after its first order
     Then within 14 s every model engine has version 2
-    And orders of the second holder came 3 s after the first's, with a higher fence
+    And orders of the second leader came 3 s after the first's, with a higher fence
 
   Scenario: A paused node sends no requests to engines that left meanwhile
-    A node is paused while it connects to an engine that accepts no connections. Meanwhile engines
-    announce that they drain, and clients send requests. When the node resumes, its connection attempt
-    has timed out, and it reads the requests and selects engines for them before it reads the changes
-    from the store. Its state is 2.8 s old, and no engine may get a request 2 s after its change to
-    draining was acknowledged.
+    A node is paused while it connects to an engine. Once resumed, it finds that the attempt has timed
+    out, and it reads the requests of clients and selects engines for them before it reads the changes
+    from the store. Its state is 2.8 s old then; an engine must get no requests 2 s after the store
+    acknowledged that the engine drains.
 
     Given a node
     And a request at "/whole/x" is waiting to connect to an engine that accepts no connections
-    When the node stands still for 3 s, and at 0.2 s all desk engines leave and 3 clients post to "/whole/x"
+    When the node is paused for 3 s, and at 0.2 s all desk engines leave and 3 clients post to "/whole/x"
     Then no engine that left got a request
 
   Scenario: All nodes restart at once and serve again
--- a/features/sleep.feature
+++ b/features/sleep.feature
@@ -6,30 +6,30 @@
   Background:
     Given a stand-in platform with 2 desk engines and 2 model engines
 
-  Scenario: A node that slept sends no requests to engines that left meanwhile
-    Given a node whose monotonic clock stops while it sleeps
+  Scenario: A node that was suspended sends no requests to engines that left meanwhile
+    Given a node whose monotonic clock stops during a suspension
     And a request at "/whole/x" is waiting to connect to an engine that accepts no connections
-    When the node sleeps for 3 s, and at 0.2 s all desk engines leave and 3 clients post to "/whole/x"
+    When the node is suspended for 3 s, and at 0.2 s all desk engines leave and 3 clients post to "/whole/x"
     Then no engine that left got a request
 
-  Scenario: A node that slept does not accept a key by an outdated proof
-    Given a node whose monotonic clock stops while it sleeps
-    When the node sleeps for 5.5 s, its key is revoked at 0.2 s, a client posts to "/whole/x" with it, and the store stops responding
+  Scenario: A node that was suspended does not accept a key by an outdated proof
+    Given a node whose monotonic clock stops during a suspension
+    When the node is suspended for 5.5 s, its key is revoked at 0.2 s, a client posts to "/whole/x" with it, and the store stops responding
     Then the answer has status 503
 
-  Scenario Outline: The clock <where>
-    Given a clock <where>
-    When the steady clock goes on by 2 s and the other by <seconds> s
-    Then <passed> s have passed, and <slept> s of them asleep
+  Scenario Outline: An elapsed clock <where>
+    Given an elapsed clock <where>
+    When the monotonic clock advances by 2 s and the time since boot by <seconds> s
+    Then the elapsed clock has advanced by <passed> s, <suspended> s of them in suspension
 
     Examples:
-      | where                                   | seconds | passed | slept |
-      | on a system that counts suspension      | 8       | 8      | 6     |
-      | on a system that does not               | 8       | 2      | 0     |
-      | on a system whose count goes back       | -3      | 0      | 0     |
+      | where                                   | seconds | passed | suspended |
+      | on a system that counts suspension      | 8       | 8      | 6         |
+      | on a system that does not               | 8       | 2      | 0         |
+      | on a system whose clock goes back       | -3      | 0      | 0         |
 
-  Scenario: After a step backwards of its source the clock follows the monotonic one
-    Given a clock on a system whose count goes back
-    When the steady clock goes on by 2 s and the other by -3 s
-    And the steady clock goes on by 4 s and the other by 40 s
-    Then 4 s have passed, and 0 s of them asleep
+  Scenario: After its source goes back, an elapsed clock follows the monotonic clock
+    Given an elapsed clock on a system whose clock goes back
+    When the monotonic clock advances by 2 s and the time since boot by -3 s
+    And the monotonic clock advances by 4 s and the time since boot by 40 s
+    Then the elapsed clock has advanced by 4 s, 0 s of them in suspension
--- a/features/soak.feature
+++ b/features/soak.feature
@@ -5,84 +5,84 @@
     Then the check finds a violation of "<guarantee>", and none in a correct history
 
     Examples:
-      | what                                      | guarantee                    |
-      | a request was begun on two engines        | at most once                 |
-      | a refused request ran                     | not run means not run        |
-      | a caller got another one's answer         | own answer                   |
-      | a stream lacks an event                   | events in order              |
-      | a stream ends as complete too early       | a complete stream is whole   |
-      | a key was served 6 s after it was revoked | a revoked key is not served  |
-      | an engine ran what nobody sent            | nothing unasked              |
-      | an engine ran what was meant for another  | the named engine             |
-      | a key was passed on to an engine          | tenant and key               |
-      | two nodes ordered with one fence          | one holder of orders         |
+      | what                                      | guarantee                   |
+      | a request was begun on two engines        | at most once                |
+      | a refused request ran                     | not run means not run       |
+      | a caller got another one's answer         | own answer                  |
+      | a stream lacks an event                   | events in order             |
+      | a stream ends as complete too early       | a complete stream is whole  |
+      | a key was served 6 s after it was revoked | a revoked key is not served |
+      | an engine ran a request nobody sent       | nothing unasked             |
+      | an engine ran a request for another       | the named engine            |
+      | a key was passed on to an engine          | tenant and key              |
+      | two nodes ordered with one fence          | one holder of orders        |
 
   Scenario Outline: The check finds late requests, and excuses only those of impaired nodes
     Given a history with <what>
     Then the check's verdict is <verdict>
 
     Examples:
-      | what                                                                   | verdict                 |
-      | a request 2.1 s after its engine left                                  | too late at its engine  |
-      | a request that did not run 2.1 s after its engine left                 | too late at its engine  |
-      | a request 1.9 s after its engine left                                  | in time                 |
-      | the same 9 s after, 2.9 s after its node's trouble                     | in time                 |
-      | the same 9 s after, 3.1 s after its node's trouble                     | too late at its engine  |
-      | the same 9 s after, within its node's trouble                          | in time                 |
-      | the same 9 s after, before its node's trouble                          | too late at its engine  |
-      | the same 9 s after, 2.9 s after another node's trouble                 | too late at its engine  |
-      | the same 9 s after, 2.9 s after the store's trouble                    | in time                 |
-      | the same 9 s after, 3.4 s after connections went silent                | in time                 |
-      | the same 9 s after, 3.6 s after connections went silent                | too late at its engine  |
-      | a request on version 1 8.1 s after version 2                           | too late on its weights |
-      | a request on version 1 7.9 s after version 2                           | in time                 |
-      | a request on version 2 8.1 s after version 2                           | in time                 |
-      | a refused one on version 1 8.1 s after version 2                       | in time                 |
-      | a run that goes on, on version 1 8.1 s after version 2                 | in time                 |
-      | a request on version 1 12 s after, 7.9 s after its node's trouble      | in time                 |
-      | a request on version 1 12 s after, 8.1 s after its node's trouble      | too late on its weights |
-      | a request on version 1 12 s after, 7.9 s after another node's trouble  | too late on its weights |
-      | a request on version 1 12 s after, 7.9 s after connections went silent | in time                 |
+      | what                                                                     | verdict                 |
+      | a request 2.1 s after its engine left                                    | too late at its engine  |
+      | a request that did not run 2.1 s after its engine left                   | too late at its engine  |
+      | a request 1.9 s after its engine left                                    | in time                 |
+      | the same 9 s after, 2.9 s after its node's impairment                    | in time                 |
+      | the same 9 s after, 3.1 s after its node's impairment                    | too late at its engine  |
+      | the same 9 s after, during its node's impairment                         | in time                 |
+      | the same 9 s after, before its node's impairment                         | too late at its engine  |
+      | the same 9 s after, 2.9 s after another node's impairment                | too late at its engine  |
+      | the same 9 s after, 2.9 s after the store's impairment                   | in time                 |
+      | the same 9 s after, 3.4 s after connections went silent                  | in time                 |
+      | the same 9 s after, 3.6 s after connections went silent                  | too late at its engine  |
+      | a request on version 1 8.1 s after version 2                             | too late on its weights |
+      | a request on version 1 7.9 s after version 2                             | in time                 |
+      | a request on version 2 8.1 s after version 2                             | in time                 |
+      | a refused request on version 1 8.1 s after version 2                     | in time                 |
+      | a resumed run on version 1 8.1 s after version 2                         | in time                 |
+      | a request on version 1 12 s after, 7.9 s after its node's impairment     | in time                 |
+      | a request on version 1 12 s after, 8.1 s after its node's impairment     | too late on its weights |
+      | a request on version 1 12 s after, 7.9 s after another node's impairment | too late on its weights |
+      | a request on version 1 12 s after, 7.9 s after connections went silent   | in time                 |
 
   Scenario Outline: The check finds requests that a stopping node leaves unanswered
     Given a call <sent> s before its node exited, which <what>
     Then the guarantee for stopping nodes is <verdict>
 
     Examples:
-      | sent | what                                       | verdict |
-      | 1.0  | got no answer                              | broken  |
-      | 0.05 | got no answer                              | kept    |
-      | 3.1  | got no answer                              | kept    |
-      | 1.0  | was answered                               | kept    |
-      | 1.0  | got no answer, and its caller did not wait | kept    |
-      | 1.0  | got no answer, and the machine slept       | kept    |
+      | sent | what                                         | verdict |
+      | 1.0  | got no answer                                | broken  |
+      | 0.05 | got no answer                                | kept    |
+      | 3.1  | got no answer                                | kept    |
+      | 1.0  | was answered                                 | kept    |
+      | 1.0  | got no answer, and its caller did not wait   | kept    |
+      | 1.0  | got no answer, and the machine was suspended | kept    |
 
   Scenario Outline: The check finds crash requests that are sent too often, and wrongly quarantined requests
     Given a request on which three engines crashed, <what>
     Then the check of crash requests finds "<violation>"
 
     Examples:
-      | what                                                  | violation                                          |
-      | which was sent 4 times more, 3.1 s after the third    | a request under which engines end is sent no more  |
-      | which was sent 3 times more, 3.1 s after the third    | nothing                                            |
-      | which was sent 4 times more, 2.9 s after the third    | nothing                                            |
-      | and another request is kept from engines              | no other request is kept from engines              |
-      | and the request itself is kept from engines           | nothing                                            |
+      | what                                               | violation                       |
+      | which was sent 4 times more, 3.1 s after the third | a crash request is sent no more |
+      | which was sent 3 times more, 3.1 s after the third | nothing                         |
+      | which was sent 4 times more, 2.9 s after the third | nothing                         |
+      | and another request is quarantined                 | no other request is quarantined |
+      | and the request itself is quarantined              | nothing                         |
 
   Scenario Outline: The check finds requests sent against an engine's announcement
     Given an engine that made an announcement, and <what>
     Then the check of announcements finds "<violation>"
 
     Examples:
-      | what                                                   | violation                             |
-      | a request 2.1 s after its engine's word                | no request after an engine's word     |
-      | a request 1.9 s after its engine's word                | nothing                               |
-      | a request after the word of a lost answer              | nothing                               |
-      | a request 9 s after the word, its node killed between  | nothing                               |
-      | a request 9 s after the word, its node cut off between | no request after an engine's word     |
-      | three requests within a rest                           | no requests within an engine's rest   |
-      | two requests within a rest                             | nothing                               |
-      | three requests within a rest, its node cut off         | nothing                               |
+      | what                                                           | violation                                       |
+      | a request 2.1 s after its engine's announcement                | no request after an engine's leave announcement |
+      | a request 1.9 s after its engine's announcement                | nothing                                         |
+      | a request after an announcement in a lost answer               | nothing                                         |
+      | a request 9 s after the announcement, its node killed between  | nothing                                         |
+      | a request 9 s after the announcement, its node cut off between | no request after an engine's leave announcement |
+      | three requests during a backoff                                | no requests during an engine's backoff          |
+      | two requests during a backoff                                  | nothing                                         |
+      | three requests during a backoff, its node cut off              | nothing                                         |
 
   Scenario Outline: The check finds an exceeded limit of an engine, and no other
     Given an engine that announced a limit of 1 request per second, and then got <what>
@@ -99,11 +99,11 @@
 
   Scenario: A short soak violates no guarantee, and all nodes serve again after it
     When the soak runs seed 1 for 12 s
-    Then it had faults and served requests, and broke no promise
+    Then it had faults and served requests, and violated no guarantee
 
   Scenario Outline: A seed that once failed violates no guarantee
     When the soak runs seed <seed> for 12 s
-    Then it had faults and served requests, and broke no promise
+    Then it had faults and served requests, and violated no guarantee
 
     Examples:
       | seed | cause                                                                               |
@@ -112,32 +112,32 @@
 
   Scenario Outline: Crash requests are quarantined, and no other requests
     When the soak runs seed <seed> for 12 s with requests that crash engines
-    Then it had faults and served requests, and broke no promise
+    Then it had faults and served requests, and violated no guarantee
 
     Examples:
-      | seed  | cause                                                                              |
-      | 36204 | a node that had just started heard of a popular request's losses, not of its service |
-      | 37208 | two engines ended within 50 ms, one under a deadly request and one of a crash       |
+      | seed  | cause                                                                                    |
+      | 36204 | a node that had just started learned of a popular request's losses, not of its successes |
+      | 37208 | two engines ended within 50 ms, one by a crash request and one by an injected crash      |
 
   Scenario: A short soak with suspended machines violates no guarantee
     When the soak runs seed 39100 for 12 s with suspended machines
-    Then it had faults and served requests, and broke no promise
+    Then it had faults and served requests, and violated no guarantee
 
   Scenario: A short soak in which engines announce leaving and pauses violates no guarantee
     When the soak runs seed 46100 for 12 s with engines that announce leaving and pauses
-    Then it had faults and served requests, and broke no promise
+    Then it had faults and served requests, and violated no guarantee
     And engines announced that they leave, and asked for a pause
 
   Scenario: A short soak in which engines announce limits violates no guarantee
     When the soak runs seed 53000 for 12 s with engines that announce limits
-    Then it had faults and served requests, and broke no promise
+    Then it had faults and served requests, and violated no guarantee
 
   Scenario: A short soak in which the store is restored from older copies violates no guarantee
     When the soak runs seed 47100 for 12 s with a store that is restored from older copies
-    Then it had faults and served requests, and broke no promise
+    Then it had faults and served requests, and violated no guarantee
     And the store was restored at least 2 times
 
   Scenario: A short soak under heavy load violates no guarantee
     When the soak runs seed 4100 for 14 s under heavy load
-    Then it had faults and served requests, and broke no promise
+    Then it had faults and served requests, and violated no guarantee
     And each condition of heavy load occurred
--- a/features/soak/deadly.py
+++ b/features/soak/deadly.py
@@ -63,7 +63,7 @@
         if call.sent_body in bodies or QUARANTINED not in call.body:
             continue
         if call.status in NOT_RUN:
-            yield Violation("no other request is kept from engines", call.request_id, call.route)
+            yield Violation("no other request is quarantined", call.request_id, call.route)
 
 
 def crash_times(body, engines):
@@ -85,4 +85,4 @@
     late = [a for a in late if not timeline.is_excused(known[a.attempt_id].node, a.at)]
     if len(late) > SENDS_ALLOWED:
         detail = f"{body!r}: {len(late)} sends, {len(crashes)} engines crashed"
-        yield Violation("a request under which engines end is sent no more", body.decode(), detail)
+        yield Violation("a crash request is sent no more", body.decode(), detail)
--- a/features/soak/engine_words.py
+++ b/features/soak/engine_words.py
@@ -75,7 +75,9 @@
         since = [at for at in announced_at if at + LEAVING_OBEYED_AFTER_S < arrival.at]
         if since and not timeline.halted_between(node, min(since), arrival.at):
             detail = f"{engine.engine_id}, {node}: {arrival.at - min(since):.2f} s later"
-            yield Violation("no request after an engine's word", arrival.attempt_id, detail)
+            yield Violation(
+                "no request after an engine's leave announcement", arrival.attempt_id, detail
+            )
 
 
 def _check_pause(engine, node, arrivals, timeline):
@@ -91,4 +93,4 @@
             node, refusal.answered_at, until
         ):
             detail = f"{engine.engine_id}, {node}: {len(late)} in {refusal.retry_after_s} s"
-            yield Violation("no requests within an engine's rest", late[0].attempt_id, detail)
+            yield Violation("no requests during an engine's backoff", late[0].attempt_id, detail)
--- a/features/steps/platform_steps.py
+++ b/features/steps/platform_steps.py
@@ -146,7 +146,7 @@
     context.connecting = context.run(deployment.wait_until(is_connecting))
 
 
-@given("a node whose monotonic clock stops while it sleeps")
+@given("a node whose monotonic clock stops during a suspension")
 def step_suspendable_node(context):
     async def add():
         node = await context.deployment.add_node("node-1", wrapper=[sleeper.__file__])
@@ -156,10 +156,10 @@
 
 
 @when(
-    "the node {is_still} for {seconds:g} s, and at {at:g} s all desk engines leave "
+    "the node is {state} for {seconds:g} s, and at {at:g} s all desk engines leave "
     'and {count:d} clients post to "{path}"'
 )
-def step_paused(context, is_still, seconds, at, count, path):
+def step_paused(context, state, seconds, at, count, path):
     deployment = context.deployment
     node = deployment.nodes[0]
     context.left_engines = [
@@ -175,7 +175,7 @@
             deployment.record(engine, "draining")
         calls = [asyncio.ensure_future(deployment.call(node, path)) for _ in range(count)]
         await asyncio.sleep(seconds - at)
-        if is_still == "sleeps":
+        if state == "suspended":
             node.wake(seconds)
         else:
             node.signal(signal.SIGCONT)
@@ -185,14 +185,14 @@
 
 
 @when(
-    "the node sleeps for {seconds:g} s, its key is revoked at {at:g} s, "
+    "the node is suspended for {seconds:g} s, its key is revoked at {at:g} s, "
     'a client posts to "{path}" with it, and the store stops responding'
 )
-def step_sleeps_revoked(context, seconds, at, path):
+def step_suspended_revoked(context, seconds, at, path):
     deployment = context.deployment
     node = deployment.nodes[0]
 
-    async def sleep():
+    async def suspend():
         node.signal(signal.SIGSTOP)
         await asyncio.sleep(at)
         deployment.store.silence_connections()
@@ -204,7 +204,7 @@
         node.wake(seconds + 0.1)
         context.answer = await call
 
-    context.run(sleep())
+    context.run(suspend())
 
 
 @then("no engine that left got a request")
@@ -613,7 +613,7 @@
     context.run(context.deployment.wait_until(have, seconds))
 
 
-@then("each model engine got {count:d} load order, from one holder")
+@then("each model engine got {count:d} load order, all from one leader")
 def step_ordered(context, count):
     orders = [engine.orders for engine in engines_of(context, "llm")]
     assert [len(found) for found in orders] == [count] * len(orders), orders
@@ -621,9 +621,9 @@
 
 
 @when(
-    "version {version:d} of the weights is published and the holder is killed after its first order"
+    "version {version:d} of the weights is published and the leader is killed after its first order"
 )
-def step_kill_holder(context, version):
+def step_kill_leader(context, version):
     deployment = context.deployment
     deployment.set_weight_version(version)
 
@@ -654,8 +654,8 @@
     context.deployment.record(engine)
 
 
-@then("orders of the second holder came {seconds:g} s after the first's, with a higher fence")
-def step_second_holder(context, seconds):
+@then("orders of the second leader came {seconds:g} s after the first's, with a higher fence")
+def step_second_leader(context, seconds):
     later = [o for o in context.reset_engine.orders if o["Holder"] != context.first_holder]
     assert later and later[0]["Fence"] > context.first_fence, context.reset_engine.orders
     # The second leader's order has just been carried out.
--- a/features/steps/soak_steps.py
+++ b/features/steps/soak_steps.py
@@ -62,8 +62,8 @@
         [call("r1", sent_at=16.0)],
         [engine("e1", arrival("r1"))],
     ),
-    "an engine ran what nobody sent": ([], [engine("e1", arrival("r1"))]),
-    "an engine ran what was meant for another": (
+    "an engine ran a request nobody sent": ([], [engine("e1", arrival("r1"))]),
+    "an engine ran a request for another": (
         [call("r1")],
         [engine("e1", arrival("r1", "e2"))],
     ),
@@ -105,37 +105,37 @@
     "a request 2.1 s after its engine left": (late(2.1), []),
     "a request that did not run 2.1 s after its engine left": (late(2.1, ran=False), []),
     "a request 1.9 s after its engine left": (late(1.9), []),
-    "the same 9 s after, 2.9 s after its node's trouble": (late(9), [impairment(6.1)]),
-    "the same 9 s after, 3.1 s after its node's trouble": (late(9), [impairment(5.9)]),
-    "the same 9 s after, within its node's trouble": (late(9), [impairment(9.5)]),
-    "the same 9 s after, before its node's trouble": (late(9), [impairment(10.5)]),
-    "the same 9 s after, 2.9 s after another node's trouble": (
+    "the same 9 s after, 2.9 s after its node's impairment": (late(9), [impairment(6.1)]),
+    "the same 9 s after, 3.1 s after its node's impairment": (late(9), [impairment(5.9)]),
+    "the same 9 s after, during its node's impairment": (late(9), [impairment(9.5)]),
+    "the same 9 s after, before its node's impairment": (late(9), [impairment(10.5)]),
+    "the same 9 s after, 2.9 s after another node's impairment": (
         late(9),
         [impairment(6.1, "n2")],
     ),
-    "the same 9 s after, 2.9 s after the store's trouble": (late(9), [impairment(6.1, "")]),
+    "the same 9 s after, 2.9 s after the store's impairment": (late(9), [impairment(6.1, "")]),
     "the same 9 s after, 3.4 s after connections went silent": (late(9), [silence(5.6)]),
     "the same 9 s after, 3.6 s after connections went silent": (late(9), [silence(5.4)]),
     "a request on version 1 8.1 s after version 2": (late(8.1, version=1), []),
     "a request on version 1 7.9 s after version 2": (late(7.9, version=1), []),
     "a request on version 2 8.1 s after version 2": (late(8.1, version=2), []),
-    "a refused one on version 1 8.1 s after version 2": (
+    "a refused request on version 1 8.1 s after version 2": (
         late(8.1, version=1, ran=False),
         [],
     ),
-    "a run that goes on, on version 1 8.1 s after version 2": (
+    "a resumed run on version 1 8.1 s after version 2": (
         late(8.1, version=1, **{"Kv-From": "copy"}),
         [],
     ),
-    "a request on version 1 12 s after, 7.9 s after its node's trouble": (
+    "a request on version 1 12 s after, 7.9 s after its node's impairment": (
         late(12, version=1),
         [impairment(4.1)],
     ),
-    "a request on version 1 12 s after, 8.1 s after its node's trouble": (
+    "a request on version 1 12 s after, 8.1 s after its node's impairment": (
         late(12, version=1),
         [impairment(3.9)],
     ),
-    "a request on version 1 12 s after, 7.9 s after another node's trouble": (
+    "a request on version 1 12 s after, 7.9 s after another node's impairment": (
         late(12, version=1),
         [impairment(4.1, "n2")],
     ),
@@ -151,7 +151,7 @@
     timeline = Timeline()
     timeline.stops.append(Stop("n1", CHANGED_AT, CHANGED_AT + 3.0))
     timeline.impairments.append(Impairment("n1", CHANGED_AT, CHANGED_AT + 4.0, halted=True))
-    if "slept" in what:
+    if "suspended" in what:
         timeline.impairments.append(
             Impairment("n1", CHANGED_AT + 1.0, CHANGED_AT + 1.5, halted=True)
         )
@@ -241,7 +241,7 @@
     assert len(context.soak.hard_load.counts) == 5, context.soak.hard_load.counts
 
 
-@then("it had faults and served requests, and broke no promise")
+@then("it had faults and served requests, and violated no guarantee")
 def step_no_violation(context):
     served = sum(call.status == 200 and call.complete for call in context.soak.calls)
     faults = context.soak.fleet.timeline.faults
@@ -271,7 +271,7 @@
         Call(a.attempt_id, "stream", "key", a.at, 502, b"", True, "n1", CRASH_BODY)
         for a in arrivals
     ]
-    if "kept from engines" in what:
+    if "quarantined" in what:
         body = b"another" if "another" in what else CRASH_BODY
         refusal = b'{"Error": "kept", "Code": 2013}'
         calls.append(Call("refused", "stream", "key", 9.0, 503, refusal, True, "n1", body))
@@ -297,35 +297,35 @@
 
 # By description: the requests of a node to the engine, and the node's impairments.
 ANNOUNCEMENTS = {
-    "a request 2.1 s after its engine's word": (
+    "a request 2.1 s after its engine's announcement": (
         [answered(announced_leaving=True), answered(102.1)],
         [],
     ),
-    "a request 1.9 s after its engine's word": (
+    "a request 1.9 s after its engine's announcement": (
         [answered(announced_leaving=True), answered(101.9)],
         [],
     ),
-    "a request after the word of a lost answer": (
+    "a request after an announcement in a lost answer": (
         [answered(announced_leaving=True, cut=True), answered(109)],
         [],
     ),
-    "a request 9 s after the word, its node killed between": (
+    "a request 9 s after the announcement, its node killed between": (
         [answered(announced_leaving=True), answered(109)],
         [Impairment("n1", 103.0, 104.0, halted=True)],
     ),
-    "a request 9 s after the word, its node cut off between": (
+    "a request 9 s after the announcement, its node cut off between": (
         [answered(announced_leaving=True), answered(109)],
         [Impairment("n1", 103.0, 104.0)],
     ),
-    "three requests within a rest": (
+    "three requests during a backoff": (
         [answered(retry_after_s=3.0), answered(101), answered(102), answered(102.9)],
         [],
     ),
-    "two requests within a rest": (
+    "two requests during a backoff": (
         [answered(retry_after_s=3.0), answered(101), answered(102), answered(103.1)],
         [],
     ),
-    "three requests within a rest, its node cut off": (
+    "three requests during a backoff, its node cut off": (
         [answered(retry_after_s=3.0), answered(101), answered(102), answered(102.9)],
         [Impairment("n1", 101.0, 101.5)],
     ),
--- a/features/steps/store_era_overlap_steps.py
+++ b/features/steps/store_era_overlap_steps.py
@@ -58,15 +58,15 @@
 
 TROUBLES = {
     "the leader is killed and starts again": restart_leader,
-    "the machine sleeps": suspend_last_node,
+    "the machine is suspended": suspend_last_node,
     "a node that does not lead is killed and starts again": restart_follower,
-    "a node stands still": pause_node,
+    "a node is paused": pause_node,
     "another node starts": add_node,
     "the store answers two nodes 1.5 s later": refuse_two_nodes,
 }
 
 
-@given("{count:d} nodes, the last on a machine that may sleep")
+@given("{count:d} nodes, the last on a machine that can be suspended")
 def step_nodes_and_sleeper(context, count):
     async def add():
         for number in range(1, count + 1):
--- a/features/store_era_overlaps.feature
+++ b/features/store_era_overlaps.feature
@@ -17,7 +17,7 @@
 
     Examples:
       | trouble                                  |
-      | a node stands still                      |
+      | a node is paused                         |
       | another node starts                      |
       | the store answers two nodes 1.5 s later  |
 
@@ -45,12 +45,12 @@
     And all engines load the further version within 8 s
     And no engine that left got a request later than 2 s after the restore
 
-  Scenario: A machine sleeps during the restore
+  Scenario: A machine is suspended during the restore
     Given a stand-in platform with 4 desk engines and 3 model engines
     And a store that reports its era
-    And 4 nodes, the last on a machine that may sleep
+    And 4 nodes, the last on a machine that can be suspended
     And callers that call all nodes on "whole" and "stream" and know where they called
-    When keys, weights and engines change, and the store is unavailable for 0.8 s and restored from a copy 4 s old, while the machine sleeps
+    When keys, weights and engines change, and the store is unavailable for 0.8 s and restored from a copy 4 s old, while the machine is suspended
     And operators and engines write the lost records again, then a further key and version
     Then all nodes accept the further key within 2 s
     And all engines load the further version within 8 s
