--- a/features/crash_fleet.py
+++ b/features/crash_fleet.py
@@ -12,7 +12,7 @@
 # Observed streams: the first event after 0.03 to 0.2 s, the end after 0.3 to 5 s.
 FIRST_EVENT_S = (0.03, 0.2)
 STREAM_S = (0.3, 5.0)
-# The time from the send of the deadly request to the crash of its worker.
+# The time from the send of the crash request to the crash of its worker.
 CRASH_AFTER_S = (0.046, 0.093)
 REPLACED_AFTER_S = 3.0
 CALLER_RETRY_S = 0.35
--- a/features/engine_limits.feature
+++ b/features/engine_limits.feature
@@ -122,7 +122,7 @@
     When a names a limit of 1 a second in an answer
     Then a request that prefers a waits 0.1 s at most, and is sent to b
 
-  Scenario: A request waits without a chance while all engines are limited
+  Scenario: A request waits for a permit that comes too late while all engines are limited
     Given a node that knows engines a and b with the weights of version 1
     When both name a limit of 0.5 a second, and their first permits are used
     Then a request is refused at once, with the time until the next permit
@@ -257,7 +257,7 @@
     And these callers go on for 4 s
     Then nodes that know the limit sent such an engine together no more than it allows
 
-  Scenario: Callers wait without a chance where all engines are limited
+  Scenario: Callers wait for permits that come too late while all engines are limited
     Given a stand-in platform with 2 desk engines and 2 model engines
     And 3 nodes
     And callers that call all nodes on "whole" and "stream" and know where they called
--- a/features/gateway_quarantine.feature
+++ b/features/gateway_quarantine.feature
@@ -3,12 +3,12 @@
   Background:
     Given three nodes that receive each other's reports at once, and engines 1 to 6
 
-  Scenario: All nodes quarantine a request alike, and a node that lost it stores and reports the entry
+  Scenario: All nodes quarantine the same request, and a node that lost it stores and reports the entry
     When node 1 loses "deadly" early as engine 1 ends, and node 2 as engine 2 ends a second later
     Then after 0.2 s all nodes quarantine "deadly" for about 600 s
     And a node that lost it stored the entry at once, and node 3 only in case no other node does
 
-  Scenario: A request that crashes engines over a longer time than their ends are remembered is quarantined
+  Scenario: A request is quarantined although its crashes are further apart than ends of engines are remembered
     When node 1 loses "deadly" early as engine 1 ends
     And nothing happens for 500 s
     And another engine has ended without it, and node 2 loses "deadly" early as engine 2 ends
@@ -18,7 +18,7 @@
 
   Scenario: A node with a loss that learns of a quarantine before its own decision stores the entry at once
     When node 1 loses "deadly" early as engine 1 ends, and node 2 as engine 2 ends a second later
-    And node 2 is told by node 3 that "deadly" is in quarantine
+    And node 3 reports to node 2 that "deadly" is in quarantine
     Then node 2 stored the entry at once, with its route
 
   Scenario: A repeated report is not taken for a new run of a request in quarantine
@@ -28,7 +28,7 @@
 
   Scenario: A request waits for the decision on it, and others do not
     When node 1 loses "deadly" early as engine 1 ends, and node 2 as engine 2 ends a second later
-    Then node 2 holds "deadly" back for 0.1 s and "other" not at all
+    Then node 2 delays "deadly" by 0.1 s, and does not delay "other"
 
   Scenario: A node with a loss that learns of the first end after the second one stores the entry at once, too
     Given node 2 receives the reports of node 1 half a second after the second end
@@ -36,15 +36,15 @@
     Then after 0.8 s all nodes quarantine "deadly" for about 600 s
     And a node that lost it stored the entry at once, and node 3 only in case no other node does
 
-  Scenario: A run that breaks at an engine that does not end is no evidence
+  Scenario: A run that is lost at an engine that does not end is no evidence
     When node 1 twice loses "deadly" early at engine 1, which does not end
     Then no node suspects "deadly"
 
-  Scenario: A request that its caller gave up just before the end is a suspect
+  Scenario: A request that its caller abandons just before the engine ends is a suspect
     When node 1 abandons "deadly" 0.2 s before it finds that engine 1 has ended
     Then all nodes suspect "deadly"
 
-  Scenario: A request that its caller gave up long before the end is no suspect
+  Scenario: A request that its caller abandons long before the engine ends is no suspect
     When node 1 abandons "deadly" 0.8 s before it finds that engine 1 has ended
     Then no node suspects "deadly"
 
@@ -74,18 +74,18 @@
     And node 1 loses "other" early as engine 4 ends
     Then after 0.2 s no node quarantines "other"
 
-  Scenario: A node that does not know of a quarantine is told when it reports a run
+  Scenario: A node that does not know of a quarantine learns of it when it reports a run
     Given node 3 alone does not know that "deadly" is in quarantine
     When node 3 loses "deadly" early as engine 3 ends
     Then after 0.2 s all nodes quarantine "deadly" for about 600 s
 
   Scenario: Each further end doubles the time in quarantine
-    Given the quarantine of "deadly" ended a moment ago at all nodes
+    Given the quarantine of "deadly" ended 1 s ago at all nodes
     When node 1 loses "deadly" early as engine 4 ends
     Then after 0.2 s all nodes quarantine "deadly" for about 1200 s
 
   Scenario: A request that is served after its quarantine is removed from the list and the store
-    Given the quarantine of "deadly" ended a moment ago at all nodes
+    Given the quarantine of "deadly" ended 1 s ago at all nodes
     When node 3 sees "deadly" served
     Then no node suspects "deadly"
     And node 3 deletes its record
--- a/features/steps/crash_request_steps.py
+++ b/features/steps/crash_request_steps.py
@@ -51,7 +51,7 @@
 
 @dataclass(frozen=True)
 class DeadlyAnswer:
-    """The answer to one send of the deadly request, or None for what did not come."""
+    """The answer to one send of the crash request; fields that did not arrive are None."""
 
     node: str
     sent_at: float
@@ -148,7 +148,7 @@
 
 
 async def repeat_request(test_run, seconds, path="/stream/deadly", nodes=None):
-    """Send the deadly request to each node in turn, beside the requests of other callers."""
+    """Send the crash request to each node in turn, beside the requests of other callers."""
     test_run.is_over = False
     among = nodes or test_run.deployment.nodes
     others = [asyncio.ensure_future(call_others(test_run, n, among)) for n in range(OTHER_CALLERS)]
--- a/features/steps/gateway_quarantine_steps.py
+++ b/features/steps/gateway_quarantine_steps.py
@@ -207,7 +207,7 @@
             quarantine.apply_record(entry, context.fleet.now)
 
 
-@given('the quarantine of "{name}" ended a moment ago at all nodes')
+@given('the quarantine of "{name}" ended 1 s ago at all nodes')
 def step_quarantine_over(context, name):
     entry = QuarantineEntry(request_named(name).fingerprint, time.time() - 1.0, 1, "", "", ("1",))
     for quarantine in context.fleet.nodes.values():
@@ -243,8 +243,8 @@
     assert {at_once for _, at_once in context.fleet.storages[other].saved} == {False}
 
 
-@when('node {node} is told by node {other} that "{name}" is in quarantine')
-def step_told_of_quarantine(context, node, other, name):
+@when('node {other} reports to node {node} that "{name}" is in quarantine')
+def step_quarantine_reported(context, node, other, name):
     fingerprint = request_named(name).fingerprint
     entry = QuarantineEntry(fingerprint, time.time() + 600.0, 1, "", "", ("1", "2"))
     context.fleet.nodes[node].apply_quarantined(entry, context.fleet.now)
@@ -274,8 +274,8 @@
     assert context.fleet.sent == 1, context.fleet.sent
 
 
-@then('node {node} holds "{name}" back for {seconds:g} s and "{other}" not at all')
-def step_holds(context, node, name, seconds, other):
+@then('node {node} delays "{name}" by {seconds:g} s, and does not delay "{other}"')
+def step_delays(context, node, name, seconds, other):
     quarantine, now = context.fleet.nodes[node], context.fleet.now
     assert not quarantine.is_decided(request_named(name), now + seconds - 0.01)
     assert quarantine.is_decided(request_named(other), now)
--- a/features/steps/room_steps.py
+++ b/features/steps/room_steps.py
@@ -112,7 +112,7 @@
 
 
 def next_step(line, asked, kind, what):
-    """Carry out a step; return who is newly asked, and whom the step was about."""
+    """Carry out a step; return the request that it woke, and the request that it concerned."""
     if kind == "join":
         line.join(what)
         return line.start_untried_round(), None
