--- a/liftrill/node/dispatcher.py
+++ b/liftrill/node/dispatcher.py
@@ -26,7 +26,7 @@
 
 
 class Dispatcher(RoutingPorts):
-    """Chooses engines with the node's router, and holds the requests that wait for one."""
+    """Chooses engines with the node's router, and suspends queued requests until their dispatch."""
 
     def __init__(self, router: Router, metrics: NodeMetrics) -> None:
         self.router = router
@@ -36,7 +36,7 @@
     def choose(
         self, request: RoutedRequest, excluded: frozenset[str], weight_version: str | None
     ) -> EngineChoice | Unavailable:
-        """Return the router's choice, and record how long it took."""
+        """Return the router's choice, and record the duration of the decision."""
         started_at = time.perf_counter()
         choice = self.router.choose(request, excluded, weight_version)
         self._metrics.decision_seconds.observe(time.perf_counter() - started_at)
@@ -59,14 +59,14 @@
         if item is None:
             retry_after = max(constants.RETRY_AFTER_SECONDS, wait)
             raise WaitRefusedError(ResultCode.QUEUE_FULL, retry_after)
-        turn: asyncio.Future[None] = asyncio.get_running_loop().create_future()
-        self._waiters[request.request_id] = turn
+        dispatch_grant: asyncio.Future[None] = asyncio.get_running_loop().create_future()
+        self._waiters[request.request_id] = dispatch_grant
         self._metrics.queued.inc()
         try:
             # The wake is deferred to the next event loop iteration, so that timers such as
-            # deadlines can run even if turns are granted repeatedly.
+            # deadlines can run even if dispatches are granted repeatedly.
             asyncio.get_running_loop().call_soon(self.wake, request.model)
-            await turn
+            await dispatch_grant
         except BaseException:
             self.router.release_dispatch_grant(request)
             raise
@@ -76,10 +76,10 @@
             self._metrics.queued.dec()
 
     def wake(self, model: str | None = None) -> None:
-        """Resume the waiting requests that the router grants a turn, for one model or for all."""
+        """Resume the queued requests that the router grants a dispatch, of one model or of all."""
         for request in self.router.grant_dispatches(model):
-            turn = self._waiters.get(request.request_id)
-            if turn is None or turn.done():
+            dispatch_grant = self._waiters.get(request.request_id)
+            if dispatch_grant is None or dispatch_grant.done():
                 self.router.release_dispatch_grant(request)
             else:
-                turn.set_result(None)
+                dispatch_grant.set_result(None)
