--- a/liftrill/bench/scale/hollow_node.py
+++ b/liftrill/bench/scale/hollow_node.py
@@ -21,7 +21,7 @@
     Member,
     MemberChanged,
     MembershipInstruction,
-    NewerGenerationHeard,
+    NewerGenerationSeen,
     SendDatagram,
     Ticked,
 )
@@ -159,7 +159,7 @@
                 self._send(instruction)
             elif isinstance(instruction, MemberChanged):
                 self._record_member(instruction.member)
-            elif isinstance(instruction, NewerGenerationHeard):
+            elif isinstance(instruction, NewerGenerationSeen):
                 self._pull_configuration(instruction.address)
 
     def _send(self, instruction: SendDatagram) -> None:
--- a/liftrill/coordination/membership.py
+++ b/liftrill/coordination/membership.py
@@ -28,7 +28,7 @@
     MemberListRequest,
     MembershipEvent,
     MembershipInstruction,
-    NewerGenerationHeard,
+    NewerGenerationSeen,
     Ping,
     PingRequest,
     SendDatagram,
@@ -201,7 +201,7 @@
         is_list = isinstance(datagram.body, MemberList)
         instructions = self.merge(datagram.members, now, spread=not is_list)
         if datagram.generation > self.generation:
-            instructions.append(NewerGenerationHeard(event.source_address, datagram.generation))
+            instructions.append(NewerGenerationSeen(event.source_address, datagram.generation))
         if isinstance(datagram.body, Ping):
             instructions.append(self._acknowledge(event))
         elif isinstance(datagram.body, PingRequest):
--- a/liftrill/coordination/membership_messages.py
+++ b/liftrill/coordination/membership_messages.py
@@ -115,7 +115,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class NewerGenerationHeard:
+class NewerGenerationSeen:
     """Notice that a member has a newer configuration in force than this node."""
 
     address: str
@@ -123,4 +123,4 @@
 
 
 MembershipEvent = Ticked | DatagramReceived
-MembershipInstruction = SendDatagram | MemberChanged | NewerGenerationHeard
+MembershipInstruction = SendDatagram | MemberChanged | NewerGenerationSeen
--- a/liftrill/gateway/peers/peer_link.py
+++ b/liftrill/gateway/peers/peer_link.py
@@ -15,7 +15,7 @@
     Member,
     MemberChanged,
     MembershipInstruction,
-    NewerGenerationHeard,
+    NewerGenerationSeen,
     Ping,
     SendDatagram,
     Ticked,
@@ -305,7 +305,7 @@
                 self._send(instruction.address, datagram_message(instruction.datagram))
             elif isinstance(instruction, MemberChanged):
                 self._callbacks.member_changed(instruction.member)
-            elif isinstance(instruction, NewerGenerationHeard):
+            elif isinstance(instruction, NewerGenerationSeen):
                 self._callbacks.newer_version(instruction.generation)
 
     def _others(self) -> tuple[Member, ...]:
--- a/liftrill/node/gossip.py
+++ b/liftrill/node/gossip.py
@@ -13,7 +13,7 @@
     Member,
     MemberChanged,
     MembershipInstruction,
-    NewerGenerationHeard,
+    NewerGenerationSeen,
     SendDatagram,
     Ticked,
 )
@@ -141,7 +141,7 @@
             elif isinstance(instruction, MemberChanged):
                 member = instruction.member
                 log_change("member", node=member.node_id, condition=member.condition.name.lower())
-            elif isinstance(instruction, NewerGenerationHeard):
+            elif isinstance(instruction, NewerGenerationSeen):
                 self._on_newer_generation(instruction.address)
 
     def _send(self, instruction: SendDatagram) -> None:
