--- a/liftrill/cache/directory.py
+++ b/liftrill/cache/directory.py
@@ -94,7 +94,7 @@
         return depth
 
     def mark_shared(self, markers: Sequence[bytes], now: float) -> None:
-        """Mark markers as shared, because an engine had them cached from another request."""
+        """Mark markers as shared, because an engine had cached them for another request."""
         for name in markers:
             if name not in self._markers:
                 self._add_marker(name, now)
--- a/liftrill/constants.py
+++ b/liftrill/constants.py
@@ -169,14 +169,16 @@
 BROADCAST_PREFILL_LIFETIME_S = _number("LIFTRILL_TOLD_READING_S", 0.4)
 # Longer than the prefill of all but the longest prompts (0.25 s for 10,000 tokens).
 ASSUMED_PREFILL_S = _number("LIFTRILL_READING_S", 1.0)
-# Initial and maximum time for which an engine is assumed to cache a prefix it used. An engine
-# that no longer holds it answers within a millisecond, but the prefix is then prefilled again.
+# How long an engine is assumed to cache a prefix after its last use: the value before the node has
+# estimated the retention from its traffic, and the upper bound of the estimate. An engine that has
+# evicted the prefix reports so within a millisecond, but the prefix is then prefilled again.
 INITIAL_CACHE_RETENTION_S = _number("LIFTRILL_KEPT_HOLDER_S", 1.0)
 MAX_CACHE_RETENTION_S = _number("LIFTRILL_KEPT_LONGEST_S", 4.0)
 ANNOUNCED_PREFIX_MIN_TOKENS = _count("LIFTRILL_KEPT_NEWS_TOKENS", 512)
 RECOMPUTE_COST_FACTOR = _number("LIFTRILL_REREAD_FACTOR", 3.0)
 # With 1,138 sessions and 100 requests per second, one request in twenty arrives before peers know
-# that its session is being prefilled (0.6 s): 0.05 x 3, and more for frequently used sessions.
+# that its session is being prefilled (0.6 s): 0.05 times RECOMPUTE_COST_FACTOR, and more for
+# frequently used sessions.
 RARE_RECOMPUTE_COST_FACTOR = _number("LIFTRILL_RARE_REREAD_FACTOR", 0.3)
 # With more engines there are so many nodes that a node's view of the load that its peers send is
 # older than a prefill takes: 0.1 s with 8 nodes, 0.2 to 0.8 s with 195; a prefill takes 0.24 s.
@@ -184,7 +186,8 @@
 # With more nodes, each routes by aggregated load reports, which arrive later than direct ones.
 FRESH_LOAD_MAX_NODES = _count("LIFTRILL_MANY_CHOOSING_NODES", 12)
 # Two choices already avoid most of the queueing; the third allows for one silent engine in four.
-# Served 0.764 of the requests' value on a third of the large site, and 0.757 with all engines.
+# Routing with three choices served 0.764 of the requests' value on a third of the large site, and
+# routing with all engines 0.757.
 CHOICES_PER_PROMPT = _count("LIFTRILL_FEW_CHOICES", 3)
 # How long a request waits for one of its prompt's choices before any other engine is better:
 # about the delay caused by one long prompt ahead of it.
--- a/liftrill/coordination/lease.py
+++ b/liftrill/coordination/lease.py
@@ -82,7 +82,7 @@
         self._extend(asked_at)
 
     def step_down(self) -> None:
-        """Give up the lease: it expired, or an order with its fencing token was refused."""
+        """Discard the lease: it expired, or an order with its fencing token was refused."""
         self.token = None
         self._session = ""
 
--- a/liftrill/coordination/membership.py
+++ b/liftrill/coordination/membership.py
@@ -273,7 +273,7 @@
         if not candidates:
             return []
         address = self._random.choice(candidates)
-        # The request includes the own record, because the receiver may not know this member.
+        # The request includes the record of this member, since the receiver may not have it.
         return [self._send(address, 0, MemberListRequest(), (self._own,))]
 
     def _next_request_age_s(self) -> float:
@@ -318,7 +318,7 @@
         known = {m.address for m in self.members()}
         dead = [m.address for m in self._table if m.condition is Condition.DEAD]
         candidates = [address for address in (*dead, *self._seeds) if address not in known]
-        # The ping includes the own record, because the receiver may have removed this member.
+        # The ping includes the record of this member, since the receiver may have removed it.
         return [self._ping(self._random.choice(candidates), (self._own,))] if candidates else []
 
     def _next_target(self) -> Member | None:
--- a/liftrill/coordination/membership_messages.py
+++ b/liftrill/coordination/membership_messages.py
@@ -5,7 +5,7 @@
 
 
 class Condition(IntEnum):
-    """The believed condition of a member; at equal incarnations the higher one takes precedence."""
+    """The assumed condition of a member; at equal incarnations the higher one takes precedence."""
 
     ALIVE = 0
     SUSPECT = 1
--- a/liftrill/coordination/quota.py
+++ b/liftrill/coordination/quota.py
@@ -28,14 +28,15 @@
 # A request that spends at least this share of its tenant's burst sends a notice immediately, so
 # that fewer than 20 such requests are in progress before other nodes know of them.
 NOTICE_BURST_SHARE = 0.05
-# So does any request while less than this share of the burst remains. Ordinary use leaves most of
-# the burst; a tenant at five times its rate uses up the rest in a twelfth of a second.
+# Any request sends a notice while less than this share of the burst remains. Ordinary use leaves
+# most of the burst; a tenant at five times its rate uses up the rest in a twelfth of a second.
 NOTICE_LEVEL_SHARE = 0.75
 # The share of the allowed units that buckets let through. The rest covers the loss of 5 % of the
 # notices, and requests that other nodes admit before a notice reaches them.
 USED_SHARE = 0.93
-# The time after which a lower number of nodes takes effect. It exceeds the 5 s for which a
-# partitioned node still accepts API keys plus the 3 s until it declares the others dead.
+# The time since the last confirmation of a number of nodes after which a lower one takes effect.
+# It exceeds the 5 s for which a partitioned node accepts API keys without reading the store (the
+# default), plus the 3 s within which it declares the unreachable nodes dead.
 FLEET_SHRINK_S = 10.0
 # The maximum retry delay of a refused request: few callers wait longer.
 MAX_RETRY_DELAY_S = 30.0
@@ -44,8 +45,8 @@
 # Callers without a slot within their maximum wait retry at a random time in at least the last
 # quarter of it, so that they do not all retry together.
 RETRY_START_SHARE = 0.75
-# The time constant for averaging the units that this node admits, which determine the length of
-# retry slots. It suits callers that wait for a few seconds.
+# The time constant for averaging the rate of units that this node admits, which determines the
+# length of retry slots. About the retry delay of callers whose maximum wait is a few seconds.
 ADMITTED_DECAY_S = 2.0
 # The first notice number of a node is random below this, so that the numbers of two runs differ.
 FIRST_NOTICE_NUMBER_LIMIT = 1 << 32
@@ -137,7 +138,7 @@
         self._confirmed_at = 0.0
 
     def record_alive(self, alive: int, now: float) -> None:
-        """Record the number of nodes that are currently believed alive."""
+        """Record the number of nodes that are currently considered alive."""
         if alive >= self.nodes or now - self._confirmed_at > FLEET_SHRINK_S:
             self.nodes = max(1, alive)
             self._confirmed_at = now
--- a/liftrill/emulator/engine_model.py
+++ b/liftrill/emulator/engine_model.py
@@ -62,7 +62,7 @@
 
     Attributes:
         assignment: pool, model and weight version that are served.
-        incarnation: identifies the engine's life; each crash begins a new one.
+        incarnation: identifies the run of the engine; each crash starts a new one.
         revision: increases when the assignment, its loading or `leaving` changes.
         accepts_while_leaving: accept requests although `leaving` is reported, as a fault.
         loading_until: when the next assignment is loaded, or None unless one is being loaded.
@@ -141,7 +141,7 @@
         return self._by_attempt.get(attempt_id)
 
     def cancel(self, attempt_id: str) -> bool:
-        """Stop and forget an attempt; return False if the engine does not hold it."""
+        """Stop and remove an attempt; return False if the engine does not hold it."""
         generation = self._by_attempt.pop(attempt_id, None)
         if generation is None:
             return False
--- a/liftrill/errors.py
+++ b/liftrill/errors.py
@@ -118,7 +118,7 @@
     MEMORY_SPENT = CodeDetails(
         2014,
         503,
-        "The node has no memory left for the bodies of requests.",
+        "The node has no memory for the body, or evicted it because it arrived too slowly.",
         "Send to another node, or try again after Retry-After.",
     )
     NODE_BUSY = CodeDetails(
--- a/liftrill/node/configuration_sync.py
+++ b/liftrill/node/configuration_sync.py
@@ -70,7 +70,7 @@
         self._install()
 
     async def join_from_peers(self) -> None:
-        """Ask the peers for snapshots until a configuration and engines are known.
+        """Request snapshots from the peers until a configuration and engines are known.
 
         A peer that has started recently may have a configuration and no engines yet, or the
         reverse.
--- a/liftrill/routing/outcome.py
+++ b/liftrill/routing/outcome.py
@@ -114,7 +114,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Failed:
-    """The request failed with an error, which tells whether the request may have run."""
+    """The request failed with an error, which states whether the request may have run."""
 
     error: RequestError
 
