--- a/features/quota_network.py
+++ b/features/quota_network.py
@@ -134,7 +134,7 @@
         direct = self.count <= DIRECT_NODES
         for other in range(self.count):
             if other != number and (direct or self.zone(other) == self.zone(number)):
-                self.send(number, other, lambda o=other: self.apply_spending_report(o, source, own))
+                self.send(number, other, lambda o=other: self.hear(o, source, own))
         if not direct and number < ZONES:
             total = node.zone_report(self.zone(number), now)
             for delegate in range(ZONES):
@@ -143,12 +143,12 @@
 
     def relay(self, delegate, number, total):
         source = QuotaSource(self.zone(number))
-        self.apply_spending_report(delegate, source, total)
+        self.hear(delegate, source, total)
         for other in range(delegate + ZONES, self.count, ZONES):
-            self.send(delegate, other, lambda o=other: self.apply_spending_report(o, source, total))
+            self.send(delegate, other, lambda o=other: self.hear(o, source, total))
 
-    def apply_spending_report(self, number, source, report):
-        self.nodes[number].apply_spending_report(source, report, self.clock.now())
+    def hear(self, number, source, report):
+        self.nodes[number].hear(source, report, self.clock.now())
 
     def send(self, number, other, deliver):
         if self.random.random() < self.loss_share or not self.reaches(number, other):
@@ -208,12 +208,10 @@
     def send_notice(self, number, notice):
         for other in range(self.count) if notice is not None else ():
             for _ in range(1 + self.duplicate_notices) if other != number else ():
-                self.send(
-                    number, other, lambda o=other: self.apply_spending_notice(o, number, notice)
-                )
+                self.send(number, other, lambda o=other: self.hear_spending(o, number, notice))
 
-    def apply_spending_notice(self, number, sender, notice):
-        self.nodes[number].apply_spending_notice(str(sender), notice, self.clock.now())
+    def hear_spending(self, number, sender, notice):
+        self.nodes[number].hear_spending(str(sender), notice, self.clock.now())
 
     # Results
 
--- a/features/steps/quota_steps.py
+++ b/features/steps/quota_steps.py
@@ -281,7 +281,7 @@
 def step_first_spends(context, units, result):
     context.first.spend(units)
     if result == "receives the notice":
-        context.second.buckets.apply_spending_notice("first", context.first.notice, 0.0)
+        context.second.buckets.hear_spending("first", context.first.notice, 0.0)
     context.refund = context.first.buckets.refund(TENANT, float(units), 0.0)
 
 
@@ -289,18 +289,18 @@
 def step_third_spends(context, units):
     third = SharingNode()
     third.spend(units)
-    context.second.buckets.apply_spending_notice("third", third.notice, 0.0)
+    context.second.buckets.hear_spending("third", third.notice, 0.0)
 
 
 @when("the second node receives the refund {times:d} times")
 def step_receives_refund(context, times):
     for _ in range(times):
-        context.second.buckets.apply_spending_notice("first", context.refund, 0.0)
+        context.second.buckets.hear_spending("first", context.refund, 0.0)
 
 
 @when("the second node receives the refund {seconds:g} s later")
 def step_receives_refund_late(context, seconds):
-    context.second.buckets.apply_spending_notice("first", context.refund, seconds)
+    context.second.buckets.hear_spending("first", context.refund, seconds)
 
 
 @then("the second node has {units:d} units left")
--- a/liftrill/coordination/quota.py
+++ b/liftrill/coordination/quota.py
@@ -321,7 +321,7 @@
             return None
         return self._sent_notices.refund(tenant, amount, now)
 
-    def apply_spending_report(self, source: QuotaSource, report: QuotaReport, now: float) -> None:
+    def hear(self, source: QuotaSource, report: QuotaReport, now: float) -> None:
         """Apply a report: refill by its share of the fleet, and charge its spending."""
         if not source.node:
             for known in [s for s in self._reports if s.zone == source.zone and s.node]:
@@ -341,7 +341,7 @@
                 bucket.credit(self._credit_s)
                 bucket.level -= amount * elapsed_s / REPORT_WINDOW_S
 
-    def apply_spending_notice(self, sender: str, notice: SpendingNotice, now: float) -> None:
+    def hear_spending(self, sender: str, notice: SpendingNotice, now: float) -> None:
         """Apply another node's notice of spending or of a refund."""
         bucket = self._buckets.get(notice.tenant)
         if bucket is not None:
--- a/liftrill/gateway/admission/quota_gate.py
+++ b/liftrill/gateway/admission/quota_gate.py
@@ -103,7 +103,7 @@
         if report.quota is None:
             return
         node = report.node if report.scope is LoadScope.NODE else ""
-        self.buckets.apply_spending_report(QuotaSource(report.zone, node), report.quota, now)
+        self.buckets.hear(QuotaSource(report.zone, node), report.quota, now)
 
     def with_quota(self, message: SendReport, now: float) -> SendReport:
         """Return a message to other nodes with the spending of its node or zone added."""
--- a/liftrill/gateway/gateway.py
+++ b/liftrill/gateway/gateway.py
@@ -590,7 +590,7 @@
         self._peers.broadcast_prefill(view.number, tokens)
 
     def _on_spending(self, sender: str, notice: SpendingNotice) -> None:
-        self._quotas.buckets.apply_spending_notice(sender, notice, clock.now_s())
+        self._quotas.buckets.hear_spending(sender, notice, clock.now_s())
 
     def _send_spending(self, notice: SpendingNotice) -> None:
         self._peers.broadcast_spending(notice)
