--- a/features/steps/engine_limit_steps.py
+++ b/features/steps/engine_limit_steps.py
@@ -358,14 +358,14 @@
 @given("a node that asks for a permit at 0 s")
 def step_asks(context):
     context.holder = PermitHolder()
-    context.holder.record_request(1, "user", 0.0)
+    context.holder.ask(1, "user", 0.0)
 
 
 @when("the answer comes at {seconds:g} s")
 def step_answered(context, seconds):
     context.now = seconds
     decision = PermitDecision(1, True, 0.0, run=1, issued_at=500.0)
-    context.holder.apply_decision(decision, "issuer", seconds)
+    context.holder.decided(decision, "issuer", seconds)
 
 
 @then("the permit is {state} then, and not usable at {seconds:g} s")
--- a/liftrill/coordination/permits.py
+++ b/liftrill/coordination/permits.py
@@ -180,11 +180,11 @@
             return wait_s
         return max(wait_s, request.requested_at + DECISION_TIMEOUT_S - now)
 
-    def record_request(self, number: int, user: str, now: float) -> None:
+    def ask(self, number: int, user: str, now: float) -> None:
         """Record a request for a permit."""
         self._pending = _PendingRequest(number, user, now)
 
-    def apply_decision(self, decision: PermitDecision, issuer: str, now: float) -> bool:
+    def decided(self, decision: PermitDecision, issuer: str, now: float) -> bool:
         """Apply the issuer's decision; return whether its request was pending."""
         request = self._pending
         if request is None or request.number != decision.number:
--- a/liftrill/gateway/engines/engine_limits.py
+++ b/liftrill/gateway/engines/engine_limits.py
@@ -235,7 +235,7 @@
         if state.holder.user:
             self.peers.permit_unanswered(engine, issuer)
         number = next(self._numbers)
-        state.holder.record_request(number, user, now)
+        state.holder.ask(number, user, now)
         request = PermitRequest(state.limit, number, patience_s)
         if issuer == self.peers.node_id:
             self._apply_response(issuer, self._respond(request, now), now)
@@ -354,7 +354,7 @@
             # The issuer receives every rate that the engine states, so its rate is the newest.
             state.limit = response.limit
         user = state.holder.user
-        if not state.holder.apply_decision(response.decision, node, now):
+        if not state.holder.decided(response.decision, node, now):
             return
         if response.decision.granted:
             self.peers.permit_granted()
