--- a/liftrill/coordination/membership.py
+++ b/liftrill/coordination/membership.py
@@ -28,7 +28,7 @@
     MemberListRequest,
     MembershipEvent,
     MembershipInstruction,
-    NewerGenerationHeard,
+    NewerGenerationSeen,
     Ping,
     PingRequest,
     SendDatagram,
@@ -201,7 +201,7 @@
         is_list = isinstance(datagram.body, MemberList)
         instructions = self.merge(datagram.members, now, spread=not is_list)
         if datagram.generation > self.generation:
-            instructions.append(NewerGenerationHeard(event.source_address, datagram.generation))
+            instructions.append(NewerGenerationSeen(event.source_address, datagram.generation))
         if isinstance(datagram.body, Ping):
             instructions.append(self._acknowledge(event))
         elif isinstance(datagram.body, PingRequest):
@@ -273,7 +273,7 @@
         if not candidates:
             return []
         address = self._random.choice(candidates)
-        # The request includes the own record, because the receiver may not know this member.
+        # The request includes the record of this member, since the receiver may not have it.
         return [self._send(address, 0, MemberListRequest(), (self._own,))]
 
     def _next_request_age_s(self) -> float:
@@ -318,7 +318,7 @@
         known = {m.address for m in self.members()}
         dead = [m.address for m in self._table if m.condition is Condition.DEAD]
         candidates = [address for address in (*dead, *self._seeds) if address not in known]
-        # The ping includes the own record, because the receiver may have removed this member.
+        # The ping includes the record of this member, since the receiver may have removed it.
         return [self._ping(self._random.choice(candidates), (self._own,))] if candidates else []
 
     def _next_target(self) -> Member | None:
