--- a/liftrill/gateway/admission/overload.py
+++ b/liftrill/gateway/admission/overload.py
@@ -83,7 +83,7 @@
         timely_wait_share: share of its target that a request may wait and still be in time.
         urgent_factor: factor on the allowed estimated wait of the most urgent requests, since
             engines take them before other waiting requests.
-        burst_wait_limit_s: bound of the wait even in a short burst, since callers give up.
+        burst_wait_limit_s: bound of the wait even in a short burst, since callers time out.
         burst_wait_limit_targets: the same bound, relative to the request's target.
         on_change: called when a service enters or leaves overload.
     """
--- a/liftrill/gateway/delivery.py
+++ b/liftrill/gateway/delivery.py
@@ -37,7 +37,7 @@
 
 
 class DeliveryPorts(ABC):
-    """What the state machine needs from the node; no call blocks."""
+    """Functions of the node that the state machine calls; none of them blocks."""
 
     @abstractmethod
     def choose(
--- a/liftrill/gateway/delivery_driver.py
+++ b/liftrill/gateway/delivery_driver.py
@@ -31,7 +31,7 @@
 
 
 class DeliveryOwner(ABC):
-    """What all deliveries of one node share, and what they report their observations to.
+    """State that all deliveries of one node share and report their observations to.
 
     Attributes:
         queues: the requests that wait for engines.
--- a/liftrill/gateway/engines/engine_condition.py
+++ b/liftrill/gateway/engines/engine_condition.py
@@ -1,6 +1,6 @@
 """State that engines report about themselves, kept per incarnation; performs no I/O.
 
-A report is valid for one incarnation of an engine, independent of the engine's record in the
+A signal is valid for one incarnation of an engine, independent of the engine's record in the
 store: records are removed, written again and restored from older copies of the store while the
 same engine keeps running.
 """
@@ -13,10 +13,10 @@
 from liftrill.coordination.permits import Permit
 from liftrill.gateway.delivery_events import EngineAddress
 
-# Retention of engines without a record, counted from their last report: a store that was
+# Retention of engines without a record, counted from their last signal: a store that was
 # unreachable for minutes may still restore the record.
 RETENTION_S = 600.0
-# Upper bound of one backoff: a mistyped Retry-After must not take an engine out of use for good.
+# Upper bound of one backoff: a mistyped Retry-After must not take an engine out of use permanently.
 MAX_BACKOFF_S = 600.0
 # After a backoff an engine gets one trial request per interval until it answers one: all waiting
 # requests of all nodes at once would overload it again. About the duration of a plain answer.
@@ -69,7 +69,7 @@
             never reset.
         backoff_until: time before which this node must send the engine nothing.
         weights: the newest known version of each model.
-        last_reported_at: time of the last report, or of the removal of the engine's record.
+        last_reported_at: time of the last signal, or of the removal of the engine's record.
     """
 
     leaving: bool = False
@@ -140,7 +140,7 @@
             ]
 
     def expire(self, in_records: Iterable[EngineCondition], now: float) -> None:
-        """Drop conditions without a record whose last report is older than RETENTION_S."""
+        """Drop conditions without a record whose last signal is older than RETENTION_S."""
         if now - self._expired_at < EXPIRY_INTERVAL_S:
             return
         self._expired_at = now
--- a/liftrill/gateway/engines/engine_speed.py
+++ b/liftrill/gateway/engines/engine_speed.py
@@ -2,7 +2,7 @@
 
 A pace is the time that one unit of work takes: prefilling a prompt token, producing an event of
 a stream, or giving a whole answer. Observations of about the last second are weighed against a
-long-term average, so that a temporary slowdown shows at once and is soon forgotten, and a single
+long-term average, so that a temporary slowdown takes effect at once and soon expires, and a single
 sample changes little.
 """
 
--- a/liftrill/gateway/engines/engine_table.py
+++ b/liftrill/gateway/engines/engine_table.py
@@ -280,7 +280,7 @@
         return view
 
     def apply_signal(self, signal: EngineSignal, now: float) -> bool:
-        """Apply a report of an engine; return whether it is the first that the engine leaves."""
+        """Apply a signal of an engine; return whether it is the first that the engine leaves."""
         view = self._find_incarnation(signal.engine)
         if view is None and not signal.engine.number:
             return False
--- a/liftrill/gateway/engines/placement.py
+++ b/liftrill/gateway/engines/placement.py
@@ -125,9 +125,11 @@
         many_engines: above this number of engines, and so of nodes, loads become known so late
             that all nodes would send to the engine that the last reports show as idle.
         preferred_engines: number of engines, different for each prompt, that are then preferred.
-        overflow_penalty_s: upper bound of the cost of any other engine then.
-        overflow_penalty_share: the same as a share of the request's target: other requests wait
-            at the preferred engines as well, and a tight target must not be used up there.
+        overflow_penalty_s: cost that is then added to any engine that is neither preferred nor the
+            home of the shared parts.
+        overflow_penalty_share: upper bound of that cost, as a share of the request's target: a
+            request accepts a longer wait at a preferred engine by the added cost, and that wait
+            must not use up a tight target.
         services: profiles that the operator declares, by service.
     """
 
--- a/liftrill/gateway/engines/speed_estimator.py
+++ b/liftrill/gateway/engines/speed_estimator.py
@@ -12,7 +12,7 @@
 MIN_SAMPLE_TOKENS = 2_000
 # With fewer events the longest pause cannot be distinguished from the others.
 MIN_EVENTS = 2
-# Interval of recomputing the paces: a slow engine shows before callers give up, and the cost is
+# Interval of recomputing the paces: a slow engine shows before callers time out, and the cost is
 # small compared with that of serving requests.
 UPDATE_INTERVAL_S = 0.5
 # Shares of the pause target from which some streams are late, and from which all are: the work
--- a/liftrill/gateway/forwarder.py
+++ b/liftrill/gateway/forwarder.py
@@ -30,7 +30,7 @@
 from liftrill.gateway.quarantine import Quarantine
 from liftrill.gateway.transport import EngineAttempt, EngineTransport, ResponseSink
 
-# For how long an engine that refused a request, overloaded or at the wrong version, gets no more.
+# How long an engine that refused a request, for load or for its version, gets no new requests.
 REFUSAL_BACKOFF_SECONDS = 0.15
 
 
@@ -159,7 +159,7 @@
         """Record a prefill, and the tokens processed in it, those queued before included."""
         now = clock.now_s()
         self._selector.parts.record_prefill(choice, request, now)
-        # More urgent prompts overtake the engine's queue, so their times are no measure of it.
+        # More urgent prompts overtake the engine's queue, so their times exclude the queued tokens.
         if not self._selector.guard.is_more_urgent(request):
             self.speeds.record_prefill(choice.engine_id, tokens, elapsed_s, now)
 
--- a/liftrill/gateway/peers/load_shedding.py
+++ b/liftrill/gateway/peers/load_shedding.py
@@ -11,7 +11,7 @@
 # Longer than any pause that the process itself causes, and a large part of the latency target of
 # short requests.
 CLOSE_LAG_S = 0.3
-# Callers give up requests that a node has not read within a second, so at this lag most requests
+# Callers abandon requests that a node has not read within a second, so at this lag most requests
 # that it reads are already abandoned.
 REFUSE_LAG_S = 1.0
 # Consecutive late ticks; a single one is a pause, not a shortage of processor time.
--- a/liftrill/gateway/peers/node_capacity.py
+++ b/liftrill/gateway/peers/node_capacity.py
@@ -28,7 +28,7 @@
 USE_SMOOTHING = 0.25
 # Share of the lag that remains after a tick in time: the lag of a single pause decays in a second.
 LAG_DECAY = 0.6
-# Upper bound of the lag: callers have given up by then.
+# Upper bound of the lag: callers have timed out by then.
 MAX_LAG_S = 2.0
 # A larger lag means that a loop has more work than processor time; timers alone are a few ms late.
 LATE_THRESHOLD_S = 0.1
--- a/liftrill/gateway/peers/node_selection.py
+++ b/liftrill/gateway/peers/node_selection.py
@@ -26,8 +26,8 @@
 MIN_SELECTED_NODES = 8
 # Nodes whose capacities differ by less than this ratio are all returned to every caller.
 MAX_SIMILAR_RATIO = 1.25
-# Minimum factor of a node that is late, short of memory or just back, so that it gets enough
-# requests to show its recovery.
+# Minimum factor of a node that is late, short of memory or ramping up, so that it gets
+# enough requests to show its recovery.
 MIN_FACTOR = 0.1
 # Added to the spare share of each node. Without it a busy fleet would send its callers to whichever
 # node was the last to report a little spare capacity.
@@ -41,8 +41,9 @@
 FACTOR_STEP = 1.15
 # Memory for requests with the largest bodies, and for the other needs of the process.
 SUFFICIENT_MEMORY_BYTES = 24 * 1_048_576
-# The factor of a node that comes back rises over this time, from the start value below: its
-# connection caches are cold, and the callers of the whole zone would move to it at once.
+# The factor of a node that joins, or reports again after a silence, rises over this time, from the
+# start value below: its connection caches are cold, and the callers of the whole zone would move to
+# it at once.
 RAMP_UP_S = 2.0
 RAMP_UP_START = 0.25
 
@@ -67,7 +68,7 @@
 
     @property
     def is_deprioritized(self) -> bool:
-        """Return whether the node is late, short of memory, busier than others or just back."""
+        """Return whether the node is late, short of memory, busier than others or ramping up."""
         return self.factor < DEPRIORITIZED_FACTOR
 
 
--- a/liftrill/gateway/quarantine_ports.py
+++ b/liftrill/gateway/quarantine_ports.py
@@ -1,4 +1,4 @@
-"""What the quarantine needs from its node; no call blocks."""
+"""Functions of the node that the quarantine calls; none of them blocks."""
 
 from abc import ABC, abstractmethod
 
--- a/liftrill/gateway/weight_targets.py
+++ b/liftrill/gateway/weight_targets.py
@@ -76,8 +76,8 @@
     def earliest_publication(self, known_until: float, now: float) -> float:
         """Return the earliest time at which a version that is new now may have been published.
 
-        A node that was cut off for long, or has just started, cannot know. Half of the grace
-        period makes a leader hurry, and leaves enough time to load engines.
+        A node that was cut off for long, or has just started, does not know the time. Assuming
+        half of the grace period makes a leader load earlier, and leaves enough time for the loads.
         """
         return max(known_until, now - self.grace_seconds / 2)
 
@@ -100,8 +100,8 @@
     def newest_undated(self, model: str) -> int:
         """Return the newest version of unknown age, or 0.
 
-        No request may begin on a version older than this one, or than the newest version that any
-        engine has, whichever is older.
+        Requests use no lower version than this one or, while no engine has reached it, than the
+        newest version that a serving engine has.
         """
         return max(
             (p.version for p in self._published.get(model, []) if not p.age_known), default=0
