--- a/liftrill/gateway/engines/placement.py
+++ b/liftrill/gateway/engines/placement.py
@@ -112,8 +112,8 @@
             by this time.
         engines_per_prefix_home: number of engines in a scope per engine that prefills the common
             prefix of many prompts.
-        reread_factor: cost of prefilling a shared part again, relative to waiting as long.
-        rare_reread_factor: the same for a part of few prompts that no engine is known to prefill.
+        recompute_factor: cost of prefilling a shared part again, relative to waiting as long.
+        rare_recompute_factor: the same for a part of few prompts that no engine is known to prefill.
         long_prompt_s: prefill time above which a prompt is assumed to delay the running streams of
             its engine too much, where no route declares a pause target.
         pause_share: cost of each delayed stream, as a share of the prefill time.
@@ -136,8 +136,8 @@
     speeds: SpeedEstimator
     min_transfer_s: float = 0.015
     engines_per_prefix_home: int = 5
-    reread_factor: float = constants.RECOMPUTE_COST_FACTOR
-    rare_reread_factor: float = constants.RARE_RECOMPUTE_COST_FACTOR
+    recompute_factor: float = constants.RECOMPUTE_COST_FACTOR
+    rare_recompute_factor: float = constants.RARE_RECOMPUTE_COST_FACTOR
     long_prompt_s: float = constants.LONG_PROMPT_S
     pause_share: float = constants.LONG_PROMPT_PAUSE_SHARE
     outdated_penalty_s: float = constants.REPLACED_WEIGHTS_WAIT_S
@@ -234,7 +234,7 @@
         prefill_s_per_token = self.speeds.prefill_s_per_token(candidate.view)
         if is_large and not candidate.shared.prefilling_engine:
             return self._reread_cost_tokens(request, missing) * prefill_s_per_token
-        return missing * self.reread_factor * prefill_s_per_token
+        return missing * self.recompute_factor * prefill_s_per_token
 
     def _reread_cost_tokens(self, request: OpaqueRequest, missing_tokens: int) -> float:
         """Return the cost, in tokens, of prefilling parts that other nodes may also prefill.
@@ -245,7 +245,7 @@
         assert request.prompt is not None
         rare_tokens = min(missing_tokens, request.prompt.shared_parts[-1].tokens)
         common_tokens = missing_tokens - rare_tokens
-        return common_tokens * self.reread_factor + rare_tokens * self.rare_reread_factor
+        return common_tokens * self.recompute_factor + rare_tokens * self.rare_recompute_factor
 
     def _pause_cost_s(self, candidate: Candidate, to_prefill: int) -> float:
         """Return the cost of the pauses that a long prompt causes in the engine's streams."""
