--- a/liftrill/gateway/admission/request_queue.py
+++ b/liftrill/gateway/admission/request_queue.py
@@ -133,7 +133,7 @@
     def prefill_completed(self, now: float) -> Waiter | None:
         """Return the request to wake after an engine has prefilled a prompt.
 
-        This frees capacity, and may be what every request waits for that needs no capacity.
+        This frees capacity. Requests that need no capacity may wait for the prefill itself.
         """
         if all(waiter.entry.needs_capacity for waiter in self._waiters.values()):
             return self.capacity_freed()
@@ -248,7 +248,7 @@
         return self._dispatches * math.exp(min(0.0, self._dispatches_at - now) / DRAIN_AVERAGE_S)
 
     def _prune_virtual_times(self) -> None:
-        """Drop the virtual times of idle tenants that are due anyway, if there are many."""
+        """Drop virtual times of idle tenants that are not ahead of the queue, if there are many."""
         if len(self._virtual_times) <= MAX_IDLE_TENANTS:
             return
         waiting = {w.entry.tenant for w in self._waiters.values()}
--- a/liftrill/gateway/engines/placement.py
+++ b/liftrill/gateway/engines/placement.py
@@ -113,7 +113,8 @@
         engines_per_prefix_home: number of engines in a scope per engine that prefills the common
             prefix of many prompts.
         recompute_factor: cost of prefilling a shared part again, relative to waiting as long.
-        rare_recompute_factor: the same for a part of few prompts that no engine is known to prefill.
+        rare_recompute_factor: the same for a part of few prompts that no engine is known to
+            prefill.
         long_prompt_s: prefill time above which a prompt is assumed to delay the running streams of
             its engine too much, where no route declares a pause target.
         pause_share: cost of each delayed stream, as a share of the prefill time.
--- a/liftrill/gateway/gateway.py
+++ b/liftrill/gateway/gateway.py
@@ -238,7 +238,7 @@
         )
 
     def leave(self) -> None:
-        """Leave the fleet: peers no longer name this node to callers."""
+        """Leave the fleet: peers no longer return this node to callers."""
         self.stopping = True
         self._peers.announce_departure()
         self.log.state_changed("stopping")
--- a/liftrill/gateway/holding/memory_budget.py
+++ b/liftrill/gateway/holding/memory_budget.py
@@ -14,9 +14,9 @@
 # Bodies of at least this size are refused when the budget is full. Refusing a smaller one saves
 # less memory than its connection uses.
 LARGE_BODY_BYTES = 65_536
-# Maximum share of the capacity for answers that wait for their callers, to leave room for bodies.
+# Maximum share of the capacity for answers that wait for their callers, to leave memory for bodies.
 MAX_ANSWERS_SHARE = 0.5
-# Bodies that have been arriving for longer are evicted when room is needed: they hold it for a
+# Bodies that have been arriving for longer are evicted when memory is needed: they hold it for a
 # single slow caller.
 SLOW_BODY_S = 2.0
 # Used shares of the capacity at which the budget becomes nearly full, and recovers.
--- a/liftrill/gateway/http_client.py
+++ b/liftrill/gateway/http_client.py
@@ -102,8 +102,8 @@
 class CheckingConnector(aiohttp.TCPConnector):
     """A connector that returns a connection only if its request may still be sent.
 
-    A connection can take a second to establish, or the machine may sleep meanwhile, so that what
-    was known when the engine was chosen is outdated.
+    A connection can take a second to establish, or the machine may sleep meanwhile, so that the
+    state by which the engine was chosen is outdated.
     """
 
     async def connect(self, *args: Any, **options: Any) -> Connection:
--- a/liftrill/gateway/peers/engine_gossip.py
+++ b/liftrill/gateway/peers/engine_gossip.py
@@ -54,7 +54,7 @@
         self._metrics = metrics
 
     def handle_signal(self, signal: EngineSignal) -> None:
-        """Apply what an engine reports of itself in an answer, and broadcast that it leaves."""
+        """Apply the signal in an engine's answer, and broadcast that the engine leaves."""
         self._metrics.count_engine_signal(signal)
         if signal.backoff_s:
             self._log.engine_backoff_requested(signal)
@@ -84,8 +84,8 @@
     def send_state_to_joiner(self, joiner: Member) -> None:
         """Send a joining node the state that it can't read in the store.
 
-        It may have started after that state was broadcast, and the store may have been restored
-        from an older copy: what the copy lacks is known to the other nodes only.
+        The node may have started after that state was broadcast. If the store was restored from an
+        older copy, only the other nodes know the state that the copy lacks.
         """
         self._send_state(joiner.node_id, with_all_weights=self._sends_weights_to(joiner))
         loop = asyncio.get_running_loop()
--- a/liftrill/gateway/weight_controller.py
+++ b/liftrill/gateway/weight_controller.py
@@ -126,7 +126,7 @@
         try:
             await self._leadership.mark_active()
         except StoreError as error:
-            # The write may have succeeded although its response was lost: the term ends.
+            # The write may have succeeded although its response was lost, so the term ends.
             self._leadership.step_down(f"cannot mark the term active: {type(error).__name__}")
             await self._leadership.resign()
             return False
