--- a/features/steps/room_steps.py
+++ b/features/steps/room_steps.py
@@ -36,8 +36,10 @@
 SERVICE = "service-1"
 
 
-def place(urgency=1, tenant="a", tokens=100, latest=2.0, standing=RetryStatus.NEW):
-    return QueueEntry(urgency, tenant, tokens, latest, until=10.0, since=0.0, standing=standing)
+def place(urgency=1, tenant="a", tokens=100, latest=2.0, retry_status=RetryStatus.NEW):
+    return QueueEntry(
+        urgency, tenant, tokens, latest, until=10.0, since=0.0, retry_status=retry_status
+    )
 
 
 def dispatched_next(queue, count):
@@ -103,7 +105,7 @@
     tenant=st.sampled_from("abc"),
     tokens=st.integers(1, 9_000),
     latest=st.floats(0.1, 2.0),
-    standing=st.sampled_from(list(RetryStatus)),
+    retry_status=st.sampled_from(list(RetryStatus)),
 )
 STEPS = st.one_of(
     st.tuples(st.just("join"), PLACES),
@@ -577,7 +579,7 @@
 
 @when("it retries after {at:g} s and is told to retry in {seconds:g} s")
 def step_refused_again(context, at, seconds):
-    assert context.refused_requests.retry_status(context.request, at) is RetryStatus.CAME_EARLY
+    assert context.refused_requests.retry_status(context.request, at) is RetryStatus.EARLY_RETRY
     context.refused_requests.record_refusal(context.request, seconds, at)
 
 
@@ -598,7 +600,7 @@
         context.statuses = []
         for _ in range(3):
             entry = full_engine.forwarder.new_queue_entry(request, at + 0.1, for_capacity=True)
-            context.statuses.append(entry.standing)
+            context.statuses.append(entry.retry_status)
             waiting = asyncio.ensure_future(full_engine.forwarder.queues.wait(request, entry))
             await asyncio.sleep(0.01)
             full_engine.forwarder.queues.capacity_freed(SERVICE)
@@ -609,7 +611,7 @@
 
 @then("it still goes before new requests")
 def step_still_first(context):
-    assert context.statuses == [RetryStatus.CAME_BACK] * 3, context.statuses
+    assert context.statuses == [RetryStatus.TIMELY_RETRY] * 3, context.statuses
 
 
 @when("{count:d} callers are refused")
--- a/liftrill/gateway/admission/queue_admission.py
+++ b/liftrill/gateway/admission/queue_admission.py
@@ -55,7 +55,7 @@
             latest_start=latest_start,
             until=until,
             since=now,
-            standing=self.refused_requests.retry_status(request, now),
+            retry_status=self.refused_requests.retry_status(request, now),
             needs_capacity=for_capacity,
         )
 
--- a/liftrill/gateway/admission/request_queue.py
+++ b/liftrill/gateway/admission/request_queue.py
@@ -24,9 +24,9 @@
 class RetryStatus(IntEnum):
     """Whether a request is a retry of a refused one; lower values go first."""
 
-    CAME_BACK = 0
+    TIMELY_RETRY = 0
     NEW = 1
-    CAME_EARLY = 2
+    EARLY_RETRY = 2
 
 
 @dataclass(frozen=True, slots=True)
@@ -48,7 +48,7 @@
     latest_start: float
     until: float
     since: float
-    standing: RetryStatus = RetryStatus.NEW
+    retry_status: RetryStatus = RetryStatus.NEW
     needs_capacity: bool = True
 
 
@@ -218,7 +218,7 @@
     def _rank(self, waiter: Waiter) -> tuple[int, int, float, float, int]:
         entry = waiter.entry
         virtual_time = self._virtual_times.get(entry.tenant, self._virtual_time)
-        return (entry.urgency, entry.standing, virtual_time, entry.latest_start, waiter.number)
+        return (entry.urgency, entry.retry_status, virtual_time, entry.latest_start, waiter.number)
 
     def _starved_waiter(self, waiting: list[Waiter]) -> Waiter | None:
         """Return the first request of an urgency that was passed over too often, or None."""
