--- a/liftrill/gateway/ticks.py
+++ b/liftrill/gateway/ticks.py
@@ -1,6 +1,6 @@
 """Aligns the wake-ups of one process's loops.
 
-An idle node spends most of its processor time on wake-ups, so the pauses of its loops end at
+An idle node spends most of its processor time on wake-ups, so the loops wake up at
 common ticks instead of at independent times.
 """
 
--- a/liftrill/gateway/weight_rollout.py
+++ b/liftrill/gateway/weight_rollout.py
@@ -154,7 +154,7 @@
         self._set_state(engine_id, LoadState.UNANSWERED, now)
 
     def order_refused(self, engine_id: str, now: float, pause: float) -> None:
-        """Record that an engine refused an order; it is sent again after a pause."""
+        """Record that an engine refused an order, which is retried after a delay."""
         self.loads.pop(engine_id, None)
         self._retry_at[engine_id] = now + pause
 
