--- a/features/steps/room_steps.py
+++ b/features/steps/room_steps.py
@@ -579,7 +579,7 @@
 
 @when("it retries after {at:g} s and is told to retry in {seconds:g} s")
 def step_refused_again(context, at, seconds):
-    assert context.refused_requests.retry_status(context.request, at) is RetryStatus.EARLY_RETRY
+    assert context.refused_requests.retry_status(context.request, at) is RetryStatus.CAME_EARLY
     context.refused_requests.record_refusal(context.request, seconds, at)
 
 
@@ -611,7 +611,7 @@
 
 @then("it still goes before new requests")
 def step_still_first(context):
-    assert context.statuses == [RetryStatus.TIMELY_RETRY] * 3, context.statuses
+    assert context.statuses == [RetryStatus.CAME_BACK] * 3, context.statuses
 
 
 @when("{count:d} callers are refused")
--- a/liftrill/gateway/admission/request_queue.py
+++ b/liftrill/gateway/admission/request_queue.py
@@ -24,9 +24,9 @@
 class RetryStatus(IntEnum):
     """Whether a request is a retry of a refused one; lower values go first."""
 
-    TIMELY_RETRY = 0
+    CAME_BACK = 0
     NEW = 1
-    EARLY_RETRY = 2
+    CAME_EARLY = 2
 
 
 @dataclass(frozen=True, slots=True)
--- a/liftrill/gateway/admission/retry_after.py
+++ b/liftrill/gateway/admission/retry_after.py
@@ -91,10 +91,10 @@
             self._forget_old(now)
             return RetryStatus.NEW
         if now < due - EARLY_TOLERANCE_SHARE * wait_s:
-            return RetryStatus.EARLY_RETRY
+            return RetryStatus.CAME_EARLY
         # Only the first retry takes precedence; further copies of the request do not.
         del self._due[request.fingerprint]
-        return RetryStatus.TIMELY_RETRY
+        return RetryStatus.CAME_BACK
 
     def _forget_old(self, now: float) -> None:
         while self._due and now > next(iter(self._due.values()))[0] + RETRY_WINDOW_S:
