--- a/features/steps/room_steps.py
+++ b/features/steps/room_steps.py
@@ -36,8 +36,10 @@
 SERVICE = "service-1"
 
 
-def place(urgency=1, tenant="a", tokens=100, latest=2.0, standing=RetryStatus.NEW):
-    return QueueEntry(urgency, tenant, tokens, latest, until=10.0, since=0.0, standing=standing)
+def place(urgency=1, tenant="a", tokens=100, latest=2.0, retry_status=RetryStatus.NEW):
+    return QueueEntry(
+        urgency, tenant, tokens, latest, until=10.0, since=0.0, retry_status=retry_status
+    )
 
 
 def dispatched_next(queue, count):
@@ -103,7 +105,7 @@
     tenant=st.sampled_from("abc"),
     tokens=st.integers(1, 9_000),
     latest=st.floats(0.1, 2.0),
-    standing=st.sampled_from(list(RetryStatus)),
+    retry_status=st.sampled_from(list(RetryStatus)),
 )
 STEPS = st.one_of(
     st.tuples(st.just("join"), PLACES),
@@ -598,7 +600,7 @@
         context.statuses = []
         for _ in range(3):
             entry = full_engine.forwarder.new_queue_entry(request, at + 0.1, for_capacity=True)
-            context.statuses.append(entry.standing)
+            context.statuses.append(entry.retry_status)
             waiting = asyncio.ensure_future(full_engine.forwarder.queues.wait(request, entry))
             await asyncio.sleep(0.01)
             full_engine.forwarder.queues.capacity_freed(SERVICE)
--- a/liftrill/gateway/admission/request_queue.py
+++ b/liftrill/gateway/admission/request_queue.py
@@ -48,7 +48,7 @@
     latest_start: float
     until: float
     since: float
-    standing: RetryStatus = RetryStatus.NEW
+    retry_status: RetryStatus = RetryStatus.NEW
     needs_capacity: bool = True
 
 
@@ -133,7 +133,7 @@
     def prefill_completed(self, now: float) -> Waiter | None:
         """Return the request to wake after an engine has prefilled a prompt.
 
-        This frees capacity, and may be what every request waits for that needs no capacity.
+        This frees capacity. Requests that need no capacity may wait for the prefill itself.
         """
         if all(waiter.entry.needs_capacity for waiter in self._waiters.values()):
             return self.capacity_freed()
@@ -218,7 +218,7 @@
     def _rank(self, waiter: Waiter) -> tuple[int, int, float, float, int]:
         entry = waiter.entry
         virtual_time = self._virtual_times.get(entry.tenant, self._virtual_time)
-        return (entry.urgency, entry.standing, virtual_time, entry.latest_start, waiter.number)
+        return (entry.urgency, entry.retry_status, virtual_time, entry.latest_start, waiter.number)
 
     def _starved_waiter(self, waiting: list[Waiter]) -> Waiter | None:
         """Return the first request of an urgency that was passed over too often, or None."""
@@ -248,7 +248,7 @@
         return self._dispatches * math.exp(min(0.0, self._dispatches_at - now) / DRAIN_AVERAGE_S)
 
     def _prune_virtual_times(self) -> None:
-        """Drop the virtual times of idle tenants that are due anyway, if there are many."""
+        """Drop virtual times of idle tenants that are not ahead of the queue, if there are many."""
         if len(self._virtual_times) <= MAX_IDLE_TENANTS:
             return
         waiting = {w.entry.tenant for w in self._waiters.values()}
